--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// emptyList is a complete list of revision 42 without members.
+// emptyList is a complete list of revision 42 without endpoints.
 const emptyList = `{"revision": 42, "complete": true, "members": []}`
 
 // emptyListResponse returns the response of discovery that sends emptyList.
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -14,7 +14,7 @@
 // TestIndentedAndTruncatedLists checks that an indented list is read, and that a truncated response is dropped and followed by a call
 // for the complete list.
 func TestIndentedAndTruncatedLists(t *testing.T) {
-	complete := membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyMember("s-1", "127.0.0.1:1"), sidecartest.ReadyMember("s-2", "127.0.0.1:2")}}
+	complete := membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")}}
 	text, err := json.MarshalIndent(complete, "\t", "    ")
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 			}))
 			event, ok := sidecartest.Next(t, startWatcher(t, cfg)).(recordedList)
 			if !ok || event.list.Revision != 42 || len(event.list.Members) != 2 {
-				t.Errorf("got the event %+v, want revision 42 with 2 members", event)
+				t.Errorf("got the event %+v, want revision 42 with 2 endpoints", event)
 			}
 		})
 	}
@@ -56,25 +56,25 @@
 // TestInvalidListIsRejected checks that an invalid list is rejected as a whole and reported as a failed call, and that the next list is
 // received.
 func TestInvalidListIsRejected(t *testing.T) {
-	member := `{"id": "s-1", "host_port": "127.0.0.1:1", "phase": "ready"}`
+	endpoint := `{"id": "s-1", "host_port": "127.0.0.1:1", "phase": "ready"}`
 	for name, text := range map[string]string{
 		"empty body":              ``,
 		"null":                    `null`,
 		"an empty object":         `{}`,
-		"no revision":             `{"complete": true, "members": [` + member + `]}`,
-		"no complete":             `{"revision": 42, "members": [` + member + `]}`,
+		"no revision":             `{"complete": true, "members": [` + endpoint + `]}`,
+		"no complete":             `{"revision": 42, "members": [` + endpoint + `]}`,
 		"no members":              `{"revision": 42, "complete": true}`,
-		"changes only":            `{"revision": 42, "complete": false, "members": [` + member + `]}`,
-		"a member without id":     `{"revision": 42, "complete": true, "members": [` + member + `, {"host_port": "127.0.0.1:2", "phase": "ready"}]}`,
+		"changes only":            `{"revision": 42, "complete": false, "members": [` + endpoint + `]}`,
+		"an endpoint without id":  `{"revision": 42, "complete": true, "members": [` + endpoint + `, {"host_port": "127.0.0.1:2", "phase": "ready"}]}`,
 		"an unknown phase":        `{"revision": 42, "complete": true, "members": [{"id": "s-1", "host_port": "127.0.0.1:1", "phase": "odd"}]}`,
 		"no phase":                `{"revision": 42, "complete": true, "members": [{"id": "s-1", "host_port": "127.0.0.1:1"}]}`,
 		"an address without port": `{"revision": 42, "complete": true, "members": [{"id": "s-1", "host_port": "1", "phase": "ready"}]}`,
 		"members of another type": `{"revision": 42, "complete": true, "members": "s-1"}`,
-		"truncated":               `{"revision": 42, "complete": true, "members": [` + member,
+		"truncated":               `{"revision": 42, "complete": true, "members": [` + endpoint,
 		"two lists":               `{"revision": 42, "complete": true, "members": []}{}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			valid := `{"revision": 42, "complete": true, "members": [` + member + `]}`
+			valid := `{"revision": 42, "complete": true, "members": [` + endpoint + `]}`
 			calls := 0
 			cfg := sidecartest.Config(t)
 			cfg.Balance.PolledDiscovery, cfg.KnownEndpoints.Complete = false, false
@@ -93,7 +93,7 @@
 				t.Fatalf("got the event %+v, want a failure", event)
 			}
 			if event, ok := sidecartest.Next(t, events).(recordedList); !ok || event.list.Revision != 42 || len(event.list.Members) != 1 {
-				t.Errorf("then got the event %+v, want revision 42 with 1 member", event)
+				t.Errorf("then got the event %+v, want revision 42 with 1 endpoint", event)
 			}
 		})
 	}
--- a/internal/eventloop/clockstep_faults_test.go
+++ b/internal/eventloop/clockstep_faults_test.go
@@ -18,9 +18,9 @@
 	previous := newTestLoop(t)
 	previous.upstreamClient = newTestUpstream(t)
 	previous.clock.update()
-	member := sidecartest.ReadyMember("s-1", "127.0.0.1:9")
-	member.UpSince = previous.clock.now - 1000
-	previous.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Member{member}}}, balance.UpdateSnapshot)
+	endpoint := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
+	endpoint.UpSince = previous.clock.now - 1000
+	previous.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
 	fault.SetClockStep(time.Hour)
 	t.Cleanup(func() { fault.SetClockStep(0) })
 	state := previous.exportState()
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -24,7 +24,7 @@
 		complete: l.list.complete || kind != balance.UpdateCachedSnapshot || ev.list.Complete,
 	}
 	l.observeClocks()
-	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyMembers(ev.list.Members)}
+	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEndpoints(ev.list.Members)}
 	if kind != balance.UpdateDelta {
 		l.removeUnlisted(ev.list.Members)
 	}
@@ -38,28 +38,28 @@
 	l.starts.observe(l.clock.milliseconds(moment), wallMilliseconds(moment))
 }
 
-// applyMembers adds, updates and removes the listed endpoints, and returns them as the balancer needs them.
-func (l *Loop) applyMembers(members []membership.Member) []balance.Endpoint {
-	var listed []balance.Endpoint
-	for i := range members {
-		member := &members[i]
-		endpoint := l.updateEndpoint(member)
-		listed = append(listed, l.balancerEndpoint(endpoint, member))
-		if member.State() != balance.Ready {
+// applyEndpoints adds, updates and removes the listed endpoints, and returns them as the balancer needs them.
+func (l *Loop) applyEndpoints(list []membership.Endpoint) []balance.Endpoint {
+	var updates []balance.Endpoint
+	for i := range list {
+		listed := &list[i]
+		endpoint := l.updateEndpoint(listed)
+		updates = append(updates, l.balancerEndpoint(endpoint, listed))
+		if listed.State() != balance.Ready {
 			l.stopSending(endpoint)
 		}
-		if member.State() == balance.Gone {
+		if listed.State() == balance.Gone {
 			l.endpoints.remove(endpoint)
 		}
 	}
-	return listed
+	return updates
 }
 
 // removeUnlisted removes the endpoints that a complete list does not have.
-func (l *Loop) removeUnlisted(members []membership.Member) {
+func (l *Loop) removeUnlisted(list []membership.Endpoint) {
 	listed := map[string]bool{}
-	for i := range members {
-		listed[members[i].ID] = true
+	for i := range list {
+		listed[list[i].ID] = true
 	}
 	for name, endpoint := range l.endpoints.byName {
 		if !listed[name] {
@@ -69,24 +69,24 @@
 	}
 }
 
-// updateEndpoint returns the endpoint of a member, which may be new or have another address or a new process.
-func (l *Loop) updateEndpoint(member *membership.Member) *upstream.Endpoint {
-	endpoint := l.endpoints.byName[member.ID]
+// updateEndpoint returns the table's entry for a listed endpoint, which may be new or have another address or a new process.
+func (l *Loop) updateEndpoint(listed *membership.Endpoint) *upstream.Endpoint {
+	endpoint := l.endpoints.byName[listed.ID]
 	if endpoint == nil {
-		endpoint = l.endpoints.add(member.ID)
+		endpoint = l.endpoints.add(listed.ID)
 	}
 	address := endpoint.Address.Load()
-	restarted := member.UpSince > 0 && member.UpSince != endpoint.Member.UpSince // less, if the wall clock was set back
+	restarted := listed.UpSince > 0 && listed.UpSince != endpoint.Listed.UpSince // less, if the wall clock was set back
 	if restarted || address == nil {
-		endpoint.StartedAt = l.starts.loopTime(member.UpSince, l.clock.now)
+		endpoint.StartedAt = l.starts.loopTime(listed.UpSince, l.clock.now)
 	}
-	if address == nil || restarted || *address != member.HostPort {
-		current := strings.Clone(member.HostPort) // a substring would keep the text of the whole list in memory
+	if address == nil || restarted || *address != listed.HostPort {
+		current := strings.Clone(listed.HostPort) // a substring would keep the text of the whole list in memory
 		endpoint.Address.Store(&current)
 		l.upstreamClient.CloseIdle(endpoint) // they lead to the previous process
 	}
-	endpoint.Member = member.Clone()
-	endpoint.Closed.Store(member.State() != balance.Ready)
+	endpoint.Listed = listed.Clone()
+	endpoint.Closed.Store(listed.State() != balance.Ready)
 	return endpoint
 }
 
@@ -101,21 +101,21 @@
 func (l *Loop) resendEndpoints() {
 	update := balance.EndpointUpdate{Kind: balance.UpdateDelta}
 	for _, endpoint := range l.endpoints.sorted() {
-		update.Endpoints = append(update.Endpoints, l.balancerEndpoint(endpoint, &endpoint.Member))
+		update.Endpoints = append(update.Endpoints, l.balancerEndpoint(endpoint, &endpoint.Listed))
 	}
 	l.notifyBalancer(update)
 }
 
-// balancerEndpoint returns a member in the balancer's form.
-func (l *Loop) balancerEndpoint(endpoint *upstream.Endpoint, member *membership.Member) balance.Endpoint {
+// balancerEndpoint returns a listed endpoint in the balancer's form.
+func (l *Loop) balancerEndpoint(endpoint *upstream.Endpoint, listed *membership.Endpoint) balance.Endpoint {
 	return balance.Endpoint{
 		ID:          endpoint.ID,
-		State:       member.State(),
+		State:       listed.State(),
 		StartedAt:   endpoint.StartedAt,
-		Rating:      member.Size,
-		Cell:        member.Cell,
-		Zone:        indexOrUnknown(l.cfg.ZoneIndex, member.Locality),
-		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, member.Flavor),
+		Rating:      listed.Size,
+		Cell:        listed.Cell,
+		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Locality),
+		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.Flavor),
 	}
 }
 
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// completeList returns an endpoint list with one ready member.
+// completeList returns an endpoint list with one ready endpoint.
 func completeList(address string) endpointListUpdate {
-	members := []membership.Member{sidecartest.ReadyMember("s-1", address)}
-	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: members}}
+	endpoints := []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", address)}
+	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: endpoints}}
 }
 
 // A request that the balancer never finishes fails when its timer fires, and no later response is sent for it.
@@ -102,16 +102,16 @@
 // All sidecars must hash a sticky key to the same endpoints, so that an endpoint's ID may not depend on the order in which a
 // sidecar learned of the endpoints.
 func TestEndpointIDsDoNotDependOnListOrder(t *testing.T) {
-	members := []membership.Member{
-		sidecartest.ReadyMember("s-1", "127.0.0.1:1"),
-		sidecartest.ReadyMember("s-2", "127.0.0.1:2"),
-		sidecartest.ReadyMember("s-3", "127.0.0.1:3"),
+	endpoints := []membership.Endpoint{
+		sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"),
+		sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2"),
+		sidecartest.ReadyEndpoint("s-3", "127.0.0.1:3"),
 	}
 	idsInOrder := func(order ...int) map[string]balance.EndpointID {
 		l := newTestLoop(t)
 		l.upstreamClient = newTestUpstream(t)
 		for _, i := range order {
-			l.applyList(endpointListUpdate{list: &membership.EndpointList{Members: members[i : i+1]}}, balance.UpdateDelta)
+			l.applyList(endpointListUpdate{list: &membership.EndpointList{Members: endpoints[i : i+1]}}, balance.UpdateDelta)
 		}
 		ids := map[string]balance.EndpointID{}
 		for name, endpoint := range l.endpoints.byName {
@@ -208,7 +208,7 @@
 	}
 	before := heapBytes()
 	for round := range 20 { // each list replaces the previous one
-		list := sidecartest.NumberedMembers(endpointCount, "127.0.0.1:1")
+		list := sidecartest.NumberedEndpoints(endpointCount, "127.0.0.1:1")
 		for i := range list.Members {
 			list.Members[i].ID += fmt.Sprint(round)
 		}
--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -187,7 +187,7 @@
 
 // timeToNoticeDrain returns how long after the end of an outage the sidecar stops sending to an endpoint that drains.
 func timeToNoticeDrain(t *testing.T, c drainCase, mode failureMode, outage time.Duration) time.Duration {
-	first, second := sidecartest.ReadyMember("s-1", "127.0.0.1:1"), sidecartest.ReadyMember("s-2", "127.0.0.1:2")
+	first, second := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")
 	ctx, cancel := context.WithCancel(t.Context())
 	agent := newFailingDiscovery(ctx, c, mode, outage, first, second)
 	cfg := sidecartest.Config(t, first, second)
@@ -216,9 +216,9 @@
 }
 
 // newFailingDiscovery returns a discovery whose outage begins before the sidecar starts, as the case has it, or at any moment
-// of a watch. The first member drains after the outage.
+// of a watch. The first endpoint drains after the outage.
 func newFailingDiscovery(
-	ctx context.Context, c drainCase, mode failureMode, outage time.Duration, first, second membership.Member,
+	ctx context.Context, c drainCase, mode failureMode, outage time.Duration, first, second membership.Endpoint,
 ) *failingDiscovery {
 	draining := first
 	draining.Phase = "draining"
@@ -233,7 +233,7 @@
 		ctx:    ctx,
 		downAt: downAt,
 		upAt:   downAt.Add(outage),
-		before: membership.EndpointList{Revision: 41, Complete: true, Members: []membership.Member{first, second}},
-		after:  membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{draining, second}},
+		before: membership.EndpointList{Revision: 41, Complete: true, Members: []membership.Endpoint{first, second}},
+		after:  membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{draining, second}},
 	}
 }
--- a/internal/eventloop/starttimes_test.go
+++ b/internal/eventloop/starttimes_test.go
@@ -63,15 +63,15 @@
 	l := newTestLoop(t)
 	l.upstreamClient = newTestUpstream(t)
 	l.clock.update()
-	member := sidecartest.ReadyMember("s-1", "127.0.0.1:9")
-	member.UpSince = l.clock.now - 60e3
-	l.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Member{member}}}, balance.UpdateSnapshot)
+	listed := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
+	listed.UpSince = l.clock.now - 60e3
+	l.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Endpoint{listed}}}, balance.UpdateSnapshot)
 	endpoint := l.endpoints.byName["s-1"]
 	address := endpoint.Address.Load()
 
 	l.starts.observe(l.clock.now, l.clock.now-hour)
-	member.UpSince = l.clock.now - hour - 1000
-	restarted := l.balancerEndpoint(l.updateEndpoint(&member), &member)
+	listed.UpSince = l.clock.now - hour - 1000
+	restarted := l.balancerEndpoint(l.updateEndpoint(&listed), &listed)
 	if endpoint.Address.Load() == address {
 		t.Error("connections to the previous process are still used")
 	}
--- a/internal/eventloop/state.go
+++ b/internal/eventloop/state.go
@@ -45,7 +45,7 @@
 		WallAhead: l.starts.wallAhead(),
 	}
 	for _, endpoint := range l.endpoints.sorted() {
-		state.List.Members = append(state.List.Members, endpoint.Member)
+		state.List.Members = append(state.List.Members, endpoint.Listed)
 	}
 	return state
 }
--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -7,26 +7,28 @@
 
 func (e *MissingKeyError) Error() string { return fmt.Sprintf("endpoint list without %q", e.Key) }
 
-// MissingIDError reports a member without an ID, by its index in the list.
+// MissingIDError reports an endpoint without an ID, by its index in the list.
 type MissingIDError struct{ Index int }
 
-func (e *MissingIDError) Error() string { return fmt.Sprintf("member at index %d has no ID", e.Index) }
+func (e *MissingIDError) Error() string {
+	return fmt.Sprintf("endpoint at index %d has no ID", e.Index)
+}
 
-// UnknownPhaseError reports a member whose phase is none of phases.
-type UnknownPhaseError struct{ MemberID, Phase string }
+// UnknownPhaseError reports an endpoint whose phase is none of phases.
+type UnknownPhaseError struct{ EndpointID, Phase string }
 
 func (e *UnknownPhaseError) Error() string {
-	return fmt.Sprintf("member %q: unknown phase %q", e.MemberID, e.Phase)
+	return fmt.Sprintf("endpoint %q: unknown phase %q", e.EndpointID, e.Phase)
 }
 
-// AddressError reports a member whose address is not of the form host:port.
+// AddressError reports an endpoint whose address is not of the form host:port.
 type AddressError struct {
-	MemberID, HostPort string
-	Err                error
+	EndpointID, HostPort string
+	Err                  error
 }
 
 func (e *AddressError) Error() string {
-	return fmt.Sprintf("member %q: address %q: %v", e.MemberID, e.HostPort, e.Err)
+	return fmt.Sprintf("endpoint %q: address %q: %v", e.EndpointID, e.HostPort, e.Err)
 }
 
 // Unwrap returns the error of package net.
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -12,7 +12,7 @@
 	Members  json.RawMessage `json:"members"`
 }
 
-// Parse reads a list and validates it. A list without a revision, complete or members is an error as well: read as an
+// Parse reads a list and validates it. A list without a revision, complete or members key is an error as well: read as an
 // empty list it would end all traffic, or hide that a server drains.
 func Parse(text []byte) (*EndpointList, error) {
 	var parsed document
@@ -24,7 +24,7 @@
 	}
 	list := &EndpointList{Revision: *parsed.Revision, Complete: *parsed.Complete}
 	if err := json.Unmarshal(parsed.Members, &list.Members); err != nil {
-		return nil, fmt.Errorf("parse the members of revision %d: %w", list.Revision, err)
+		return nil, fmt.Errorf("parse the endpoints of revision %d: %w", list.Revision, err)
 	}
 	if err := list.Validate(); err != nil {
 		return nil, fmt.Errorf("revision %d: %w", list.Revision, err)
--- a/internal/membership/parse_test.go
+++ b/internal/membership/parse_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestParseNamesInvalidPart checks that the error of an invalid list names the key, the member or the value at fault.
+// TestParseNamesInvalidPart checks that the error of an invalid list names the key, the endpoint or the value at fault.
 func TestParseNamesInvalidPart(t *testing.T) {
-	const member = `{"id": "s-1", "host_port": "127.0.0.1:1", "phase": "ready"}`
+	const endpoint = `{"id": "s-1", "host_port": "127.0.0.1:1", "phase": "ready"}`
 	for name, test := range map[string]struct {
 		text string
 		want error
@@ -15,7 +15,7 @@
 		"no revision":   {`{"complete": true, "members": []}`, &MissingKeyError{"revision"}},
 		"no complete":   {`{"revision": 1, "members": []}`, &MissingKeyError{"complete"}},
 		"no members":    {`{"revision": 1, "complete": true}`, &MissingKeyError{"members"}},
-		"no ID":         {`{"revision": 1, "complete": true, "members": [` + member + `, {}]}`, &MissingIDError{1}},
+		"no ID":         {`{"revision": 1, "complete": true, "members": [` + endpoint + `, {}]}`, &MissingIDError{1}},
 		"unknown phase": {`{"revision": 1, "complete": true, "members": [{"id": "s-1", "phase": "odd"}]}`, &UnknownPhaseError{"s-1", "odd"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -33,16 +33,16 @@
 	}
 }
 
-// TestParseNamesInvalidAddress checks that a member that is not gone needs a host and a port, and that the error names both
-// the member and its address.
+// TestParseNamesInvalidAddress checks that an endpoint that is not gone needs a host and a port, and that the error names both
+// the endpoint and its address.
 func TestParseNamesInvalidAddress(t *testing.T) {
 	_, err := Parse([]byte(`{"revision": 1, "complete": true, "members": [{"id": "s-1", "host_port": "x", "phase": "draining"}]}`))
 	var invalid *AddressError
-	if !errors.As(err, &invalid) || invalid.MemberID != "s-1" || invalid.HostPort != "x" {
-		t.Errorf("got error %v, want an AddressError of member s-1 and address x", err)
+	if !errors.As(err, &invalid) || invalid.EndpointID != "s-1" || invalid.HostPort != "x" {
+		t.Errorf("got error %v, want an AddressError of endpoint s-1 and address x", err)
 	}
 	list, err := Parse([]byte(`{"revision": 1, "complete": true, "members": [{"id": "s-1", "host_port": "x", "phase": "gone"}]}`))
 	if err != nil || len(list.Members) != 1 {
-		t.Errorf("a member that is gone without an address: got %+v and error %v, want the list", list, err)
+		t.Errorf("an endpoint that is gone without an address: got %+v and error %v, want the list", list, err)
 	}
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -24,7 +24,7 @@
 	started, release := make(chan bool, 1), make(chan bool)
 	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release))
 	defer close(release)
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	conn, err := net.Dial("tcp", sidecar.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 					conn.(*net.TCPConn).SetLinger(0) // a reset, after which the request would be retried
 					return false
 				})
-				sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr), sidecartest.ReadyMember("s-2", server.Addr)))
+				sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
 				conn := sidecar.dial()
 				sidecar.write(conn, sidecar.rawRequest("read"))
 				sidecartest.Next(t, started)
@@ -92,10 +92,10 @@
 
 // checkDisconnectInEventQueue disconnects while the request is queued for the event loop.
 func checkDisconnectInEventQueue(t *testing.T, disconnect func(net.Conn)) {
-	members, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
+	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
 	barrier := logBarrier{slog.DiscardHandler, "list of servers", make(chan bool), make(chan bool)}
-	sidecar, blocker, conn := startWithBlockedClient(t, sidecartest.Config(t, members...), barrier)
-	sidecar.discovery.Lists <- membership.EndpointList{Members: []membership.Member{{Phase: "odd"}}} // the event loop logs the failure
+	sidecar, blocker, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), barrier)
+	sidecar.discovery.Lists <- membership.EndpointList{Members: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
 	sidecartest.Next(t, barrier.reached)
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	<-blocker.blocked
@@ -109,12 +109,12 @@
 
 // checkDisconnectWithoutServers disconnects while the request waits for a server to be known.
 func checkDisconnectWithoutServers(t *testing.T, disconnect func(net.Conn)) {
-	members, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
+	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
 	sidecar, _, conn := startWithBlockedClient(t, sidecartest.Config(t), slog.DiscardHandler)
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	sidecartest.WaitFor(t, "the request is pending", func() bool { return sidecar.metric("pending") == "1" })
 	disconnect(conn)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: members}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: endpoints}
 	if got := requestCountWhenIdle(sidecar, requestCount); got != 0 {
 		t.Errorf("the server received %d requests, want 0", got)
 	}
@@ -123,12 +123,12 @@
 // checkDisconnectBetweenAttempts disconnects during a first attempt that fails and would be retried.
 func checkDisconnectBetweenAttempts(t *testing.T, disconnect func(net.Conn)) {
 	started, release := make(chan bool, 1), make(chan bool)
-	members, requestCount := startServersWithSharedSteps(t, 2, func(conn net.Conn) bool {
+	endpoints, requestCount := startServersWithSharedSteps(t, 2, func(conn net.Conn) bool {
 		started <- true
 		<-release
 		return sidecartest.Respond(500, "")(conn)
 	}, sidecartest.Respond(200, "served"))
-	sidecar, _, conn := startWithBlockedClient(t, sidecartest.Config(t, members...), slog.DiscardHandler)
+	sidecar, _, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), slog.DiscardHandler)
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	sidecartest.Next(t, started)
 	disconnect(conn)
@@ -141,12 +141,12 @@
 // checkDisconnectWithFullPool disconnects while the request waits for one of the connections to servers.
 func checkDisconnectWithFullPool(t *testing.T, disconnect func(net.Conn)) {
 	started, release := make(chan bool, 10), make(chan bool)
-	members, requestCount := startServersWithSharedSteps(t, 1, func(conn net.Conn) bool {
+	endpoints, requestCount := startServersWithSharedSteps(t, 1, func(conn net.Conn) bool {
 		started <- true
 		<-release
 		return sidecartest.Respond(200, "served")(conn)
 	})
-	cfg := sidecartest.Config(t, members...)
+	cfg := sidecartest.Config(t, endpoints...)
 	cfg.Limits.Sockets = config.ReservedSockets + admin.MaxConns + 9 // four to servers, five to clients
 	sidecar, blocker, conn := startWithBlockedClient(t, cfg, slog.DiscardHandler)
 	for range 4 {
@@ -159,8 +159,8 @@
 	disconnect(conn)
 	close(release)
 	sidecartest.WaitFor(t, "the other requests are served", func() bool { return sidecar.metric("pending") == "1" })
-	members[0].ID = "s-another" // a server that the request had no attempt at
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Members: members}
+	endpoints[0].ID = "s-another" // a server that the request had no attempt at
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Members: endpoints}
 	if got := requestCountWhenIdle(sidecar, requestCount); got != 4 {
 		t.Errorf("the server received %d requests, want 4", got)
 	}
@@ -222,12 +222,12 @@
 }
 
 // startServersWithSharedSteps starts servers that share one list of steps: each request takes the next one, whichever
-// server receives it. It returns the servers as members, and the number of requests received so far.
-func startServersWithSharedSteps(t *testing.T, servers int, steps ...sidecartest.Step) (members []membership.Member, requestCount *atomic.Int32) {
+// server receives it. It returns the servers as endpoints, and the number of requests received so far.
+func startServersWithSharedSteps(t *testing.T, servers int, steps ...sidecartest.Step) (endpoints []membership.Endpoint, requestCount *atomic.Int32) {
 	requestCount = &atomic.Int32{}
 	for i := range servers {
 		server := sidecartest.NewScriptedServer(t, func(conn net.Conn) bool { return steps[min(int(requestCount.Add(1)), len(steps))-1](conn) })
-		members = append(members, sidecartest.ReadyMember(fmt.Sprintf("s-%d", i), server.Addr))
+		endpoints = append(endpoints, sidecartest.ReadyEndpoint(fmt.Sprintf("s-%d", i), server.Addr))
 	}
-	return members, requestCount
+	return endpoints, requestCount
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -88,7 +88,7 @@
 	env.predecessor = state
 	env.clients = env.upgrade.PredecessorListener()
 	cfg.UsePredecessor(state.Discovery, state.List)
-	log.Info("taking over", "servers", len(state.List.Members), "revision", state.List.Revision)
+	log.Info("taking over", "endpoints", len(state.List.Members), "revision", state.List.Revision)
 }
 
 // listen opens the listeners that the environment does not have yet. Where there is an admin address, the clients' address
--- a/internal/sidecartest/config.go
+++ b/internal/sidecartest/config.go
@@ -22,7 +22,7 @@
 
 // Config returns the configuration of ConfigPath with the given servers as the known ones. A shutdown does not wait for
 // new connections, and connections to servers need no rest between two requests.
-func Config(t *testing.T, servers ...membership.Member) *config.Config {
+func Config(t *testing.T, servers ...membership.Endpoint) *config.Config {
 	t.Helper()
 	text, err := os.ReadFile(ConfigPath())
 	if err != nil {
@@ -38,9 +38,9 @@
 	return cfg
 }
 
-// ReadyMember returns a member that accepts requests at an address.
-func ReadyMember(id, addr string) membership.Member {
-	return membership.Member{
+// ReadyEndpoint returns an endpoint that accepts requests at an address.
+func ReadyEndpoint(id, addr string) membership.Endpoint {
+	return membership.Endpoint{
 		ID:       id,
 		HostPort: addr,
 		Locality: "room-1",
@@ -51,17 +51,17 @@
 	}
 }
 
-// idFactor is a prime that spreads the numbers of members over the digits of their IDs.
+// idFactor is a prime that spreads the numbers of endpoints over the digits of their IDs.
 const idFactor = 2654435761
 
-// NumberedMembers returns an endpoint list of count servers at one address, with IDs of the usual length.
-func NumberedMembers(count int, addr string) membership.EndpointList {
+// NumberedEndpoints returns an endpoint list of count servers at one address, with IDs of the usual length.
+func NumberedEndpoints(count int, addr string) membership.EndpointList {
 	list := membership.EndpointList{Revision: 42, Complete: true}
 	for i := range count {
-		member := ReadyMember(fmt.Sprintf("s-%08x", i*idFactor), addr)
-		member.Cell = i / 2
-		member.Locality = fmt.Sprintf("room-%d", 1+i%2)
-		list.Members = append(list.Members, member)
+		endpoint := ReadyEndpoint(fmt.Sprintf("s-%08x", i*idFactor), addr)
+		endpoint.Cell = i / 2
+		endpoint.Locality = fmt.Sprintf("room-%d", 1+i%2)
+		list.Members = append(list.Members, endpoint)
 	}
 	return list
 }
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -73,9 +73,9 @@
 func (r *run) tell(s *server, phase string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.member.Phase = phase
+	s.endpoint.Phase = phase
 	for _, sidecar := range r.sidecars {
-		sidecar.discovery.Set(s.member)
+		sidecar.discovery.Set(s.endpoint)
 	}
 }
 
@@ -95,7 +95,7 @@
 	s.past = append(s.past, s.standin.Attempts()...)
 	s.standin = next
 	started := time.Now()
-	s.member.UpSince = float64(started.Add(time.Duration(r.clockStep.Load())).UnixMilli())
+	s.endpoint.UpSince = float64(started.Add(time.Duration(r.clockStep.Load())).UnixMilli())
 	r.records.Starts[s.name] = started
 	r.mu.Unlock()
 	r.tell(s, "ready")
@@ -258,7 +258,7 @@
 	former := s.discovery
 	addTold(&r.records, s)
 	for _, server := range r.servers {
-		next.Set(server.member)
+		next.Set(server.endpoint)
 	}
 	next.CountNoticesFrom(time.Now().Add(reloadGrace))
 	s.discovery = next
--- a/internal/soak/harness_test.go
+++ b/internal/soak/harness_test.go
@@ -56,7 +56,7 @@
 		}
 		t.Cleanup(server.Close)
 		fleet.servers = append(fleet.servers, server)
-		fleet.discovery.Set(readyMember(server.Name, server.Addr()))
+		fleet.discovery.Set(readyEndpoint(server.Name, server.Addr()))
 	}
 	return fleet
 }
--- a/internal/soak/rogue_test.go
+++ b/internal/soak/rogue_test.go
@@ -123,20 +123,20 @@
 }
 
 // pick returns a server, another one for each call, or nil.
-func (s *rogueSidecar) pick() *membership.Member {
+func (s *rogueSidecar) pick() *membership.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ready []membership.Member
-	var newest *membership.Member
-	for _, member := range s.list.Members {
-		if member.Phase == "ready" || s.fault == rogueAnyServer {
-			ready = append(ready, member)
+	var ready []membership.Endpoint
+	var newest *membership.Endpoint
+	for _, endpoint := range s.list.Members {
+		if endpoint.Phase == "ready" || s.fault == rogueAnyServer {
+			ready = append(ready, endpoint)
 		}
-		if member.UpSince > 0 && (newest == nil || member.UpSince > newest.UpSince) {
-			newest = &member
+		if endpoint.UpSince > 0 && (newest == nil || endpoint.UpSince > newest.UpSince) {
+			newest = &endpoint
 		}
 	}
-	slices.SortFunc(ready, func(a, b membership.Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(ready, func(a, b membership.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	if s.fault == rogueOverloads && newest != nil {
 		return newest
 	}
@@ -150,8 +150,8 @@
 func (s *rogueSidecar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	unlucky := s.next.Load()%7 == 0
-	member := s.pick()
-	if member == nil {
+	endpoint := s.pick()
+	if endpoint == nil {
 		http.Error(w, "no server", http.StatusServiceUnavailable)
 		return
 	}
@@ -167,7 +167,7 @@
 		go func() {
 			<-r.Context().Done()
 			time.Sleep(400 * time.Millisecond)
-			roundTrip(context.Background(), member, request)
+			roundTrip(context.Background(), endpoint, request)
 		}()
 		<-r.Context().Done()
 		return
@@ -177,7 +177,7 @@
 			go roundTrip(context.Background(), other, standinRequest(r, body))
 		}
 	}
-	response, err := roundTrip(r.Context(), member, request)
+	response, err := roundTrip(r.Context(), endpoint, request)
 	if is(rogueRepeats) {
 		if other := s.pick(); other != nil {
 			response, err = roundTrip(r.Context(), other, standinRequest(r, body))
@@ -209,8 +209,8 @@
 }
 
 // roundTrip sends a request over a connection of its own.
-func roundTrip(ctx context.Context, member *membership.Member, request *http.Request) ([]byte, error) {
-	conn, err := net.DialTimeout("tcp", member.HostPort, time.Second)
+func roundTrip(ctx context.Context, endpoint *membership.Endpoint, request *http.Request) ([]byte, error) {
+	conn, err := net.DialTimeout("tcp", endpoint.HostPort, time.Second)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -106,12 +106,12 @@
 
 // server is a server of a run behind its proxy.
 type server struct {
-	name    string
-	member  membership.Member
-	standin *standin.Server
-	proxy   *standin.Proxy
-	past    []standin.Attempt // of earlier processes
-	hanging atomic.Bool
+	name     string
+	endpoint membership.Endpoint
+	standin  *standin.Server
+	proxy    *standin.Proxy
+	past     []standin.Attempt // of earlier processes
+	hanging  atomic.Bool
 }
 
 // sidecar is a sidecar of a run over all its processes.
@@ -183,9 +183,9 @@
 	if s.proxy, err = standin.NewProxy(s.standin.Addr()); err != nil {
 		return err
 	}
-	s.member = readyMember(s.name, s.proxy.Addr())
-	s.member.Cell = number / 3
-	r.records.Cells[s.name] = s.member.Cell
+	s.endpoint = readyEndpoint(s.name, s.proxy.Addr())
+	s.endpoint.Cell = number / 3
+	r.records.Cells[s.name] = s.endpoint.Cell
 	return nil
 }
 
@@ -226,7 +226,7 @@
 	s := &sidecar{number: number, discovery: discovery, life: -1}
 	r.sidecars = append(r.sidecars, s)
 	for _, server := range r.servers {
-		discovery.Set(server.member)
+		discovery.Set(server.endpoint)
 	}
 	listen, err := standin.FreeAddress()
 	if err != nil {
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// readyMember returns the list entry of a server that accepts requests.
-func readyMember(id, address string) membership.Member {
-	return membership.Member{ID: id, HostPort: address, Locality: "room-1", Flavor: "small", Cell: 1, Phase: "ready", Size: 1}
+// readyEndpoint returns the list entry of a server that accepts requests.
+func readyEndpoint(id, address string) membership.Endpoint {
+	return membership.Endpoint{ID: id, HostPort: address, Locality: "room-1", Flavor: "small", Cell: 1, Phase: "ready", Size: 1}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -18,14 +18,14 @@
 	server   *http.Server
 	running  sync.WaitGroup
 
-	mu       sync.Mutex
-	revision int64
-	members  map[string]membership.Member
-	changed  chan struct{} // closed at the next change of list or state
-	silent   bool
-	told     []Notice
-	untold   []Notice // made while silent
-	from     time.Time
+	mu        sync.Mutex
+	revision  int64
+	endpoints map[string]membership.Endpoint
+	changed   chan struct{} // closed at the next change of list or state
+	silent    bool
+	told      []Notice
+	untold    []Notice // made while silent
+	from      time.Time
 }
 
 // Notice is a change of a server that discovery had for its sidecar.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("start discovery: %w", err)
 	}
-	d := &Discovery{listener: listener, revision: 1, members: map[string]membership.Member{}, changed: make(chan struct{})}
+	d := &Discovery{listener: listener, revision: 1, endpoints: map[string]membership.Endpoint{}, changed: make(chan struct{})}
 	d.server = &http.Server{Handler: http.HandlerFunc(d.answer)}
 	d.running.Go(func() { d.server.Serve(listener) })
 	return d, nil
@@ -58,13 +58,13 @@
 }
 
 // Set adds or changes a server. It counts as told from now on, unless the agent is silent; then from its return.
-func (d *Discovery) Set(member membership.Member) {
+func (d *Discovery) Set(endpoint membership.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
-	d.members[member.ID] = member
+	d.endpoints[endpoint.ID] = endpoint
 	now := time.Now()
-	notice := Notice{Server: member.ID, Phase: member.Phase, HadAt: now, At: now}
+	notice := Notice{Server: endpoint.ID, Phase: endpoint.Phase, HadAt: now, At: now}
 	if d.silent {
 		d.untold = append(d.untold, notice)
 	} else {
@@ -117,10 +117,10 @@
 }
 
 func (d *Discovery) listLocked() membership.EndpointList {
-	list := membership.EndpointList{Revision: d.revision, Complete: true, Members: []membership.Member{}}
-	for _, member := range d.members {
-		if member.Phase != "gone" {
-			list.Members = append(list.Members, member)
+	list := membership.EndpointList{Revision: d.revision, Complete: true, Members: []membership.Endpoint{}}
+	for _, endpoint := range d.endpoints {
+		if endpoint.Phase != "gone" {
+			list.Members = append(list.Members, endpoint)
 		}
 	}
 	return list
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -11,12 +11,12 @@
 // fields and Name.
 type Endpoint struct {
 	ID   balance.EndpointID
-	Name string // the member's ID; does not change
+	Name string // the endpoint's ID in the list; does not change
 
 	// The fields below are the event loop's.
 
-	StartedAt float64           // when the server last started, in milliseconds of the loop's clock; 0: long ago
-	Member    membership.Member // as last listed
+	StartedAt float64             // when the server last started, in milliseconds of the loop's clock; 0: long ago
+	Listed    membership.Endpoint // as last listed
 
 	// Address is replaced by another pointer with each new address and each restart of the server: connections with
 	// an earlier pointer are stale.
