--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -10,20 +10,19 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestNoListFromOldAddressAfterNew checks an address change while the old address answers: whether or not its list is still reported,
+// TestNoListFromOldAddressAfterNew checks an address change while the old address responds: whether or not its list is still reported,
 // none from there follows one from the new address.
 func TestNoListFromOldAddressAfterNew(t *testing.T) {
 	for range 50 {
 		cfg := sidecartest.Config(t)
-		watcher := NewWatcher(cfg, nil)
 		events := make(listRecorder, 10)
-		watcher.observer = events
-		watcher.agent = true
+		watcher := NewWatcher(cfg, events)
+		watcher.mode = agentMode
 		moving := make(chan bool)
 		var moved sync.Once
-		watcher.client.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
+		watcher.client.http.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 			if req.URL.Host == cfg.Discovery {
-				moved.Do(func() { close(moving) }) // coincides with the answer
+				moved.Do(func() { close(moving) }) // coincides with the response
 			} else if req.URL.RawQuery != "" {
 				<-req.Context().Done()
 				return nil, req.Context().Err()
@@ -33,12 +32,12 @@
 		runWatcher(t, watcher)
 		<-moving
 		watcher.SetAddress("127.0.0.1:2")
-		for from := ""; from != "127.0.0.1:2"; {
-			from = sidecartest.Next(t, events).from
+		for address := ""; address != "127.0.0.1:2"; {
+			address = sidecartest.Next(t, events).address
 		}
 		select {
 		case event := <-events:
-			if event.from == cfg.Discovery {
+			if event.address == cfg.Discovery {
 				t.Fatal("a list from the old address came after one from the new address")
 			}
 		default:
@@ -65,7 +64,7 @@
 	sidecartest.Next(t, server.Queries)
 	watcher.SetAddress(refusing)
 	for range 3 { // none of the calls was requested
-		if _, ok := sidecartest.Next(t, events).(recordedFailure); !ok {
+		if event := sidecartest.Next(t, events); event.err == nil {
 			t.Error("the refused connection was not reported")
 		}
 	}
@@ -91,7 +90,7 @@
 	watcher.SetAddress(third.Addr)
 	sidecartest.Next(t, third.Queries)
 	third.Lists <- membership.EndpointList{Revision: 1, Complete: true}
-	if event, ok := sidecartest.Next(t, events).(recordedList); !ok || event.list.Revision != 1 {
-		t.Errorf("got the event %#v, want revision 1", event)
+	if event := sidecartest.Next(t, events); !event.isList(1) {
+		t.Errorf("got the event %v, want revision 1", event)
 	}
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -1,9 +1,7 @@
 package discovery
 
 import (
-	"cmp"
 	"context"
-	"io"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -15,33 +13,32 @@
 // listPath is the path of all calls.
 const listPath = "/discovery/hosts"
 
-// maxListBytes is the size of the longest list that is read; what exceeds it is cut off, which makes it invalid.
-const maxListBytes = 4 << 20
+// Query parameters of a watch.
+const (
+	queryRevision = "from"    // the revision of the latest list
+	queryHold     = "hold_ms" // how long the watch may be held, in milliseconds
+)
 
 // call is one call to discovery.
 type call struct {
 	address          string
-	query            url.Values    // nil: the complete list
-	firstByteTimeout time.Duration // by when the first byte of the answer has to come
+	query            url.Values    // nil: the call is for the complete list
+	firstByteTimeout time.Duration // by when the head of the response has to come
 	timeout          time.Duration // by when its last byte has to come
 }
 
-// listCall is a call for the complete list.
-func (w *Watcher) listCall(address string) call {
-	return call{
-		address:          address,
-		firstByteTimeout: w.timeouts.firstByte,
-		timeout:          w.timeouts.responseSlack,
-	}
+// newListCall returns a call for the complete list.
+func newListCall(address string, times timeouts) call {
+	return call{address: address, firstByteTimeout: times.firstByte, timeout: times.responseSlack}
 }
 
-// watchCall is a call for what is newer than the latest list. Discovery may hold it until there is something newer.
-func (w *Watcher) watchCall(address string) call {
+// newWatchCall returns a call for what is newer than a revision. Discovery may hold it until there is something newer.
+func newWatchCall(address string, revision int64, times timeouts) call {
 	query := url.Values{
-		"from":    {strconv.FormatInt(w.revision, 10)},
-		"hold_ms": {strconv.FormatInt(w.timeouts.hold.Milliseconds(), 10)},
+		queryRevision: {strconv.FormatInt(revision, 10)},
+		queryHold:     {strconv.FormatInt(times.hold.Milliseconds(), 10)},
 	}
-	timeout := w.timeouts.hold + w.timeouts.responseSlack
+	timeout := times.hold + times.responseSlack
 	return call{address: address, query: query, firstByteTimeout: timeout, timeout: timeout}
 }
 
@@ -51,46 +48,7 @@
 	return http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 }
 
-// get makes a call within its timeouts. Its errors are CallErrors; one of a timeout wraps context.DeadlineExceeded.
-func (w *Watcher) get(ctx context.Context, c call) (*membership.EndpointList, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
-	defer cancel()
-	ctx, cancelCause := context.WithCancelCause(ctx)
-	defer cancelCause(nil)
-	firstByteTimer := time.AfterFunc(c.firstByteTimeout, func() { cancelCause(context.DeadlineExceeded) })
-	defer firstByteTimer.Stop()
-	list, err := w.fetch(ctx, c, func() { firstByteTimer.Stop() })
-	if err != nil {
-		// The transport goes on with the connection of a cancelled call, and the next call would wait for it.
-		w.client.CloseIdleConnections()
-		return nil, &CallError{Address: c.address, Err: cmp.Or(context.Cause(ctx), err)}
-	}
-	return list, nil
-}
-
-// fetch makes a call and reads the list. It calls responseStarted once the head of the answer has come.
-func (w *Watcher) fetch(ctx context.Context, c call, responseStarted func()) (*membership.EndpointList, error) {
-	request, err := c.request(ctx)
-	if err != nil {
-		return nil, err
-	}
-	response, err := w.client.Do(request)
-	if err != nil {
-		return nil, err
-	}
-	responseStarted()
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
-	if err != nil {
-		return nil, err
-	}
-	if response.StatusCode != http.StatusOK {
-		return nil, &StatusError{Status: response.Status}
-	}
-	return c.parse(body)
-}
-
-// parse parses the list that answers the call.
+// parse returns the list in the body of the response. Its error is an IncompleteListError or one of package membership.
 func (c call) parse(body []byte) (*membership.EndpointList, error) {
 	list, err := membership.Parse(body)
 	if err != nil {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -12,29 +13,38 @@
 	"cindersaddle/internal/membership"
 )
 
-// eventRecorder is an observer that records each call as a recordedList or a recordedFailure.
-type eventRecorder chan any
+// event is one call of an Observer: of ListReceived, or of ListFailed if err is set.
+type event struct {
+	list    *membership.EndpointList
+	address string
+	err     error
+}
+
+// isList reports whether the event is a list of a revision.
+func (e event) isList(revision int64) bool { return e.list != nil && e.list.Revision == revision }
 
-func (r eventRecorder) ListReceived(l *membership.EndpointList, from string) {
-	r <- recordedList{l, from}
+// String describes the event for the message of a failed test.
+func (e event) String() string {
+	if e.err != nil {
+		return fmt.Sprintf("failed call: %v", e.err)
+	}
+	return fmt.Sprintf("list %+v from %s", *e.list, e.address)
 }
 
-func (r eventRecorder) ListFailed(err error) { r <- recordedFailure{err} }
+// eventRecorder is an observer that records each call.
+type eventRecorder chan event
 
-// recordedList is a call of ListReceived.
-type recordedList struct {
-	list *membership.EndpointList
-	from string
+func (r eventRecorder) ListReceived(list *membership.EndpointList, address string) {
+	r <- event{list: list, address: address}
 }
 
-// recordedFailure is a call of ListFailed.
-type recordedFailure struct{ err error }
+func (r eventRecorder) ListFailed(err error) { r <- event{err: err} }
 
 // listRecorder is an observer that records lists only.
-type listRecorder chan recordedList
+type listRecorder chan event
 
-func (r listRecorder) ListReceived(l *membership.EndpointList, from string) {
-	r <- recordedList{l, from}
+func (r listRecorder) ListReceived(list *membership.EndpointList, address string) {
+	r <- event{list: list, address: address}
 }
 
 func (r listRecorder) ListFailed(error) {}
@@ -89,11 +99,11 @@
 
 func (f roundTripFunc) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
-// unresponsiveTransport is a transport that accepts calls and answers none.
-type unresponsiveTransport struct{ calls chan time.Time }
+// unresponsiveTransport is a transport that accepts calls, sends the time of each, and responds to none.
+type unresponsiveTransport chan time.Time
 
-func (s unresponsiveTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	s.calls <- time.Now()
+func (t unresponsiveTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	t <- time.Now()
 	<-req.Context().Done()
 	return nil, req.Context().Err()
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -45,9 +45,9 @@
 					<-r.Context().Done()
 				}
 			}))
-			event, ok := sidecartest.Next(t, startWatcher(t, cfg)).(recordedList)
-			if !ok || event.list.Revision != 42 || len(event.list.Members) != 2 {
-				t.Errorf("got the event %+v, want revision 42 with 2 endpoints", event)
+			event := sidecartest.Next(t, startWatcher(t, cfg))
+			if !event.isList(42) || len(event.list.Members) != 2 {
+				t.Errorf("got the event %v, want revision 42 with 2 endpoints", event)
 			}
 		})
 	}
@@ -89,11 +89,11 @@
 				}
 			}))
 			events := startWatcher(t, cfg)
-			if event, ok := sidecartest.Next(t, events).(recordedFailure); !ok {
-				t.Fatalf("got the event %+v, want a failure", event)
+			if event := sidecartest.Next(t, events); event.err == nil {
+				t.Fatalf("got the event %v, want a failure", event)
 			}
-			if event, ok := sidecartest.Next(t, events).(recordedList); !ok || event.list.Revision != 42 || len(event.list.Members) != 1 {
-				t.Errorf("then got the event %+v, want revision 42 with 1 endpoint", event)
+			if event := sidecartest.Next(t, events); !event.isList(42) || len(event.list.Members) != 1 {
+				t.Errorf("then got the event %v, want revision 42 with 1 endpoint", event)
 			}
 		})
 	}
--- a/internal/discovery/unresponsive_test.go
+++ b/internal/discovery/unresponsive_test.go
@@ -23,8 +23,8 @@
 	events := startWatcher(t, cfg)
 	sidecartest.Next(t, server.Queries)
 	start := time.Now()
-	if event, ok := sidecartest.Next(t, events).(recordedFailure); !ok {
-		t.Errorf("got the event %#v, want a failure", event)
+	if event := sidecartest.Next(t, events); event.err == nil {
+		t.Errorf("got the event %v, want a failure", event)
 	}
 	if took := time.Since(start); took > sidecartest.Timeout/2 {
 		t.Errorf("the failure was reported after %v, want at most %v", took, sidecartest.Timeout/2)
@@ -47,7 +47,7 @@
 				cfg.Balance.PolledDiscovery, cfg.KnownEndpoints.Complete = false, test.synced
 				watcher := NewWatcher(cfg, ignoringObserver{})
 				calls := make(chan time.Time)
-				watcher.client.Transport = unresponsiveTransport{calls}
+				watcher.client.http.Transport = unresponsiveTransport(calls)
 				stop := run(t.Context(), watcher)
 				first := <-calls
 				if took := (<-calls).Sub(first); took >= test.within {
@@ -71,10 +71,10 @@
 				events := make(eventRecorder, 10)
 				watcher := NewWatcher(cfg, events)
 				calls := make(chan string, 10)
-				unanswered := 2
-				watcher.client.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
+				unresponsive := 2
+				watcher.client.http.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 					calls <- req.URL.RawQuery
-					if unanswered--; unanswered >= 0 {
+					if unresponsive--; unresponsive >= 0 {
 						<-req.Context().Done()
 						return nil, req.Context().Err()
 					}
@@ -87,7 +87,7 @@
 				start := time.Now()
 				stop := run(t.Context(), watcher)
 				for event := range events {
-					if _, ok := event.(recordedList); ok {
+					if event.list != nil {
 						break
 					}
 					if polled {
@@ -117,7 +117,7 @@
 		watcher := NewWatcher(cfg, ignoringObserver{})
 		calls := make(chan time.Duration) // how long none was open before each one
 		var ended time.Time
-		watcher.client.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
+		watcher.client.http.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 			gap := time.Duration(0)
 			if !ended.IsZero() {
 				gap = time.Since(ended)
@@ -161,7 +161,7 @@
 					stop := run(ctx, watcher)
 					watcher.RequestWatch()
 					for event := range events {
-						if _, ok := event.(recordedList); ok {
+						if event.list != nil {
 							break
 						}
 						watcher.RequestWatch() // as the balancer does in the end
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -58,8 +58,8 @@
 		t.Errorf("the call after the older revision has the query %q, want none", got)
 	}
 	server.Lists <- membership.EndpointList{Revision: 2, Complete: true}
-	if event, ok := sidecartest.Next(t, events).(recordedList); !ok || !event.list.Complete {
-		t.Errorf("got the event %#v, want the complete list", event)
+	if event := sidecartest.Next(t, events); event.list == nil || !event.list.Complete {
+		t.Errorf("got the event %v, want the complete list", event)
 	}
 }
 
@@ -106,7 +106,7 @@
 			}))
 			events := startWatcher(t, cfg)
 			sidecartest.Next(t, calls)
-			if _, ok := sidecartest.Next(t, events).(recordedFailure); !ok {
+			if event := sidecartest.Next(t, events); event.err == nil {
 				t.Error("the first event is not that of a failed call")
 			}
 			if pushed {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,79 +1,70 @@
-// Package discovery follows the list of endpoints. A Watcher makes HTTP calls to one address and reports each list, and
-// each failed call, to an Observer.
-//
-// There are two forms of discovery. An agent on the same machine has the list pushed to it: it answers at once, and is
-// followed from the start. A discovery service is polled: calls wait there in turn with those of other sidecars, and
-// the balancer decides when to poll. In both forms a call that names a revision is a watch, which the other side may
-// hold until there is a newer list.
-//
-// Run is the only goroutine of a Watcher and owns the revision, synced and watchBroken fields. RequestWatch and
-// SetAddress may be called from any goroutine; a mutex guards the address.
 package discovery
 
 import (
 	"context"
 	"net"
-	"net/http"
-	"sync"
 
 	"cindersaddle/internal/config"
 	"cindersaddle/internal/membership"
+	"cindersaddle/internal/timing"
 )
 
 // Observer receives what a Watcher learns, on the goroutine of Run.
 type Observer interface {
 	// ListReceived receives a valid list, complete or of changes, from an address of discovery.
-	ListReceived(list *membership.EndpointList, from string)
+	ListReceived(list *membership.EndpointList, address string)
 	// ListFailed receives the error of a failed call, which is a *CallError.
 	ListFailed(err error)
 }
 
+// mode is the form of discovery.
+type mode int
+
+const (
+	agentMode  mode = iota // an agent on this machine, to which the list is pushed
+	polledMode             // a service that is called when the balancer requests it
+)
+
 // Watcher follows the list of endpoints at one address of discovery at a time.
 type Watcher struct {
 	// Dial opens the connections to discovery. It may be replaced until Run is called.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	client    *http.Client
-	agent     bool // the address is that of an agent, to which the list is pushed
+	mode      mode
 	timeouts  timeouts
-	requested chan struct{} // holds one element while the balancer waits for a watch to start
+	client    *client
 	observer  Observer
+	address   currentAddress
+	requested chan struct{} // holds one element while the balancer waits for a watch to start
 
-	revision    int64 // of the latest list
-	synced      bool  // there is a list, of this revision, which may be 0
-	watchBroken bool  // the last watch failed: only the complete list contains what it missed
+	// The fields below are Run's.
 
-	mu          sync.Mutex
-	address     string
-	cancelCalls context.CancelFunc // ends the calls to address; nil before Run
+	list           listState
+	addressChanged bool // since the start
 }
 
 // NewWatcher returns a watcher of the configured address, which starts from the list that the configuration knows.
 func NewWatcher(cfg *config.Config, observer Observer) *Watcher {
-	agent := !cfg.Balance.PolledDiscovery
 	w := &Watcher{
-		address:     cfg.Discovery,
-		synced:      cfg.KnownEndpoints.Complete,
-		revision:    cfg.KnownEndpoints.Revision,
-		agent:       agent,
-		timeouts:    newTimeouts(agent, cfg.Balance.DrainGrace),
-		requested:   make(chan struct{}, 1),
-		observer:    observer,
-		Dial:        (&net.Dialer{}).DialContext,
-		watchBroken: agent, // a new process has no watch open, and the agent may be unresponsive
+		Dial:      (&net.Dialer{}).DialContext,
+		mode:      polledMode,
+		timeouts:  polledTimeouts(),
+		observer:  observer,
+		address:   currentAddress{address: cfg.Discovery},
+		requested: make(chan struct{}, 1),
+		list:      listState{revision: cfg.KnownEndpoints.Revision, synced: cfg.KnownEndpoints.Complete},
+	}
+	if !cfg.Balance.PolledDiscovery {
+		w.mode = agentMode
+		w.timeouts = agentTimeouts(timing.Milliseconds(cfg.Balance.DrainGrace))
+		w.list.watchBroken = true // a new process has no watch open, and the agent may be unresponsive
 	}
-	w.client = &http.Client{Transport: &http.Transport{
-		MaxConnsPerHost: 1,
-		MaxIdleConns:    1,
-		DialContext:     w.dialContext,
-	}}
+	w.client = newClient(w.dial, w.timeouts.dial())
 	return w
 }
 
-// dialContext opens a connection for a call. The transport does so independently of that call and its timeout.
-func (w *Watcher) dialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.timeouts.dial())
-	defer cancel()
+// dial opens a connection by Dial, which may be another one than when the client was built.
+func (w *Watcher) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return w.Dial(ctx, network, address)
 }
 
@@ -86,26 +77,5 @@
 	}
 }
 
-// SetAddress switches to another address at once: open calls to the old one are cancelled and their lists dropped.
-func (w *Watcher) SetAddress(address string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if address == w.address {
-		return
-	}
-	w.address = address
-	if w.cancelCalls != nil {
-		w.cancelCalls()
-	}
-}
-
-// currentAddress returns the present address and a context that is cancelled when it changes.
-func (w *Watcher) currentAddress(ctx context.Context) (context.Context, string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.cancelCalls != nil {
-		w.cancelCalls()
-	}
-	ctx, w.cancelCalls = context.WithCancel(ctx)
-	return ctx, w.address
-}
+// SetAddress switches to another address at once: open calls to the previous one are cancelled and their lists dropped.
+func (w *Watcher) SetAddress(address string) { w.address.set(address) }
