--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -77,7 +77,7 @@
 
 // takeOver gets the state and the listener of the process that serves now, if there is one.
 func (env *environment) takeOver(cfg *config.Config, log *slog.Logger) {
-	state, err := env.upgrade.RequestState()
+	state, listener, err := env.upgrade.RequestState()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -86,7 +86,7 @@
 		return
 	}
 	env.predecessor = state
-	env.clients = env.upgrade.PredecessorListener()
+	env.clients = listener
 	cfg.UsePredecessor(state.Discovery, state.List)
 	log.Info("taking over", "endpoints", len(state.List.Members), "revision", state.List.Revision)
 }
@@ -201,8 +201,8 @@
 		tasks.Go(func() { server.Serve(ctx, s.env.admin, s.log) })
 	}
 	if s.env.upgrade != nil {
-		s.env.upgrade.Attach(s.env.clients, s.applyLimits)
-		tasks.Go(func() { s.env.upgrade.Run(ctx, s.loop.ExportState) })
+		process := upgrade.Process{Listener: s.env.clients, ExportState: s.loop.ExportState, CountChanged: s.applyLimits}
+		tasks.Go(func() { s.env.upgrade.Run(ctx, process) })
 	}
 }
 
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -27,23 +27,24 @@
 	}
 	cfg := &config.Config{Listen: "127.0.0.1:1", AdminListen: "x", ScratchDir: dir}
 	handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
-	processes := make(chan int, 10)
-	handover.processCountChanged = func(n int) { processes <- n }
+	counts := make(chan int, 10)
+	process := newProcess(cfg, nil)
+	process.CountChanged = func(processes int) { counts <- processes }
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
-		handover.Run(ctx, func() (*State, error) { return &State{Version: StateVersion, Listen: cfg.Listen}, nil })
+		handover.Run(ctx, process)
 		close(done)
 	}()
 	for range 2 {
 		successor := NewHandover(cfg, slog.New(slog.DiscardHandler))
-		sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := successor.RequestState(); return err == nil })
-		if got := sidecartest.Next(t, processes); got != 2 || !handover.Succeeded() {
-			t.Errorf("%d processes, succeeded: %v", got, handover.Succeeded())
+		requestState(t, successor)
+		if got := sidecartest.Next(t, counts); got != 2 || !hasSuccessor(handover) {
+			t.Errorf("%d processes, has a successor: %v", got, hasSuccessor(handover))
 		}
 		successor.predecessor.Close()
-		if got := sidecartest.Next(t, processes); got != 1 || handover.Succeeded() {
-			t.Errorf("after the successor's end: %d processes, succeeded: %v", got, handover.Succeeded())
+		if got := sidecartest.Next(t, counts); got != 1 || hasSuccessor(handover) {
+			t.Errorf("after the successor's end: %d processes, has a successor: %v", got, hasSuccessor(handover))
 		}
 	}
 	cancel()
@@ -59,14 +60,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		defer close(done)
-		handover.Run(ctx, func() (*State, error) { return &State{Version: StateVersion, Listen: cfg.Listen}, nil })
+		handover.Run(ctx, newProcess(cfg, nil))
 	}()
-	time.Sleep(50 * time.Millisecond) // the first try fails
+	time.Sleep(50 * time.Millisecond) // the first attempt fails
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	successor := NewHandover(cfg, slog.New(slog.DiscardHandler))
-	sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := successor.RequestState(); return err == nil })
+	requestState(t, successor)
 	successor.predecessor.Close()
 	cancel()
 	sidecartest.Next(t, done)
@@ -78,14 +79,13 @@
 	listener := sidecartest.Listen(t)
 	cfg := &config.Config{Listen: listener.Addr().String(), AdminListen: "x", ScratchDir: t.TempDir()}
 	handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
-	handover.listener = listener
-	runUntilCleanup(t, handover, func() (*State, error) { return &State{Version: StateVersion, Listen: cfg.Listen}, nil })
+	runUntilCleanup(t, handover, newProcess(cfg, listener))
 	successor := NewHandover(cfg, handover.log)
-	sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := successor.RequestState(); return err == nil })
-	if successor.listener == nil {
+	shared := requestState(t, successor)
+	if shared == nil {
 		t.Fatal("no listener came with the state")
 	}
-	defer successor.listener.Close()
+	defer shared.Close()
 	defer successor.predecessor.Close()
 	waiting, err := net.Dial("tcp", cfg.Listen)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	defer late.Close()
 	for _, c := range []net.Conn{waiting, late} {
-		got, err := successor.listener.Accept()
+		got, err := shared.Accept()
 		if err != nil || got.RemoteAddr().String() != c.LocalAddr().String() {
 			t.Errorf("accepted %v, error %v", got, err)
 		}
@@ -113,15 +113,15 @@
 	handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
 	done := make(chan bool)
 	go func() {
-		handover.Run(t.Context(), func() (*State, error) { return &State{Version: StateVersion, Listen: cfg.Listen}, nil })
+		handover.Run(t.Context(), newProcess(cfg, nil))
 		close(done)
 	}()
 	successor := NewHandover(cfg, slog.New(slog.DiscardHandler))
-	sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := successor.RequestState(); return err == nil })
+	requestState(t, successor)
 	handover.Retire()
 	successor.predecessor.Close()
 	sidecartest.Next(t, done)
-	if _, err := NewHandover(cfg, handover.log).RequestState(); err == nil {
+	if _, _, err := NewHandover(cfg, handover.log).RequestState(); err == nil {
 		t.Error("the retired process took the socket back")
 	}
 }
@@ -131,19 +131,20 @@
 func TestTwoSuccessorsAtOnce(t *testing.T) {
 	cfg := &config.Config{Listen: "127.0.0.1:1", AdminListen: "x", ScratchDir: t.TempDir()}
 	handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
-	processes := make(chan int, 10)
-	handover.processCountChanged = func(n int) { processes <- n }
-	runUntilCleanup(t, handover, func() (*State, error) { return &State{Version: StateVersion, Listen: cfg.Listen}, nil })
+	counts := make(chan int, 10)
+	process := newProcess(cfg, nil)
+	process.CountChanged = func(processes int) { counts <- processes }
+	runUntilCleanup(t, handover, process)
 	successors := make([]*Handover, 2)
 	for i := range successors {
 		successors[i] = NewHandover(cfg, handover.log)
-		sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := successors[i].RequestState(); return err == nil })
-		if got := sidecartest.Next(t, processes); got != i+2 {
+		requestState(t, successors[i])
+		if got := sidecartest.Next(t, counts); got != i+2 {
 			t.Errorf("with successor %d there are %d processes", i+1, got)
 		}
 	}
 	successors[0].predecessor.Close()
-	if got := sidecartest.Next(t, processes); got != 2 || !handover.Retire() {
+	if got := sidecartest.Next(t, counts); got != 2 || !handover.Retire() {
 		t.Errorf("after the end of one successor there are %d processes", got)
 	}
 	successors[1].predecessor.Close()
@@ -157,24 +158,23 @@
 			listener := sidecartest.Listen(t)
 			cfg := &config.Config{Listen: listener.Addr().String(), AdminListen: "x", ScratchDir: t.TempDir()}
 			handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
-			handover.listener = listener
 			successor := NewHandover(cfg, handover.log)
-			succeeded, err := retireDuringHandover(t, handover, successor, retireFirst)
-			if retireFirst != (err != nil) || succeeded != (err == nil) {
-				t.Fatalf("the successor's request: error %v; the process has a successor: %v", err, succeeded)
+			outcome := retireDuringHandover(t, handover, successor, newProcess(cfg, listener), retireFirst)
+			if retireFirst != (outcome.err != nil) || outcome.succeeded != (outcome.err == nil) {
+				t.Fatalf("the successor's request: error %v; the process has a successor: %v", outcome.err, outcome.succeeded)
 			}
-			if err != nil {
+			if outcome.err != nil {
 				return
 			}
 			defer successor.predecessor.Close()
-			defer successor.listener.Close()
-			drain(t, listener, succeeded)
+			defer outcome.listener.Close()
+			drain(t, listener, outcome.succeeded)
 			conn, err := net.Dial("tcp", cfg.Listen)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			got, err := successor.listener.Accept()
+			got, err := outcome.listener.Accept()
 			if err != nil || got.RemoteAddr().String() != conn.LocalAddr().String() {
 				t.Errorf("the successor accepted %v, error %v", got, err)
 			}
@@ -182,28 +182,40 @@
 	}
 }
 
-// retireDuringHandover retires a process before the successor requests its state, or while it exports that. It returns
-// what Retire returned and the error of the request.
-func retireDuringHandover(t *testing.T, handover, successor *Handover, retireFirst bool) (succeeded bool, err error) {
+// retirement is the outcome of a process that retires while a successor requests its state.
+type retirement struct {
+	succeeded bool         // what Retire returned
+	listener  net.Listener // what the successor received
+	err       error        // of the request
+}
+
+// retireDuringHandover retires a process before the successor requests its state, or while it exports that.
+func retireDuringHandover(t *testing.T, handover, successor *Handover, process Process, retireFirst bool) (outcome retirement) {
 	t.Helper()
 	exporting, release := make(chan bool), make(chan bool)
-	runUntilCleanup(t, handover, func() (*State, error) {
+	exportState := process.ExportState
+	process.ExportState = func() (*State, error) {
 		exporting <- true
 		<-release
-		return &State{Version: StateVersion, Listen: handover.listen}, nil
-	})
+		return exportState()
+	}
+	runUntilCleanup(t, handover, process)
 	sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := os.Stat(handover.SocketPath()); return err == nil })
 	if retireFirst {
-		succeeded = handover.Retire()
+		outcome.succeeded = handover.Retire()
 	}
-	requested := make(chan error, 1)
-	go func() { _, err := successor.RequestState(); requested <- err }()
+	requested := make(chan bool)
+	go func() {
+		_, outcome.listener, outcome.err = successor.RequestState()
+		close(requested)
+	}()
 	if !retireFirst {
 		sidecartest.Next(t, exporting)
-		succeeded = handover.Retire()
+		outcome.succeeded = handover.Retire()
 		close(release)
 	}
-	return succeeded, sidecartest.Next(t, requested)
+	sidecartest.Next(t, requested)
+	return outcome
 }
 
 // drain drains a listener as the sidecar does after Retire, and returns when it accepts no more.
@@ -230,13 +242,15 @@
 	} {
 		cfg := &config.Config{Listen: "127.0.0.1:1", AdminListen: "x", ScratchDir: t.TempDir()}
 		handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
+		process := newProcess(cfg, nil)
+		process.ExportState = func() (*State, error) { return &state, nil }
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan bool)
-		go func() { handover.Run(ctx, func() (*State, error) { return &state, nil }); close(done) }()
+		go func() { handover.Run(ctx, process); close(done) }()
 		successor := NewHandover(cfg, slog.New(slog.DiscardHandler))
 		var err error
 		sidecartest.WaitFor(t, "the socket is there", func() bool {
-			_, err = successor.RequestState()
+			_, _, err = successor.RequestState()
 			return !errors.Is(err, os.ErrNotExist)
 		})
 		if err == nil {
@@ -247,15 +261,42 @@
 	}
 }
 
+// requestState requests the state of the predecessor until it comes, and returns the listener that comes with it.
+func requestState(t *testing.T, successor *Handover) (shared net.Listener) {
+	t.Helper()
+	sidecartest.WaitFor(t, "the socket is there", func() bool {
+		var err error
+		_, shared, err = successor.RequestState()
+		return err == nil
+	})
+	return shared
+}
+
+// newProcess returns a process that shares a listener, or none if that is nil, and a state without endpoints.
+func newProcess(cfg *config.Config, listener net.Listener) Process {
+	return Process{
+		Listener:     listener,
+		ExportState:  func() (*State, error) { return &State{Version: StateVersion, Listen: cfg.Listen}, nil },
+		CountChanged: func(int) {},
+	}
+}
+
+// hasSuccessor reports whether another process has taken over and runs.
+func hasSuccessor(handover *Handover) bool {
+	handover.processes.mu.Lock()
+	defer handover.processes.mu.Unlock()
+	return handover.processes.successors > 0
+}
+
 // runUntilCleanup runs a handover until the end of the test, and waits for its end before the directory of the socket is removed:
 // it may be opening the socket again.
-func runUntilCleanup(t *testing.T, handover *Handover, exportState func() (*State, error)) {
+func runUntilCleanup(t *testing.T, handover *Handover, process Process) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() {
 		defer close(done)
-		handover.Run(ctx, exportState)
+		handover.Run(ctx, process)
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/upgrade/listener.go
+++ b/internal/upgrade/listener.go
@@ -16,22 +16,19 @@
 // lost when the predecessor stops, as would be any whose handshake crosses the close of a listener of its own. Where the
 // descriptor cannot be sent, the version goes alone.
 func sendListener(conn *net.UnixConn, listener net.Listener) error {
-	var rights []byte
-	sent := false
-	err := errors.ErrUnsupported
-	send := func() {
-		_, _, err = conn.WriteMsgUnix([]byte{StateVersion}, rights, nil)
-		sent = true
-	}
+	err := errors.ErrUnsupported // of a listener without a descriptor
 	socket.Control(listener, func(descriptor uintptr) {
-		rights = syscall.UnixRights(int(descriptor))
-		send()
+		err = sendVersion(conn, syscall.UnixRights(int(descriptor)))
 	})
-	rejected := err != nil && len(rights) > 0
-	if !sent || rejected {
-		rights = nil
-		send()
+	if err != nil {
+		return sendVersion(conn, nil)
 	}
+	return nil
+}
+
+// sendVersion sends the version together with a control message, which may be empty.
+func sendVersion(conn *net.UnixConn, control []byte) error {
+	_, _, err := conn.WriteMsgUnix([]byte{StateVersion}, control, nil)
 	return err
 }
 
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -1,7 +1,6 @@
 package upgrade
 
 import (
-	"bufio"
 	"context"
 	"encoding/gob"
 	"errors"
@@ -15,10 +14,10 @@
 // acceptRetryDelay is the pause after the socket fails to accept a connection.
 const acceptRetryDelay = StateTimeout
 
-// acceptSuccessors sends the state to successors until ctx ends, or until one has come and gone: then the path of the
+// acceptSuccessors sends the state to successors until ctx is done, or until one has come and gone: then the path of the
 // socket has to be taken back from it.
 func (h *Handover) acceptSuccessors(
-	ctx context.Context, listener *net.UnixListener, exportState func() (*State, error), tasks *sync.WaitGroup,
+	ctx context.Context, listener *net.UnixListener, process *Process, tasks *sync.WaitGroup,
 ) {
 	defer listener.Close()
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -32,71 +31,42 @@
 			return
 		}
 		tasks.Go(func() {
-			if h.serveSuccessor(ctx, conn, exportState) {
+			if h.serveSuccessor(ctx, conn, process) {
 				listener.Close()
 			}
 		})
 	}
 }
 
-// serveSuccessor sends the state to one successor and keeps the connection as long as that runs. It reports whether a
-// successor has come and gone.
-func (h *Handover) serveSuccessor(
-	ctx context.Context, conn *net.UnixConn, exportState func() (*State, error),
-) bool {
+// serveSuccessor sends the state to one successor and keeps the connection open as long as that runs. It reports whether
+// a successor has come and gone.
+func (h *Handover) serveSuccessor(ctx context.Context, conn *net.UnixConn, process *Process) bool {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	conn.SetDeadline(time.Now().Add(predecessorTimeout))
-	if !receiveGreeting(conn) || !h.addSuccessor() {
+	if !receiveGreeting(conn) || !h.processes.addSuccessor() {
 		return false
 	}
-	if err := h.sendState(conn, exportState); err != nil {
+	defer h.processes.removeSuccessor()
+	if err := sendState(conn, process); err != nil {
 		h.log.Warn("nothing was handed over", "error", err)
-		h.removeSuccessor()
 		return false
 	}
 	conn.SetDeadline(time.Time{})
 	h.log.Info("another process takes over")
 	waitClosed(conn)
-	h.removeSuccessor()
 	return ctx.Err() == nil
 }
 
-// receiveGreeting reports whether the other side is a sidecar that takes over.
-func receiveGreeting(conn net.Conn) bool {
-	line, err := bufio.NewReaderSize(conn, 2*len(greeting)).ReadSlice('\n')
-	return err == nil && string(line) == greeting
-}
-
 // sendState sends the listener and the state.
-func (h *Handover) sendState(conn *net.UnixConn, exportState func() (*State, error)) error {
-	state, err := exportState()
+func sendState(conn *net.UnixConn, process *Process) error {
+	state, err := process.ExportState()
 	if err != nil {
 		return err
 	}
-	if err := sendListener(conn, h.listener); err != nil {
+	if err := sendListener(conn, process.Listener); err != nil {
 		return err
 	}
 	return gob.NewEncoder(conn).Encode(state)
 }
-
-// Retire marks the end of this process and reports whether another one has taken over; from then on none can. When a
-// successor dies later, the socket is left to the successor's own successor, or to nobody. A nil Handover has no
-// successor.
-func (h *Handover) Retire() (succeeded bool) {
-	if h == nil {
-		return false
-	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.retired.Store(true)
-	return h.successors > 0
-}
-
-// Succeeded reports whether another process has taken over and runs.
-func (h *Handover) Succeeded() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.successors > 0
-}
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -13,29 +13,27 @@
 // maxStateBytes bounds the encoded state that a successor reads.
 const maxStateBytes = 4 << 20
 
-// RequestState requests the state of the process that serves now. The error is an os.ErrNotExist where there is no
-// socket, that is, no predecessor. It must be called before Run, once.
-func (h *Handover) RequestState() (*State, error) {
-	conn, err := h.dialUnix()
+// RequestState requests the state of the process that serves now, and its listener at the clients' address, which is nil
+// where that could not be shared. The error is an os.ErrNotExist where there is no socket, that is, no predecessor. It
+// must be called before Run, once.
+func (h *Handover) RequestState() (*State, net.Listener, error) {
+	conn, err := h.socket.dial()
 	if err != nil {
-		return nil, fmt.Errorf("take over: %w", err)
+		return nil, nil, fmt.Errorf("take over: %w", err)
 	}
-	listener, state, err := receiveHandover(conn, h.listen)
+	state, listener, err := receiveHandover(conn, h.listen)
 	if err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("take over: %w", err)
+		return nil, nil, fmt.Errorf("take over: %w", err)
 	}
-	h.mu.Lock()
 	h.predecessor = conn
-	h.listener = listener
-	h.mu.Unlock()
-	return state, nil
+	return state, listener, nil
 }
 
-// receiveHandover greets the predecessor and receives its listener, or nil, and its state.
-func receiveHandover(conn *net.UnixConn, listen string) (net.Listener, *State, error) {
+// receiveHandover greets the predecessor and receives its state and its listener, or nil.
+func receiveHandover(conn *net.UnixConn, listen string) (*State, net.Listener, error) {
 	conn.SetDeadline(time.Now().Add(predecessorTimeout))
-	if _, err := io.WriteString(conn, greeting); err != nil {
+	if err := sendGreeting(conn); err != nil {
 		return nil, nil, err
 	}
 	listener, err := receiveListener(conn, listen)
@@ -50,7 +48,7 @@
 		return nil, nil, err
 	}
 	conn.SetDeadline(time.Time{})
-	return listener, state, nil
+	return state, listener, nil
 }
 
 // receiveState reads the state and checks that it is for this version and for the clients' address listen.
@@ -71,20 +69,17 @@
 	return state, nil
 }
 
-// watchPredecessor counts the predecessor, if there is one, until it has ended. The connection is closed when ctx ends,
-// unless stop was called before.
+// watchPredecessor counts the predecessor, if there is one, until it has ended. The connection is closed when ctx is
+// done, unless stop was called before.
 func (h *Handover) watchPredecessor(ctx context.Context, tasks *sync.WaitGroup) (stop func() bool) {
-	h.mu.Lock()
-	predecessor := h.predecessor
-	h.mu.Unlock()
-	if predecessor == nil {
+	if h.predecessor == nil {
 		return func() bool { return false }
 	}
-	h.notifyProcessCount()
-	stop = context.AfterFunc(ctx, func() { predecessor.Close() })
+	h.processes.addPredecessor()
+	stop = context.AfterFunc(ctx, func() { h.predecessor.Close() })
 	tasks.Go(func() {
-		waitClosed(predecessor)
-		h.removePredecessor()
+		waitClosed(h.predecessor)
+		h.processes.removePredecessor()
 	})
 	return stop
 }
