--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,7 +1,5 @@
 package balance
 
-import "math"
-
 const (
 	// queueingAllowance is the part of the latency objective, beyond the quickest answers, that queueing may
 	// take. Above it, load is shed.
@@ -59,7 +57,7 @@
 	threshold := b.shedThreshold()
 	// What was measured during an overload loses its weight when no answers arrive.
 	lifetime := max(answerRateObjectives*b.longestObjective, errorHalfLife)
-	recency := math.Exp((b.lastAnswerAt - b.now) / lifetime)
+	recency := decay(b.now-b.lastAnswerAt, lifetime)
 	excess := min(b.expectedLatencyRatio(threshold, recency), maxLatencyRatio) - threshold
 	b.updateSteadyShed(excess, recency)
 	// The limit relative to the steady fraction keeps one chance deviation from shedding load.
@@ -81,13 +79,13 @@
 	}
 	// Overdue attempts are no load while answers are quick.
 	overdueLoad := b.overdueLoad * clamp(4*(recentRatio/threshold-1), 0, 1)
-	priorLoad := priorRatio * priorAnswers / answerRateObjectives / b.longestObjective
+	priorLoad := priorRatio * priorAnswers / answerRateObjectives / float64(b.longestObjective)
 	return (b.inFlightLoad() + overdueLoad + priorLoad) / b.answerRate(0, priorAnswers)
 }
 
 // updateSteadyShed moves the fraction of the load that is shed steadily by the excess latency ratio.
 func (b *Balancer) updateSteadyShed(excess, recency float64) {
-	elapsed := (b.now - b.lastAdmissionAt) / steadyShedObjectives / b.longestObjective
+	elapsed := float64((b.now - b.lastAdmissionAt) / steadyShedObjectives / b.longestObjective)
 	gain := clamp(elapsed, minSteadyShedGain, maxSteadyShedGain)
 	b.lastAdmissionAt = b.now
 	limit := min(maxShedFraction, shedPerLateAnswer*b.lateFraction*recency)
@@ -130,7 +128,7 @@
 	totalWork, lowerWork, equalWork := 0.0, 0.0, 1e-3 // all, and that of lower and of equal value
 	for _, class := range b.classes {
 		for _, tenant := range b.tenants {
-			work := class.count * class.meanLatency * tenant.count
+			work := class.count * float64(class.meanLatency) * tenant.count
 			totalWork += work
 			value := b.valuePerWork(class, tenant, totalRequests)
 			if value*equalValueFactor < ownValue {
@@ -145,7 +143,7 @@
 
 // valuePerWork returns what a tenant's answers of a class earn per millisecond of latency.
 func (b *Balancer) valuePerWork(class *classStats, tenant *requestCounter, totalRequests float64) float64 {
-	return class.priorityWeight * b.quotaFactor(tenant, totalRequests) / max(class.meanLatency, 1e-3)
+	return class.priorityWeight * b.quotaFactor(tenant, totalRequests) / max(float64(class.meanLatency), 1e-3)
 }
 
 // quotaFactor returns the factor of a tenant's priority that follows from its part of this sidecar's
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -128,9 +128,10 @@
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].LateWeight = 0.3
 	for _, c := range []struct {
-		name            string
-		shed, remaining float64
-		rejected        bool
+		name      string
+		shed      float64
+		remaining Milliseconds
+		rejected  bool
 	}{
 		{"objective of 300 ms passed after 500 ms", 0.5, 1000, true},
 		{"load to shed below the weight of a late response", 0.2, 1000, false},
@@ -249,7 +250,7 @@
 	}
 	for _, s := range h.b.endpoints {
 		if s.ID != at {
-			s.lastSendAt = math.Inf(1) // the connections to the others were closed
+			s.lastSendAt = never // the connections to the others were closed
 		}
 	}
 	h.now += 100
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -111,7 +111,7 @@
 		return
 	}
 	attempt.countedAsLoad = true
-	attempt.endpoint.inFlightLoad += 1 / req.class.LatencyObjective
+	attempt.endpoint.inFlightLoad += 1 / float64(req.class.LatencyObjective)
 }
 
 // removeLoad removes an attempt from the load that it is counted in.
@@ -123,12 +123,12 @@
 		b.moveToOverdueLoad(req, attempt, -1)
 	}
 	attempt.countedAsLoad = false
-	attempt.endpoint.inFlightLoad -= 1 / req.class.LatencyObjective
+	attempt.endpoint.inFlightLoad -= 1 / float64(req.class.LatencyObjective)
 }
 
 // moveToOverdueLoad moves attempts of a request from the endpoint's load to the overdue load, which may be
 // lost. A negative count moves them back.
 func (b *Balancer) moveToOverdueLoad(req *request, attempt *attempt, count float64) {
-	attempt.endpoint.inFlightLoad -= count / req.class.LatencyObjective
-	b.overdueLoad += count / req.class.LatencyObjective
+	attempt.endpoint.inFlightLoad -= count / float64(req.class.LatencyObjective)
+	b.overdueLoad += count / float64(req.class.LatencyObjective)
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 )
 
 // Tokens of timers. Requests use their ID, which is below 2^52.
@@ -73,7 +72,7 @@
 		rotationLevel:   1,
 	}
 	b.applyConfig(cfg, nil, nil)
-	b.timePerInFlight = initialLatencyRatio * b.longestObjective
+	b.timePerInFlight = b.longestObjective.scaled(initialLatencyRatio)
 	b.timePerInFlightSamples = 1
 	return b
 }
@@ -150,7 +149,7 @@
 	if req == nil {
 		return
 	}
-	req.nextTimerAt = math.Inf(1)
+	req.nextTimerAt = never
 	b.advance(req)
 }
 
@@ -178,9 +177,6 @@
 	return (state ^ state>>31) >> 11
 }
 
-// clamp returns the value within [low, high] that is nearest to value.
-func clamp(value, low, high float64) float64 { return max(low, min(high, value)) }
-
 func (b *Balancer) logf(format string, args ...any) {
 	b.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -16,7 +16,7 @@
 		s, _ := sendTarget(actions)
 		hits[s]++
 		h.now += 5
-		h.finishAttempt(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
+		h.finishAttempt(id, 0, OK, map[bool]Milliseconds{true: 20, false: 40}[s > 2])
 	}
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
@@ -33,13 +33,13 @@
 	for i := range list {
 		list[i].MachineType, list[i].Zone = i%2, 0
 	}
-	for _, gap := range []float64{10, 600} {
+	for _, gap := range []Milliseconds{10, 600} {
 		t.Run(fmt.Sprintf("a request each %v ms", gap), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), list...)
 			for end := h.now + 10000; h.now < end; h.now += gap {
 				id, actions := h.request(idempotentClass)
 				if s, ok := sendTarget(actions); ok {
-					h.finishAttempt(id, 0, OK, []float64{100, 50}[h.b.endpointsByID[s].MachineType])
+					h.finishAttempt(id, 0, OK, []Milliseconds{100, 50}[h.b.endpointsByID[s].MachineType])
 				}
 			}
 			if fast, slow := h.b.machineTypes[1].factor, h.b.machineTypes[0].factor; fast < 1.2*slow {
--- a/balance/classhealth.go
+++ b/balance/classhealth.go
@@ -1,7 +1,5 @@
 package balance
 
-import "math"
-
 const (
 	// classScoreLifetime is the time constant of a class's score at an endpoint. It is long because classes
 	// with little traffic reach an endpoint rarely.
@@ -40,7 +38,7 @@
 }
 
 func (b *Balancer) scoreDecay(score classScore) float64 {
-	return math.Exp((score.updatedAt - b.now) / classScoreLifetime)
+	return decay(b.now-score.updatedAt, classScoreLifetime)
 }
 
 // updateMeanScore computes the mean score of a failing class over all endpoints.
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -9,8 +9,3 @@
 //
 // All points in time and durations are of type [Milliseconds].
 package balance
-
-// Milliseconds is a point in time or a duration, in milliseconds. It is an alias, so that arithmetic with
-// factors and rates needs no conversions. The caller chooses the epoch of points in time; they must not
-// decrease.
-type Milliseconds = float64
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -1,7 +1,5 @@
 package balance
 
-import "math"
-
 const (
 	// errorHalfLife is the time in which errors lose half of their weight: failures last seconds, not
 	// minutes.
@@ -38,7 +36,7 @@
 	if ep.consecutiveErrors == 0 {
 		return 1
 	}
-	effective := float64(ep.consecutiveErrors) * math.Exp(-math.Ln2*(b.now-ep.lastErrorAt)/errorHalfLife)
+	effective := float64(ep.consecutiveErrors) * halved(b.now-ep.lastErrorAt, errorHalfLife)
 	return clamp(1-errorPenalty*effective, minHealth, 1)
 }
 
@@ -59,7 +57,7 @@
 // eject takes an endpoint out of the rotation. Each consecutive ejection lasts twice as long as the one
 // before.
 func (b *Balancer) eject(ep *endpoint) {
-	ep.ejectedUntil = b.now + b.longestObjective*backoffFactor(ep.ejections, maxEjectionDoublings)
+	ep.ejectedUntil = b.now + b.longestObjective.scaled(backoffFactor(ep.ejections, maxEjectionDoublings))
 	ep.ejections++
 }
 
@@ -93,11 +91,11 @@
 	b.answerRate(1, 0)
 	b.recordAnswerLatency(attempt, latency, objective)
 	ep.slowUntil = 0
-	if latency > b.shedThreshold()*objective {
+	if latency > objective.scaled(b.shedThreshold()) {
 		ep.slowUntil = b.now + slowObjectives*b.longestObjective
 	}
 	if req.stats.samples > 0 {
-		b.learnCapacity(ep, latency/req.stats.meanLatency)
+		b.learnCapacity(ep, ratio(latency, req.stats.meanLatency))
 	}
 	req.stats.recordLatency(latency, b.averagingGain()/2)
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -95,7 +95,7 @@
 // with an objective of 300 ms is no error. An attempt far slower than all others still is.
 func TestHighLatencyInOverloadedFleetIsNoError(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
-	times := []float64{370, 430, 400}
+	times := []Milliseconds{370, 430, 400}
 	for i := range 60 {
 		id, actions := h.request(nonIdempotentClass)
 		if !hasAction(actions, SendAttempt) {
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
@@ -57,12 +56,12 @@
 func newEndpoint(classCount int) *endpoint {
 	ep := &endpoint{
 		learned:     learnedFactor{factor: 1},
-		warmUpSince: math.Inf(-1),
-		lastSendAt:  math.Inf(1),
+		warmUpSince: longAgo,
+		lastSendAt:  never,
 		classScores: make([]classScore, classCount+1),
 	}
 	for i := range ep.classScores {
-		ep.classScores[i].updatedAt = math.Inf(-1)
+		ep.classScores[i].updatedAt = longAgo
 	}
 	return ep
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -13,7 +13,7 @@
 		Classes: []balance.Class{{Idempotency: balance.Idempotent, LatencyObjective: 100, Deadline: 400, PriorityWeight: 1}},
 	})
 	b.Start(0)
-	show := func(now float64, ev balance.Event) {
+	show := func(now balance.Milliseconds, ev balance.Event) {
 		actions, err := b.Handle(now, ev)
 		if err != nil {
 			fmt.Println("invalid event:", err)
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -116,6 +116,12 @@
 	}
 }
 
+func (d *digest) times(values ...balance.Milliseconds) {
+	for _, value := range values {
+		d.floats(float64(value))
+	}
+}
+
 func (d *digest) boolean(value bool) {
 	if value {
 		d.whole(1)
@@ -133,7 +139,7 @@
 	d.whole(uint64(action.Request))
 	d.integer(action.Attempt)
 	d.whole(uint64(action.Endpoint))
-	d.floats(action.Deadline + action.RetryAfter + action.Delay) // of which one kind has one at most
+	d.times(action.Deadline + action.RetryAfter + action.Delay) // of which one kind has one at most
 	d.whole(action.Token)
 	d.integer(0) // the receiver and the length of messages to other instances, which were removed
 	d.integer(0)
@@ -141,15 +147,19 @@
 
 // state hashes the exported state of a balancer.
 func (d *digest) state(m *balance.LearnedState) {
-	d.floats(m.Started, m.AnsweredAt, m.AnswersAt, m.Admitted)
+	d.times(m.Started, m.AnsweredAt, m.AnswersAt, m.Admitted)
 	d.floats(m.Quickest, m.Slowness, m.SlowN, m.LateShare)
-	d.floats(m.Answers, m.Latest, m.Unconnected, m.PerHeld, m.HeldN, m.Busy)
+	d.floats(m.Answers, m.Latest, m.Unconnected)
+	d.times(m.PerHeld)
+	d.floats(m.HeldN, m.Busy)
 	d.floats(m.Learned, m.Drift, m.Steady)
 	d.table(m.Kinds)
 	d.table(m.Zones)
 	d.integer(len(m.Classes))
 	for _, class := range m.Classes {
-		d.floats(class.Asked, class.N, class.Mean, class.Dev, class.Longest, class.FailedAt, class.Expected)
+		d.floats(class.Asked, class.N)
+		d.times(class.Mean, class.Dev, class.Longest, class.FailedAt)
+		d.floats(class.Expected)
 	}
 	d.list(m.Tenants)
 	d.integer(len(m.Servers))
@@ -160,14 +170,17 @@
 
 func (d *digest) endpointState(endpoint *balance.LearnedEndpoint) {
 	d.whole(uint64(endpoint.ID))
-	d.floats(endpoint.Size, endpoint.LastErr, endpoint.RestUntil)
+	d.floats(endpoint.Size)
+	d.times(endpoint.LastErr, endpoint.RestUntil)
 	d.integer(endpoint.Errs)
 	d.integer(endpoint.Rests)
 	d.integer(endpoint.Downs)
-	d.floats(endpoint.ColdSince, endpoint.Tokens, endpoint.TokensAt)
-	d.floats(endpoint.HeardAt, endpoint.SlowUntil)
+	d.times(endpoint.ColdSince)
+	d.floats(endpoint.Tokens)
+	d.times(endpoint.TokensAt, endpoint.HeardAt, endpoint.SlowUntil)
 	d.list(endpoint.Scores)
-	d.list(endpoint.ScoredAt)
+	d.integer(len(endpoint.ScoredAt))
+	d.times(endpoint.ScoredAt...)
 }
 
 func (d *digest) list(values []float64) {
@@ -218,15 +231,15 @@
 	id         balance.RequestID
 	classIndex int
 	class      balance.Class
-	deadline   float64
-	uploadedAt float64
+	deadline   balance.Milliseconds
+	uploadedAt balance.Milliseconds
 	attempts   []*simulatedAttempt
 	answered   bool
 }
 
 // delivery is something due later. Deliveries due at one time keep the order in which they were planned.
 type delivery struct {
-	at      float64
+	at      balance.Milliseconds
 	order   int
 	deliver func()
 }
@@ -261,7 +274,7 @@
 	digest        digest
 	config        balance.Config
 	balancer      *balance.Balancer
-	now           float64
+	now           balance.Milliseconds
 	events        int
 	eventLimit    int
 	actionCounts  [actionKinds]int
@@ -278,10 +291,10 @@
 	lastEndpoint     balance.EndpointID
 	zones            int
 	endpointsPerCell int
-	silentUntil      []float64
+	silentUntil      []balance.Milliseconds
 	slowdown         float64
-	interval         float64 // mean time between requests
-	rush             float64 // present factor of the interval
+	interval         balance.Milliseconds // mean time between requests
+	rush             float64              // present factor of the interval
 	keys             *rand.Zipf
 	dropped          []*balance.Class
 	nextChange       int
@@ -298,7 +311,7 @@
 	s.keys = rand.NewZipf(s.random, 1.2, 2, 5000)
 	s.config = s.drawConfig()
 	s.firstReports, s.firstAttempts = s.config.LoadReports, s.config.MaxAttempts
-	s.interval = s.between(2, 25)
+	s.interval = s.span(2, 25)
 	s.drawFleet()
 	s.eventLimit = eventsOfSmallFleet
 	if len(s.endpoints) >= largeFleetOfScript {
@@ -314,22 +327,27 @@
 	return least + (most-least)*s.random.Float64()
 }
 
+// span draws a span of time.
+func (s *simulation) span(least, most float64) balance.Milliseconds {
+	return balance.Milliseconds(s.between(least, most))
+}
+
 // drawConfig draws all settings. Some depend on the number, so that each kind surely occurs.
 func (s *simulation) drawConfig() balance.Config {
 	c := balance.Config{
 		Seed: s.random.Uint64(), InstanceCount: []int{1, 3, 20, 200}[s.number/2%4], Zone: s.random.IntN(3),
-		OverQuotaWeight: s.random.Float64(), MinBatchInterval: s.between(0, 6), WeightByWork: s.chance(0.5), ClientRetriesMarked: s.chance(0.5),
+		OverQuotaWeight: s.random.Float64(), MinBatchInterval: s.span(0, 6), WeightByWork: s.chance(0.5), ClientRetriesMarked: s.chance(0.5),
 		KeyCaching: s.number%2 == 0, PolledDiscovery: s.number%4 != 3, LoadReports: balance.LoadReportMode(s.number % 3),
 		LoadReportFields: s.drawFields(), Ratings: balance.RatingKind(s.random.IntN(4)),
 		MaxAttempts: 1 + s.number%5, Hedging: s.chance(0.5), Cancellation: s.chance(0.7),
-		RetryAfter: s.chanceAfterRetiredDraw(0.5), MaxRetryAfter: s.between(20, 2000), ConnectTimeout: s.between(50, 500),
-		ConnIdleTimeout: s.between(0, 20000), StreamsPerConn: 1 + s.random.IntN(100), MaxOpenRequests: s.random.IntN(2) * 500,
+		RetryAfter: s.chanceAfterRetiredDraw(0.5), MaxRetryAfter: s.span(20, 2000), ConnectTimeout: s.span(50, 500),
+		ConnIdleTimeout: s.span(0, 20000), StreamsPerConn: 1 + s.random.IntN(100), MaxOpenRequests: s.random.IntN(2) * 500,
 	}
 	c.InstanceIndex = s.random.IntN(c.InstanceCount)
 	c.HealthChecks = c.LoadReports == balance.LoadReportsPolled && s.chance(0.8) || s.chance(0.6)
-	c.DrainGrace, c.WarmUpInitialFraction, c.WarmUpDuration = s.between(500, 5000), s.between(0.05, 0.5), s.between(0, 20000)
-	c.OverloadFactor, c.OverloadWindow = s.between(1, 4), s.between(300, 3000)
-	c.MaxPollInterval, c.AnswerGrace = float64(s.random.IntN(3))*6000, s.between(0, 50)
+	c.DrainGrace, c.WarmUpInitialFraction, c.WarmUpDuration = s.span(500, 5000), s.between(0.05, 0.5), s.span(0, 20000)
+	c.OverloadFactor, c.OverloadWindow = s.between(1, 4), s.span(300, 3000)
+	c.MaxPollInterval, c.AnswerGrace = balance.Milliseconds(s.random.IntN(3))*6000, s.span(0, 50)
 	c.ScoreWeights, c.Costs = s.drawScoreWeights(), s.drawCosts()
 	for range 1 + s.random.IntN(6) {
 		c.Classes = append(c.Classes, s.drawClass())
@@ -367,10 +385,10 @@
 }
 
 func (s *simulation) drawClass() balance.Class {
-	objective := s.between(40, 800)
+	objective := s.span(40, 800)
 	return balance.Class{
-		Idempotency: balance.Idempotency(s.random.IntN(3)), DedupScope: balance.DedupScope(s.random.IntN(3)), DedupWindow: s.between(100, 4000),
-		LatencyObjective: objective, ObjectiveStretch: s.between(0, 3), Deadline: objective * s.between(1, 5), PriorityWeight: s.between(0.1, 10),
+		Idempotency: balance.Idempotency(s.random.IntN(3)), DedupScope: balance.DedupScope(s.random.IntN(3)), DedupWindow: s.span(100, 4000),
+		LatencyObjective: objective, ObjectiveStretch: s.between(0, 3), Deadline: objective * s.span(1, 5), PriorityWeight: s.between(0.1, 10),
 		LateWeight: s.random.Float64() * s.random.Float64(), Streaming: s.chance(0.2),
 	}
 }
@@ -391,11 +409,11 @@
 		count = 100 + s.random.IntN(301)
 	}
 	s.zones, s.endpointsPerCell = 1+s.random.IntN(4), 1+s.random.IntN(4)
-	s.silentUntil = make([]float64, s.zones)
+	s.silentUntil = make([]balance.Milliseconds, s.zones)
 	for range count {
 		endpoint := s.addEndpoint(0)
 		if s.chance(0.1) {
-			endpoint.entry.StartedAt = s.now - s.between(0, 20000)
+			endpoint.entry.StartedAt = s.now - s.span(0, 20000)
 		}
 		if s.chance(0.15) {
 			s.drawBehaviour(endpoint)
@@ -403,7 +421,7 @@
 	}
 }
 
-func (s *simulation) addEndpoint(startedAt float64) *simulatedEndpoint {
+func (s *simulation) addEndpoint(startedAt balance.Milliseconds) *simulatedEndpoint {
 	s.lastEndpoint++
 	cell := int(s.lastEndpoint) / s.endpointsPerCell
 	endpoint := &simulatedEndpoint{entry: balance.Endpoint{
@@ -436,7 +454,7 @@
 		}
 		s.now = max(s.now, arrival)
 		s.sendRequest()
-		arrival = s.now + s.random.ExpFloat64()*s.interval*s.rush
+		arrival = s.now + balance.Milliseconds(s.random.ExpFloat64())*s.interval*balance.Milliseconds(s.rush)
 	}
 }
 
@@ -448,7 +466,7 @@
 }
 
 // later plans a delivery.
-func (s *simulation) later(delay float64, deliver func()) {
+func (s *simulation) later(delay balance.Milliseconds, deliver func()) {
 	s.planned++
 	heap.Push(&s.pending, delivery{at: s.now + delay, order: s.planned, deliver: deliver})
 }
@@ -500,7 +518,7 @@
 	case balance.CheckHealth:
 		s.checkHealth(s.byID[action.Endpoint])
 	case balance.WatchEndpoints:
-		s.later(s.between(2, 300), s.completePoll)
+		s.later(s.span(2, 300), s.completePoll)
 	}
 }
 
@@ -529,12 +547,13 @@
 }
 
 // drawOutcome draws how an attempt would end if the client waited forever.
-func (s *simulation) drawOutcome(request *simulatedRequest, endpoint *simulatedEndpoint) (balance.Result, float64) {
-	latency := request.class.LatencyObjective * (0.05 + 0.2*s.random.ExpFloat64()) * s.slowdown * (1 + 0.05*float64(endpoint.inFlight))
+func (s *simulation) drawOutcome(request *simulatedRequest, endpoint *simulatedEndpoint) (balance.Result, balance.Milliseconds) {
+	factor := balance.Milliseconds(0.05 + 0.2*s.random.ExpFloat64())
+	latency := request.class.LatencyObjective * factor * balance.Milliseconds(s.slowdown) * (1 + 0.05*balance.Milliseconds(endpoint.inFlight))
 	if s.now < s.silentUntil[endpoint.entry.Zone] {
-		return balance.TimedOut, math.Inf(1)
+		return balance.TimedOut, balance.Milliseconds(math.Inf(1))
 	}
-	quick := s.between(0.5, 10)
+	quick := s.span(0.5, 10)
 	if s.chance(0.02) {
 		return balance.Result(s.random.IntN(resultKinds-1) + 1), quick
 	}
@@ -543,7 +562,7 @@
 	case isSlow:
 		return balance.OK, latency * 6
 	case hangs:
-		return balance.TimedOut, math.Inf(1)
+		return balance.TimedOut, balance.Milliseconds(math.Inf(1))
 	case isUnreachable:
 		return balance.ConnectFailed, quick
 	case fails:
@@ -566,7 +585,7 @@
 }
 
 // beginStream starts a streamed response, which ends some time later.
-func (s *simulation) beginStream(request *simulatedRequest, number int, latency float64) {
+func (s *simulation) beginStream(request *simulatedRequest, number int, latency balance.Milliseconds) {
 	attempt := request.attempts[number]
 	if !attempt.live {
 		return
@@ -577,18 +596,18 @@
 	if s.chance(0.1) {
 		result = balance.ConnReset
 	}
-	rest := s.between(50, 3000)
+	rest := s.span(50, 3000)
 	s.later(rest, func() { s.endAttempt(request, number, result, latency+rest) })
 }
 
-func (s *simulation) beginResponse(request *simulatedRequest, number int, latency float64) {
+func (s *simulation) beginResponse(request *simulatedRequest, number int, latency balance.Milliseconds) {
 	if request.attempts[number].live {
 		s.handle(balance.ResponseStarted{Request: request.id, Attempt: number, Latency: latency})
 	}
 }
 
 // endAttempt reports the outcome of an attempt, unless it has ended already.
-func (s *simulation) endAttempt(request *simulatedRequest, number int, result balance.Result, latency float64) {
+func (s *simulation) endAttempt(request *simulatedRequest, number int, result balance.Result, latency balance.Milliseconds) {
 	attempt := request.attempts[number]
 	if !attempt.live {
 		return
@@ -608,7 +627,7 @@
 
 // cancel ends an attempt early, unless its outcome comes before.
 func (s *simulation) cancel(request *simulatedRequest, number int) {
-	delay := s.between(0, 5)
+	delay := s.span(0, 5)
 	s.later(delay, func() { s.endAttempt(request, number, balance.Cancelled, delay) })
 }
 
@@ -622,11 +641,11 @@
 
 // checkHealth completes a health check by the present behaviour of the endpoint.
 func (s *simulation) checkHealth(endpoint *simulatedEndpoint) {
-	latency, result := s.between(0.5, 8), balance.OK
+	latency, result := s.span(0.5, 8), balance.OK
 	silent := s.now < s.silentUntil[endpoint.entry.Zone] || endpoint.behaviour == hangs
 	switch {
 	case silent:
-		latency, result = s.between(20, 200), balance.TimedOut
+		latency, result = s.span(20, 200), balance.TimedOut
 	case endpoint.behaviour == isUnreachable:
 		result = balance.ConnectFailed
 	case s.chance(0.05):
@@ -679,7 +698,7 @@
 	}
 	event.Remaining = class.Deadline
 	if event.ClientRetry || s.chance(0.05) {
-		event.Remaining *= s.between(0.1, 1)
+		event.Remaining *= s.span(0.1, 1)
 	}
 	s.openRequest(event, class)
 }
@@ -690,7 +709,7 @@
 		id: event.ID, classIndex: event.Class, class: class, deadline: s.now + event.Remaining, uploadedAt: s.now,
 	}
 	if event.Uploading {
-		upload := s.between(5, 1500)
+		upload := s.span(5, 1500)
 		request.uploadedAt += upload
 		request.deadline += upload
 		s.later(upload, func() {
@@ -732,7 +751,7 @@
 	case 1:
 		s.rush = []float64{1, 1, 0.2, 0.5, 5}[s.random.IntN(5)]
 	case 2:
-		s.now += s.between(200, 40000)
+		s.now += s.span(200, 40000)
 	case 3:
 		s.silenceZone(s.random.IntN(s.zones))
 	case 4, 5:
@@ -756,7 +775,7 @@
 
 // silenceZone cuts a zone off for a while. Some such zones are taken out of the list while they are silent.
 func (s *simulation) silenceZone(zone int) {
-	span := s.between(200, 6000)
+	span := s.span(200, 6000)
 	s.silentUntil[zone] = s.now + span
 	if s.zones > 1 && s.chance(0.3) {
 		s.later(span/3, func() { s.setZoneState(zone, balance.Draining) })
@@ -781,9 +800,9 @@
 	endpoint := s.anyEndpoint()
 	switch s.random.IntN(5) {
 	case 0:
-		endpoint = s.addEndpoint(s.now - s.between(0, 500))
+		endpoint = s.addEndpoint(s.now - s.span(0, 500))
 	case 1, 2:
-		endpoint.entry.StartedAt = s.now - s.between(0, 500)
+		endpoint.entry.StartedAt = s.now - s.span(0, 500)
 		endpoint.behaviour = behavesWell
 	case 3:
 		endpoint.entry.State = balance.Draining
--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -147,7 +147,7 @@
 	h.dispatch(HealthCheckResult{Endpoint: 2, Duration: 1, LoadReport: []float32{0}})
 	h.now += 350
 	h.dispatch(HealthCheckResult{Endpoint: 1, Result: TimedOut, Duration: 350})
-	for _, later := range []float64{0, 100000} { // during its ejection, and long after it
+	for _, later := range []Milliseconds{0, 100000} { // during its ejection, and long after it
 		if got := h.b.UnavailableCount(h.now + later); got != 1 {
 			t.Errorf("%v ms later %d endpoints are unavailable", later, got)
 		}
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -6,7 +6,7 @@
 type harness struct {
 	t           *testing.T
 	b           *Balancer
-	now         float64
+	now         Milliseconds
 	actions     []Action
 	lastRequest RequestID
 }
@@ -86,8 +86,8 @@
 	return h.lastRequest, h.dispatch(Request{ID: h.lastRequest, Class: class, Remaining: h.b.cfg.Classes[class].Deadline})
 }
 
-// finishAttempt ends an attempt with a result after the given duration in milliseconds.
-func (h *harness) finishAttempt(id RequestID, attempt int, res Result, took float64) []Action {
+// finishAttempt ends an attempt with a result after the given duration.
+func (h *harness) finishAttempt(id RequestID, attempt int, res Result, took Milliseconds) []Action {
 	h.t.Helper()
 	s := h.b.requests[id].attempts[attempt].endpoint
 	done := res == OK || h.b.requests[id].done
--- a/balance/polling.go
+++ b/balance/polling.go
@@ -1,7 +1,5 @@
 package balance
 
-import "math"
-
 const (
 	// pollBackoffBase is the delay before a failed poll is repeated. It doubles with each failure.
 	pollBackoffBase Milliseconds = 500
@@ -32,13 +30,13 @@
 		b.emit(Action{Kind: WatchEndpoints})
 		return
 	}
-	delay := spread * float64(position) / float64(instanceCount)
+	delay := spread * Milliseconds(position) / Milliseconds(instanceCount)
 	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
 }
 
 // pollRoundTime returns the time in which discovery can serve one poll of each sidecar.
 func (b *Balancer) pollRoundTime() Milliseconds {
-	return pollServiceTime * float64(b.cfg.InstanceCount)
+	return pollServiceTime * Milliseconds(b.cfg.InstanceCount)
 }
 
 // retryPoll repeats a failed poll after a growing delay with jitter. The failed poll may have just missed the
@@ -50,10 +48,12 @@
 	if b.cfg.MaxPollInterval > 0 {
 		maxDelay = min(maxDelay, b.cfg.MaxPollInterval/3)
 	}
-	delay := min(pollBackoffBase*backoffFactor(b.failedPolls, maxPollDoublings), maxDelay) * b.jitter()
+	backoff := pollBackoffBase.scaled(backoffFactor(b.failedPolls, maxPollDoublings))
+	delay := min(backoff, maxDelay).scaled(b.jitter())
 	if roundTime > pollTimeout+maxDelay {
-		position := (float64(b.cfg.InstanceIndex) + b.random()) / float64(b.cfg.InstanceCount) * roundTime
-		delay = math.Mod(position-math.Mod(b.now, roundTime)+roundTime, roundTime)
+		turn := (float64(b.cfg.InstanceIndex) + b.random()) / float64(b.cfg.InstanceCount)
+		position := roundTime.scaled(turn)
+		delay = modulo(position-modulo(b.now, roundTime)+roundTime, roundTime)
 	}
 	b.failedPolls++
 	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
--- a/balance/polling_test.go
+++ b/balance/polling_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -11,25 +10,25 @@
 // discoveryServer is a discovery service under load: it serves calls in turn, and a caller gives up after
 // callTimeout while the service still does the work.
 type discoveryServer struct {
-	serviceTime, callTimeout float64
-	freeAt                   float64
+	serviceTime, callTimeout Milliseconds
+	freeAt                   Milliseconds
 }
 
 // call returns when a call that is made at the given time ends, and whether it succeeds.
-func (server *discoveryServer) call(now float64) (at float64, ok bool) {
+func (server *discoveryServer) call(now Milliseconds) (at Milliseconds, ok bool) {
 	server.freeAt = max(server.freeAt, now) + server.serviceTime
 	return min(server.freeAt, now+server.callTimeout), server.freeAt <= now+server.callTimeout
 }
 
 // simulateStart starts n instances together that poll the discovery service. It returns when the last of them
 // has the endpoints and how many calls were made.
-func simulateStart(t *testing.T, n int, server *discoveryServer) (last float64, calls int) {
+func simulateStart(t *testing.T, n int, server *discoveryServer) (last Milliseconds, calls int) {
 	t.Helper()
 	all := make([]*harness, n)
-	due := make([]float64, n)   // time of the next timer or response
-	calling := make([]bool, n)  // a call is in flight
-	succeeds := make([]bool, n) // ... and will succeed
-	next := func(i int, now float64, actions []Action) {
+	due := make([]Milliseconds, n) // time of the next timer or response
+	calling := make([]bool, n)     // a call is in flight
+	succeeds := make([]bool, n)    // ... and will succeed
+	next := func(i int, now Milliseconds, actions []Action) {
 		for _, a := range actions {
 			switch {
 			case a.Kind == WatchEndpoints:
@@ -59,7 +58,7 @@
 			next(i, h.now, h.dispatch(TimerFired{Token: pollTimerToken}))
 		case succeeds[i]:
 			h.dispatch(EndpointUpdate{Kind: UpdateDelta})
-			last, due[i] = h.now-start, math.Inf(1)
+			last, due[i] = h.now-start, never
 			left--
 		default:
 			calling[i] = false
@@ -75,7 +74,7 @@
 	for _, n := range []int{3, 20, 80} {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
 			last, calls := simulateStart(t, n, &discoveryServer{serviceTime: 75, callTimeout: 2000})
-			if least := float64(n) * 75; last > least+1000 {
+			if least := Milliseconds(n) * 75; last > least+1000 {
 				t.Errorf("%d instances: the last has its endpoints after %.0f ms; in turn it takes %.0f", n, last, least)
 			}
 			if calls > n+n/5 {
@@ -88,15 +87,15 @@
 // simulateDiscoveryOutage has n instances poll a discovery service that is down for a while. A call during
 // the outage fails after failAfter. It returns how long after the recovery the last instance has the
 // endpoints and how many calls were made from then on.
-func simulateDiscoveryOutage(t *testing.T, n int, down, failAfter float64,
-	server *discoveryServer) (last float64, calls int) {
+func simulateDiscoveryOutage(t *testing.T, n int, down, failAfter Milliseconds,
+	server *discoveryServer) (last Milliseconds, calls int) {
 	t.Helper()
 	const start = 1000.0
 	back := start + down
 	random := rand.New(rand.NewPCG(uint64(n), uint64(down)))
-	all, due := make([]*harness, n), make([]float64, n)
+	all, due := make([]*harness, n), make([]Milliseconds, n)
 	calling, succeeds := make([]bool, n), make([]bool, n)
-	call := func(i int, now float64) {
+	call := func(i int, now Milliseconds) {
 		calling[i] = true
 		if succeeds[i] = false; now < back {
 			due[i] = now + failAfter
@@ -109,7 +108,7 @@
 		cfg := largeFleetConfig(i, n)
 		cfg.PolledDiscovery = true
 		all[i] = newHarness(t, cfg, newZonedEndpoints(9)...)
-		call(i, start+random.Float64()*1000) // watches break one by one
+		call(i, start+Milliseconds(random.Float64()*1000)) // watches break one by one
 	}
 	for left := n; left > 0; {
 		i := slices.Index(due, slices.Min(due))
@@ -121,7 +120,7 @@
 		case !calling[i]:
 			call(i, h.now)
 		case succeeds[i]:
-			last, due[i] = h.now-back, math.Inf(1)
+			last, due[i] = h.now-back, never
 			left--
 		default:
 			calling[i] = false
@@ -136,8 +135,8 @@
 // Where the service cannot serve all instances in that time they must not overload it.
 func TestEndpointsAreCurrentSoonAfterDiscoveryOutage(t *testing.T) {
 	for _, n := range []int{1, 3, 20, 55, 65} {
-		for down := 500.0; down < 30000; down += 700 {
-			for name, failAfter := range map[string]float64{"silent": 2100, "connection rejected": 5} {
+		for down := Milliseconds(500); down < 30000; down += 700 {
+			for name, failAfter := range map[string]Milliseconds{"silent": 2100, "connection rejected": 5} {
 				server := &discoveryServer{serviceTime: 47, callTimeout: 2000}
 				if last, _ := simulateDiscoveryOutage(t, n, down, failAfter, server); last > propagationLimit {
 					t.Errorf("%d instances, %s for %.0f ms: the last has its endpoints after %.0f ms", n, name, down, last)
@@ -146,9 +145,9 @@
 		}
 	}
 	for _, n := range []int{80, 150, 300, 1024} {
-		for down := 4000.0; down < 30000; down += 4000 {
+		for down := Milliseconds(4000); down < 30000; down += 4000 {
 			last, calls := simulateDiscoveryOutage(t, n, down, pollTimeout, &discoveryServer{serviceTime: 47, callTimeout: 2000})
-			if round := float64(n) * pollServiceTime; last > round+pollTimeout || calls > n+n/20 {
+			if round := Milliseconds(n) * pollServiceTime; last > round+pollTimeout || calls > n+n/20 {
 				t.Errorf("%d instances, down for %.0f ms: the last has its endpoints after %.0f ms, a round takes %.0f; %d calls",
 					n, down, last, round, calls)
 			}
@@ -164,7 +163,7 @@
 	if !hasAction(h.actions, WatchEndpoints) {
 		t.Fatal("not polled at once")
 	}
-	var delays []float64
+	var delays []Milliseconds
 	for range 6 {
 		actions := h.dispatch(EndpointUpdate{Kind: UpdateFailed})
 		if len(actions) != 1 || actions[0].Token != pollTimerToken || actions[0].Delay > cfg.MaxPollInterval/3 {
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -12,7 +12,7 @@
 	random       *rand.Rand
 	b            *Balancer
 	cfg          Config
-	now          float64
+	now          Milliseconds
 	endpoints    map[EndpointID]*Endpoint
 	sendable     map[EndpointID]bool // may be sent to
 	requests     map[RequestID]*trackedRequest
@@ -24,13 +24,13 @@
 // timedSend is one sent attempt, for the check of slow start.
 type timedSend struct {
 	endpoint EndpointID
-	at       float64
+	at       Milliseconds
 }
 
 // trackedRequest is what the checker knows of a request.
 type trackedRequest struct {
 	class    int
-	deadline float64
+	deadline Milliseconds
 	answered bool
 	attempts []trackedAttempt
 }
@@ -38,14 +38,14 @@
 // trackedAttempt is what the checker knows of an attempt. A clean one has ended and was never executed.
 type trackedAttempt struct {
 	endpoint Endpoint
-	sent     float64
+	sent     Milliseconds
 	live     bool
 	clean    bool
 }
 
 // pendingTimer is a timer that the balancer has set.
 type pendingTimer struct {
-	at    float64
+	at    Milliseconds
 	token uint64
 }
 
@@ -79,7 +79,7 @@
 		checker := newInvariantChecker(t, random, cfg)
 		checker.updateEndpoints(UpdateCachedSnapshot)
 		for id := RequestID(1); id <= 1500; id++ {
-			checker.now += random.ExpFloat64() * 8
+			checker.now += Milliseconds(random.ExpFloat64() * 8)
 			checker.fireTimers()
 			checker.randomEvent(id)
 		}
@@ -97,18 +97,18 @@
 	cfg := baseConfig()
 	for c := range cfg.Classes {
 		k := &cfg.Classes[c]
-		k.LatencyObjective = 50 + 700*random.Float64()
-		k.Deadline = k.LatencyObjective * (1 + 4*random.Float64())
-		k.DedupWindow = 100 + 3000*random.Float64()
+		k.LatencyObjective = 50 + Milliseconds(700*random.Float64())
+		k.Deadline = k.LatencyObjective.scaled(1 + 4*random.Float64())
+		k.DedupWindow = 100 + Milliseconds(3000*random.Float64())
 		k.PriorityWeight, k.LateWeight = 10*random.Float64(), random.Float64()
 	}
 	for range random.Intn(4) {
 		cfg.Tenants = append(cfg.Tenants, Tenant{QuotaShare: random.Float64(), QuotaRate: 50 * random.Float64()})
 	}
-	cfg.OverQuotaWeight, cfg.MinBatchInterval = random.Float64(), 1+6*random.Float64()
-	cfg.Zone, cfg.ConnIdleTimeout = random.Intn(2), 20000*random.Float64()
-	cfg.WarmUpInitialFraction, cfg.WarmUpDuration = 0.1+0.4*random.Float64(), 3000+20000*random.Float64()
-	cfg.OverloadFactor, cfg.OverloadWindow = 2+2*random.Float64(), 500+2000*random.Float64()
+	cfg.OverQuotaWeight, cfg.MinBatchInterval = random.Float64(), 1+Milliseconds(6*random.Float64())
+	cfg.Zone, cfg.ConnIdleTimeout = random.Intn(2), Milliseconds(20000*random.Float64())
+	cfg.WarmUpInitialFraction, cfg.WarmUpDuration = 0.1+0.4*random.Float64(), 3000+Milliseconds(20000*random.Float64())
+	cfg.OverloadFactor, cfg.OverloadWindow = 2+2*random.Float64(), 500+Milliseconds(2000*random.Float64())
 	cfg.Costs = Costs{CrossZone: 0.1 * random.Float64(), NewConnection: 0.05 * random.Float64(),
 		HealthCheck: 0.02 * random.Float64()}
 	return cfg
@@ -119,7 +119,7 @@
 	switch n := checker.random.Intn(20); {
 	case n < 9:
 		class := checker.random.Intn(len(checker.cfg.Classes))
-		left := checker.cfg.Classes[class].Deadline * checker.random.Float64()
+		left := checker.cfg.Classes[class].Deadline.scaled(checker.random.Float64())
 		if checker.random.Intn(20) == 0 {
 			left = 0
 		}
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -1,7 +1,5 @@
 package balance
 
-import "math"
-
 // Reconfigure replaces the settings. What was learned is kept, and open requests keep the settings that they
 // arrived under. classes and tenants give the old index of each new class and tenant, or -1 for an added one.
 // The seed does not change.
@@ -16,7 +14,7 @@
 			if old, ok := oldIndex(classes, i, oldClassCount); ok {
 				ep.classScores[i] = oldScores[old]
 			} else {
-				ep.classScores[i].updatedAt = math.Inf(-1)
+				ep.classScores[i].updatedAt = longAgo
 			}
 		}
 	}
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -1,7 +1,6 @@
 package balance
 
 import (
-	"math"
 	"testing"
 )
 
@@ -88,7 +87,7 @@
 	}
 	for _, s := range b.endpoints {
 		for c, v := range s.classScores[:4] {
-			if !math.IsInf(v.updatedAt, -1) {
+			if v.updatedAt != longAgo {
 				t.Errorf("endpoint %d: class %d has a score of %v", s.ID, c, v.updatedAt)
 			}
 		}
--- a/balance/request.go
+++ b/balance/request.go
@@ -1,7 +1,5 @@
 package balance
 
-import "math"
-
 // attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	endpoint       *endpoint
@@ -79,7 +77,7 @@
 		tenant:      b.tenantCounter(ev.Tenant),
 		arrivedAt:   b.now,
 		deadline:    b.now + ev.Remaining,
-		nextTimerAt: math.Inf(1),
+		nextTimerAt: never,
 	}
 	if req.class == nil {
 		req.class = &b.cfg.Classes[ev.Class]
@@ -91,8 +89,8 @@
 		req.MaxAttempts = b.cfg.MaxAttempts
 	}
 	if req.Uploading {
-		req.arrivedAt = math.Inf(1)
-		req.deadline = math.Inf(1)
+		req.arrivedAt = never
+		req.deadline = never
 	}
 	b.requests[ev.ID] = req
 	if req.StickyKey != 0 {
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -198,7 +198,7 @@
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
-			now := 0.0
+			now := Milliseconds(0)
 			for i := range b.N {
 				now += 5
 				id := RequestID(i + 1)
--- a/balance/retries_test.go
+++ b/balance/retries_test.go
@@ -104,8 +104,8 @@
 	for _, c := range []struct {
 		name    string
 		class   int
-		later   bool    // the endpoint completes later requests
-		after   float64 // when its timer fires
+		later   bool         // the endpoint completes later requests
+		after   Milliseconds // when its timer fires
 		retried bool
 	}{
 		{"overtaken", idempotentClass, true, 100, true},
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -249,7 +249,7 @@
 	if len(req.attempts) > 0 || !b.hasFreshReport(ep) {
 		return false
 	}
-	answerAt := b.now + b.timePerInFlight*(b.estimatedInFlight(ep)+1)
+	answerAt := b.now + b.timePerInFlight.scaled(b.estimatedInFlight(ep)+1)
 	return answerAt > req.arrivedAt+reportedLoadObjective*req.class.LatencyObjective
 }
 
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -182,7 +182,7 @@
 	if h.b.affinityFactor(s) < 10*plain {
 		t.Error("an open connection has no effect")
 	}
-	s.consecutiveErrors, s.lastErrorAt = 1, math.Inf(-1)
+	s.consecutiveErrors, s.lastErrorAt = 1, longAgo
 	if h.b.affinityFactor(s) != plain {
 		t.Error("an endpoint that just failed is preferred")
 	}
@@ -276,7 +276,7 @@
 		h := newHarness(t, cfg, newEndpoints(30)...)
 		h.randomizeRotation()
 		first[sendSequence(h, 1)[0]]++
-		delays[math.Round(h.dispatch(EndpointUpdate{Kind: UpdateFailed})[0].Delay/10)] = true
+		delays[math.Round(float64(h.dispatch(EndpointUpdate{Kind: UpdateFailed})[0].Delay/10))] = true
 	}
 	for id, n := range first {
 		if n > 30 { // an even share is 10
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -35,7 +35,7 @@
 // An instance with a request a second cannot judge the load by its requests in flight, which coincide by
 // chance. Recent fast responses have to prevent shedding, and recent late ones have to cause it.
 func TestLowTrafficInstanceShedsByRecentLatency(t *testing.T) {
-	for took, want := range map[float64][2]int{60: {0, 2}, 900: {20, 199}} {
+	for took, want := range map[Milliseconds][2]int{60: {0, 2}, 900: {20, 199}} {
 		t.Run(fmt.Sprintf("responses of %v ms", took), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(12)...)
 			rejected := 0
@@ -72,7 +72,7 @@
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
 	var open []RequestID
 	rejected := 0
-	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in about nine seconds
+	for gap := Milliseconds(20); gap > 2; gap *= 0.998 { // tenfold in about nine seconds
 		h.now += gap
 		id, actions := h.request(idempotentClass)
 		if hasAction(actions, RejectRequest) {
@@ -123,10 +123,10 @@
 // Where responses are lost, overdue attempts are not counted as load while other responses are fast. In an
 // overload the other responses are late as well, and overdue attempts count.
 func TestLostResponsesCauseNoShedding(t *testing.T) {
-	for took, want := range map[float64][2]int{40: {0, 20}, 900: {60, 399}} {
+	for took, want := range map[Milliseconds][2]int{40: {0, 20}, 900: {60, 399}} {
 		t.Run(fmt.Sprintf("responses of %v ms", took), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(12)...)
-			ends := map[RequestID]float64{} // of attempts in flight
+			ends := map[RequestID]Milliseconds{} // of attempts in flight
 			rejected := 0
 			for i := range 400 {
 				h.now += 40
@@ -174,7 +174,7 @@
 			rejected++
 			continue
 		}
-		took := 210.0
+		took := Milliseconds(210)
 		if i%20 == 0 {
 			took = 400
 		}
@@ -221,7 +221,7 @@
 		}
 		for attempt := 0; h.b.requests[id] != nil && attempt < len(h.b.requests[id].attempts); attempt++ {
 			h.now += 10
-			res, took := Rejected, 1.0
+			res, took := Rejected, Milliseconds(1)
 			if i%5 == 0 {
 				res, took = OK, 250
 			}
--- a/balance/simulation_test.go
+++ b/balance/simulation_test.go
@@ -7,7 +7,7 @@
 type instanceSimulation struct {
 	*harness
 	hangs        func(EndpointID) bool
-	latency      func(EndpointID) float64
+	latency      func(EndpointID) Milliseconds
 	sent         map[EndpointID]int
 	healthChecks int
 	logLines     int
@@ -17,7 +17,7 @@
 
 // timedEvent is an event that the balancer gets at the given time.
 type timedEvent struct {
-	at    float64
+	at    Milliseconds
 	event Event
 }
 
@@ -32,7 +32,7 @@
 	cfg.ConnIdleTimeout, cfg.Classes[idempotentClass].Deadline = 8000, 1200
 	sim := &instanceSimulation{harness: newHarness(t, cfg, endpoints...), sent: map[EndpointID]int{}}
 	sim.hangs = func(EndpointID) bool { return false }
-	sim.latency = func(EndpointID) float64 { return 5 }
+	sim.latency = func(EndpointID) Milliseconds { return 5 }
 	sim.randomizeRotation()
 	return sim
 }
@@ -72,7 +72,7 @@
 			sim.logLines++
 		case CheckHealth:
 			sim.healthChecks++
-			res, after := HealthCheckResult{Endpoint: a.Endpoint, Duration: 1, LoadReport: []float32{0}}, 1.
+			res, after := HealthCheckResult{Endpoint: a.Endpoint, Duration: 1, LoadReport: []float32{0}}, Milliseconds(1)
 			if sim.hangs(a.Endpoint) {
 				res, after = HealthCheckResult{Endpoint: a.Endpoint, Result: TimedOut, Duration: 350}, 350
 			}
@@ -82,7 +82,7 @@
 }
 
 // run sends a request every so many milliseconds until the given time, with keys in turn.
-func (sim *instanceSimulation) run(until, every float64) {
+func (sim *instanceSimulation) run(until, every Milliseconds) {
 	sim.t.Helper()
 	for next := sim.now; ; {
 		first := -1
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -12,7 +12,7 @@
 
 // warmUpFraction returns the least fraction of its capacity that an endpoint has; 1 after the warm-up.
 func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
-	progress := max(0, b.now-ep.warmUpSince) / max(b.cfg.WarmUpDuration, 1)
+	progress := ratio(max(0, b.now-ep.warmUpSince), max(b.cfg.WarmUpDuration, 1))
 	return b.cfg.WarmUpInitialFraction + (1-b.cfg.WarmUpInitialFraction)*min(1, progress)
 }
 
@@ -26,10 +26,10 @@
 	pool := max(b.poolCapacity, ep.capacity)
 	fillRate := b.answerRate(0, 1) * ep.capacity / pool * max(1, b.cfg.OverloadFactor/2)
 	if ep.slowStartTokens < 1 {
-		ep.fullTokenAt = ep.tokensUpdatedAt + (1-ep.slowStartTokens)/fillRate
+		ep.fullTokenAt = ep.tokensUpdatedAt + Milliseconds((1-ep.slowStartTokens)/fillRate)
 	}
-	limit := max(1, fillRate*b.cfg.OverloadWindow/4)
-	ep.slowStartTokens = min(ep.slowStartTokens+fillRate*(b.now-ep.tokensUpdatedAt), limit)
+	limit := max(1, fillRate*float64(b.cfg.OverloadWindow)/4)
+	ep.slowStartTokens = min(ep.slowStartTokens+fillRate*float64(b.now-ep.tokensUpdatedAt), limit)
 	ep.tokensUpdatedAt = b.now
 	if ep.slowStartTokens == 1 && policy == recentToken {
 		expired := b.now > ep.fullTokenAt+b.cfg.OverloadWindow
--- a/balance/slowstart_simulation_test.go
+++ b/balance/slowstart_simulation_test.go
@@ -23,12 +23,12 @@
 }
 
 const (
-	timeBeforeStart = 6000.0
-	timeAfterStart  = 8000.0
+	timeBeforeStart Milliseconds = 6000
+	timeAfterStart  Milliseconds = 8000
 )
 
 // restartTime is when the endpoints that warm up have started.
-const restartTime = 100000.0
+const restartTime Milliseconds = 100000
 
 // slowStartRun is one run of a simulation with a seed of its own.
 type slowStartRun struct {
@@ -38,7 +38,7 @@
 	random    *rand.Rand
 	fleet     []Endpoint
 	restarted []Endpoint
-	sends     [][]float64 // times of the attempts sent to each restarted endpoint
+	sends     [][]Milliseconds // times of the attempts sent to each restarted endpoint
 }
 
 // run returns the most requests that an endpoint got within the overload window, relative to its budget and
@@ -51,14 +51,14 @@
 	for i := range run.restarted {
 		run.restarted[i].StartedAt = restartTime
 	}
-	run.sends = make([][]float64, sim.warmingUp)
+	run.sends = make([][]Milliseconds, sim.warmingUp)
 	weights, sum := make([]float64, sim.instances), 0.0
 	for i := range weights {
 		weights[i] = run.random.ExpFloat64()
 		sum += weights[i]
 	}
 	for number := range sim.instances {
-		interval := 1000 / (sim.rate*float64(sim.instances)*weights[number]/sum + 1e-6)
+		interval := Milliseconds(1000 / (sim.rate*float64(sim.instances)*weights[number]/sum + 1e-6))
 		run.runInstance(number, interval)
 	}
 	return run.worstRatio(), run.workFraction()
@@ -73,15 +73,15 @@
 }
 
 // runInstance simulates one instance that sends a request in each interval on average.
-func (run *slowStartRun) runInstance(number int, interval float64) {
+func (run *slowStartRun) runInstance(number int, interval Milliseconds) {
 	begin := restartTime - timeBeforeStart
-	updateAt := restartTime + 300*run.random.Float64() + 1
+	updateAt := restartTime + Milliseconds(300*run.random.Float64()) + 1
 	if run.instancesRestart {
 		begin = updateAt
 	}
 	h := run.startInstance(run.config(number), begin)
 	end := restartTime + timeAfterStart
-	for at := begin + interval*run.random.ExpFloat64(); at < end; at += run.intervalAt(at, interval) * run.random.ExpFloat64() {
+	for at := begin + interval.scaled(run.random.ExpFloat64()); at < end; at += run.intervalAt(at, interval).scaled(run.random.ExpFloat64()) {
 		if !run.instancesRestart && h.now < updateAt && at >= updateAt {
 			h.now = updateAt
 			h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: run.restarted})
@@ -95,7 +95,7 @@
 }
 
 // startInstance starts an instance that knows of the restarts only if it restarts itself.
-func (run *slowStartRun) startInstance(cfg Config, begin float64) *harness {
+func (run *slowStartRun) startInstance(cfg Config, begin Milliseconds) *harness {
 	h := newHarness(run.t, cfg, run.fleet...)
 	if run.instancesRestart {
 		h.b = New(cfg)
@@ -113,7 +113,7 @@
 }
 
 // intervalAt returns the mean interval between requests at the given time.
-func (run *slowStartRun) intervalAt(at, interval float64) float64 {
+func (run *slowStartRun) intervalAt(at, interval Milliseconds) Milliseconds {
 	if run.trafficDip && at >= restartTime+3000 && at < restartTime+4000 {
 		return interval / 2
 	}
@@ -147,7 +147,7 @@
 }
 
 // attemptFails draws whether a first attempt fails.
-func (run *slowStartRun) attemptFails(target *endpoint, now float64) bool {
+func (run *slowStartRun) attemptFails(target *endpoint, now Milliseconds) bool {
 	lost := run.zoneFails && target.Zone == 1 && now >= restartTime+3000 && now < restartTime+4000
 	lost = lost || run.briefFailures && now >= restartTime+3000 && now < restartTime+5000 && target.StartedAt == 0
 	return run.random.Float64() < run.failureFraction || lost
@@ -158,7 +158,7 @@
 func (run *slowStartRun) requestsPerEndpoint() float64 {
 	warmUp := run.config(0).WarmUpDuration
 	able := float64(run.endpoints-run.warmingUp) +
-		float64(run.warmingUp)*(run.initialFraction+(1-run.initialFraction)*timeAfterStart/2/warmUp)
+		float64(run.warmingUp)*(run.initialFraction+(1-run.initialFraction)*ratio(timeAfterStart/2, warmUp))
 	return run.rate * float64(run.instances) / able / 1000
 }
 
@@ -173,9 +173,9 @@
 			for j := i; j < len(sends) && sends[j] < sends[i]+cfg.OverloadWindow; j++ {
 				inWindow++
 			}
-			warmth := min(1, (sends[i]-restartTime)/cfg.WarmUpDuration)
+			warmth := min(1, ratio(sends[i]-restartTime, cfg.WarmUpDuration))
 			able := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*warmth
-			budget := cfg.OverloadFactor * able * perEndpoint * cfg.OverloadWindow
+			budget := cfg.OverloadFactor * able * perEndpoint * float64(cfg.OverloadWindow)
 			worst = max(worst, inWindow/(budget+2*math.Sqrt(budget)+2))
 		}
 	}
@@ -188,8 +188,8 @@
 	got, could := 0.0, 0.0
 	for _, sends := range run.sends {
 		got += float64(len(sends))
-		able := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*timeAfterStart/2/cfg.WarmUpDuration
-		could += perEndpoint * timeAfterStart * able
+		able := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*ratio(timeAfterStart/2, cfg.WarmUpDuration)
+		could += perEndpoint * float64(timeAfterStart) * able
 	}
 	return got / could
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -104,7 +104,7 @@
 		start := h.now
 		endpoints[0].StartedAt = start + 4000
 		for restarted := false; ; {
-			h.now += 1000 * random.ExpFloat64() / (rate + 1e-3)
+			h.now += Milliseconds(1000 * random.ExpFloat64() / (rate + 1e-3))
 			at := int(h.now-start) / 1000
 			if at >= seconds {
 				break
@@ -124,7 +124,7 @@
 	perEndpoint := total / seconds / 30
 	sent := 0.0
 	for at := 4; at < seconds; at++ {
-		least := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*float64(at-4)*1000/cfg.WarmUpDuration
+		least := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*ratio(Milliseconds(at-4)*1000, cfg.WarmUpDuration)
 		// perEndpoint is what a warm endpoint is sent; with a margin for chance
 		if limit := cfg.OverloadFactor*least*perEndpoint + 2*math.Sqrt(perEndpoint); toRestarted[at] > limit {
 			t.Errorf("second %d: %.0f sends to the restarted endpoint, limit %.0f (a warm one gets %.0f)",
@@ -243,7 +243,7 @@
 // request of each must not bring it the budget of the whole fleet, or together they overload those endpoints.
 func TestStartingInstancesSpareWarmingUpEndpoints(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
-	now := 100000.0
+	now := Milliseconds(100000)
 	for i := range 20 {
 		endpoints[i].StartedAt = now - 1000
 	}
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -24,7 +24,7 @@
 		requestCounter: requestCounter{count: 1},
 		index:          index,
 		priorityWeight: class.PriorityWeight,
-		lastFailureAt:  math.Inf(-1),
+		lastFailureAt:  longAgo,
 		meanScore:      1,
 	}
 }
@@ -34,8 +34,8 @@
 func (c *classStats) recordLatency(latency Milliseconds, gain float64) {
 	c.samples = min(c.samples+1, maxLatencySamples)
 	gain = max(gain, 1/c.samples)
-	c.meanLatency += (latency - c.meanLatency) * gain
-	c.latencyDeviation += (math.Abs(latency-c.meanLatency) - c.latencyDeviation) * gain
+	c.meanLatency += (latency - c.meanLatency).scaled(gain)
+	c.latencyDeviation += ((latency - c.meanLatency).abs() - c.latencyDeviation).scaled(gain)
 }
 
 // requestCounter counts the requests of a class or tenant. The count starts at 1, so that it is never 0.
@@ -64,7 +64,7 @@
 // averagingGain returns the weight of an answer in a mean that covers capacityLearnTime, but at least a few
 // answers.
 func (b *Balancer) averagingGain() float64 {
-	return clamp(1/(capacityLearnTime*b.answerRate(0, 1)), minLearnGain, maxLearnGain)
+	return clamp(1/(float64(capacityLearnTime)*b.answerRate(0, 1)), minLearnGain, maxLearnGain)
 }
 
 // answerRate counts new answers and returns the answers per millisecond. The rate is a mean over several of
@@ -72,25 +72,25 @@
 // more, it counts instead, as traffic may grow fast.
 func (b *Balancer) answerRate(newAnswers, assumedAnswers float64) float64 {
 	shortSpan, longSpan := b.longestObjective, answerRateObjectives*b.longestObjective
-	b.latestAnswerCount = b.latestAnswerCount*math.Exp((b.answersCountedAt-b.now)/shortSpan) + newAnswers
-	b.answerCount = b.answerCount*math.Exp((b.answersCountedAt-b.now)/longSpan) + newAnswers
+	b.latestAnswerCount = b.latestAnswerCount*decay(b.now-b.answersCountedAt, shortSpan) + newAnswers
+	b.answerCount = b.answerCount*decay(b.now-b.answersCountedAt, longSpan) + newAnswers
 	b.answersCountedAt = b.now
-	observedPart := max(-math.Expm1((b.startedAt-b.now)/longSpan), 1e-3)
-	meanRate := (b.answerCount + assumedAnswers) / longSpan / observedPart
-	return max(meanRate, (b.latestAnswerCount-2*math.Sqrt(b.latestAnswerCount))/shortSpan)
+	observedPart := max(-math.Expm1(-ratio(b.now-b.startedAt, longSpan)), 1e-3)
+	meanRate := (b.answerCount + assumedAnswers) / float64(longSpan) / observedPart
+	return max(meanRate, (b.latestAnswerCount-2*math.Sqrt(b.latestAnswerCount))/float64(shortSpan))
 }
 
 // recordAnswerLatency updates the statistics of latencies by an answer.
 func (b *Balancer) recordAnswerLatency(attempt *attempt, latency, objective Milliseconds) {
 	if attempt.inFlightBefore >= 0 {
 		b.timePerInFlightSamples = min(b.timePerInFlightSamples+1, averagingSamples)
-		sample := latency / (attempt.inFlightBefore + 1)
-		b.timePerInFlight += (sample - b.timePerInFlight) / b.timePerInFlightSamples
+		sample := latency / Milliseconds(attempt.inFlightBefore+1)
+		b.timePerInFlight += (sample - b.timePerInFlight) / Milliseconds(b.timePerInFlightSamples)
 	}
 	b.lastAnswerAt = b.now
 	b.recordLateness(latency > objective)
 	b.latencyRatioSamples = min(b.latencyRatioSamples+1, averagingSamples)
-	b.latencyRatio += (min(latency/objective, maxLatencyRatio) - b.latencyRatio) * b.averagingGain()
+	b.latencyRatio += (min(ratio(latency, objective), maxLatencyRatio) - b.latencyRatio) * b.averagingGain()
 	if b.latencyRatioSamples == averagingSamples {
 		b.minLatencyRatio = min(b.minLatencyRatio, b.latencyRatio)
 	}
--- a/balance/sticky_test.go
+++ b/balance/sticky_test.go
@@ -135,20 +135,20 @@
 	for i := range instances {
 		sim := newInstanceSimulation(t, i, instances, endpoints)
 		busy := endpoints[7].ID
-		sent := func(span float64) int {
+		sent := func(span Milliseconds) int {
 			start := sim.sent[busy]
 			sim.run(sim.now+span, 10)
 			return sim.sent[busy] - start
 		}
 		before += sent(10000)
-		sim.latency = func(id EndpointID) float64 {
+		sim.latency = func(id EndpointID) Milliseconds {
 			if id == busy {
 				return 250
 			}
 			return 5
 		}
 		overloaded += sent(10000)
-		sim.latency = func(EndpointID) float64 { return 5 }
+		sim.latency = func(EndpointID) Milliseconds { return 5 }
 		sent(2000)
 		after += sent(10000)
 	}
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -283,7 +283,7 @@
 }
 
 // validOr returns an imported value if it is within [0, high], and otherwise a fallback.
-func validOr(value, fallback, high float64) float64 {
+func validOr[T ~float64](value, fallback, high T) T {
 	if value >= 0 && value <= high {
 		return value
 	}
@@ -295,5 +295,5 @@
 	if value <= now {
 		return value
 	}
-	return math.Inf(-1)
+	return longAgo
 }
--- a/balance/transfer_test.go
+++ b/balance/transfer_test.go
@@ -53,13 +53,14 @@
 			b := New(cfg)
 			b.Start(1000)
 			b.Handle(1000, EndpointUpdate{Kind: UpdateSnapshot, Endpoints: []Endpoint{{ID: 1, Rating: 1}}})
+			at := Milliseconds(v)
 			b.ImportState(1000, LearnedState{
-				Started: v, AnsweredAt: v, AnswersAt: v, Admitted: v, Quickest: v, Slowness: v, SlowN: v, LateShare: v,
-				Answers: v, Latest: v, Unconnected: v, PerHeld: v, Busy: v, Learned: v, Drift: v, Steady: v,
+				Started: at, AnsweredAt: at, AnswersAt: at, Admitted: at, Quickest: v, Slowness: v, SlowN: v, LateShare: v,
+				Answers: v, Latest: v, Unconnected: v, PerHeld: at, Busy: v, Learned: v, Drift: v, Steady: v,
 				Kinds: map[int]float64{0: v}, Zones: map[int]float64{0: v}, Tenants: []float64{v},
-				Classes: []LearnedClass{{v, v, v, v, v, v, v}},
-				Servers: []LearnedEndpoint{{ID: 1, Size: v, LastErr: v, RestUntil: v, Errs: -5, ColdSince: v, Tokens: v,
-					TokensAt: v, HeardAt: v, SlowUntil: v, Scores: []float64{v}, ScoredAt: []float64{v}}, {ID: 9}},
+				Classes: []LearnedClass{{v, v, at, at, at, at, v}},
+				Servers: []LearnedEndpoint{{ID: 1, Size: v, LastErr: at, RestUntil: at, Errs: -5, ColdSince: at, Tokens: v,
+					TokensAt: at, HeardAt: at, SlowUntil: at, Scores: []float64{v}, ScoredAt: []Milliseconds{at}}, {ID: 9}},
 			}, []int{0}, []int{0})
 			actions, err := b.Handle(1001, Request{ID: 1, Remaining: 1000})
 			sent := false
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -45,7 +45,8 @@
 	if chosen != nil {
 		b.sendHealthCheck(chosen)
 	}
-	delay := b.longestObjective * backoffFactor(zone.recoveryChecks, maxZoneCheckDoublings) * b.jitter()
+	backoff := b.longestObjective.scaled(backoffFactor(zone.recoveryChecks, maxZoneCheckDoublings))
+	delay := backoff.scaled(b.jitter())
 	zone.recoveryChecks++
 	zone.nextCheckAt = b.now + delay
 	b.emit(Action{Kind: SetTimer, Token: zoneTimerToken + uint64(zone.number), Delay: delay})
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -60,7 +60,7 @@
 }
 
 // handle delivers one record to its instance. A panic of an instance is a fault of that instance only.
-func (h *host) handle(clock float64, record wire.Record) error {
+func (h *host) handle(clock balance.Milliseconds, record wire.Record) error {
 	defer func() {
 		if reason := recover(); reason != nil {
 			h.reply.Fault(record.Instance, fmt.Sprintf("panic: %v\n%s", reason, debug.Stack()))
@@ -78,7 +78,7 @@
 }
 
 // start starts an instance, in place of an earlier one of its number.
-func (h *host) start(clock float64, instance uint16, start wire.InstanceStart) {
+func (h *host) start(clock balance.Milliseconds, instance uint16, start wire.InstanceStart) {
 	cfg, err := settings.Parse(start.Seed, start.Settings)
 	if err != nil {
 		h.balancers[instance] = nil
@@ -91,7 +91,7 @@
 }
 
 // deliver hands an event to an instance. Its error ends the adapter.
-func (h *host) deliver(clock float64, instance uint16, event balance.Event) error {
+func (h *host) deliver(clock balance.Milliseconds, instance uint16, event balance.Event) error {
 	balancer, started := h.balancers[instance]
 	if !started {
 		return &notStartedError{Instance: instance}
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cindersaddle/internal/timing"
+	"cindersaddle/balance"
 )
 
 // What an unresponsive watch misses has to be known 6 s after the other side became unresponsive, or 2 s after the hold
@@ -44,8 +44,8 @@
 	firstByte     time.Duration // how long the first byte of the answer to any other call may take
 }
 
-// newTimeouts returns the times for an agent, which depend on the drain grace in milliseconds, or for polled discovery.
-func newTimeouts(agent bool, drainGrace float64) timeouts {
+// newTimeouts returns the times for an agent, which depend on the drain grace, or for polled discovery.
+func newTimeouts(agent bool, drainGrace balance.Milliseconds) timeouts {
 	if !agent {
 		return timeouts{
 			hold:          polledWatchHold,
@@ -53,7 +53,7 @@
 			firstByte:     polledResponseSlack,
 		}
 	}
-	firstByte := timing.Milliseconds(drainGrace * firstByteGraceFraction)
+	firstByte := (drainGrace * firstByteGraceFraction).Duration()
 	firstByte = max(firstByte, minFirstByteTimeout)
 	firstByte = min(firstByte, AgentResponseSlack)
 	return timeouts{hold: agentWatchHold, responseSlack: AgentResponseSlack, firstByte: firstByte}
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -7,7 +7,6 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/exchange"
-	"cindersaddle/internal/timing"
 	"cindersaddle/internal/upstream"
 )
 
@@ -49,7 +48,7 @@
 		Message:         req.exchange.Message,
 		SentAt:          l.clock.now,
 		Deadline:        l.clock.wallTime(l.attemptDeadline(req, action)),
-		TimeAfterUpload: timing.Milliseconds(timeAfterUpload),
+		TimeAfterUpload: timeAfterUpload.Duration(),
 		Observer:        l,
 		LoopDone:        l.ctx.Done(),
 	}
@@ -58,7 +57,7 @@
 }
 
 // attemptDeadline returns when an attempt is given up: with its request, or sooner if the balancer says so.
-func (l *Loop) attemptDeadline(req *request, action *balance.Action) float64 {
+func (l *Loop) attemptDeadline(req *request, action *balance.Action) balance.Milliseconds {
 	deadline := req.deadline
 	if req.uploading {
 		deadline = l.clock.now + maxUploadTime
@@ -105,7 +104,7 @@
 }
 
 // outcomeOf returns the balancer's event for the end of an attempt that took duration milliseconds.
-func outcomeOf(ev attemptEnd, duration float64, finished bool) balance.Outcome {
+func outcomeOf(ev attemptEnd, duration balance.Milliseconds, finished bool) balance.Outcome {
 	attempt := ev.attempt
 	outcome := balance.Outcome{
 		Request:       attempt.RequestID,
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -1,14 +1,18 @@
 package eventloop
 
-import "time"
+import (
+	"time"
+
+	"cindersaddle/balance"
+)
 
 // clock is the loop's time: Unix milliseconds at the start of the process, advanced by the monotonic clock, so that steps of
 // the system's clock do not show. started and epoch do not change, so that the conversions are safe in any goroutine; now
 // belongs to the loop.
 type clock struct {
-	started time.Time // the origin
-	epoch   float64   // the origin in Unix milliseconds
-	now     float64   // the time of the batch of events that is being handled; 0 before the first
+	started time.Time            // the origin
+	epoch   balance.Milliseconds // the origin in Unix milliseconds
+	now     balance.Milliseconds // the time of the batch of events that is being handled; 0 before the first
 }
 
 // newClock returns a clock with the given origin.
@@ -20,11 +24,11 @@
 func (c *clock) update() { c.now = c.milliseconds(time.Now()) }
 
 // milliseconds converts a moment to the loop's time.
-func (c *clock) milliseconds(moment time.Time) float64 {
-	return c.epoch + float64(moment.Sub(c.started))/float64(time.Millisecond)
+func (c *clock) milliseconds(moment time.Time) balance.Milliseconds {
+	return c.epoch + balance.MillisecondsOf(moment.Sub(c.started))
 }
 
 // wallTime converts a loop time to a moment.
-func (c *clock) wallTime(milliseconds float64) time.Time {
-	return c.started.Add(time.Duration((milliseconds - c.epoch) * float64(time.Millisecond)))
+func (c *clock) wallTime(milliseconds balance.Milliseconds) time.Time {
+	return c.started.Add((milliseconds - c.epoch).Duration())
 }
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -78,7 +78,7 @@
 	address := endpoint.Address.Load()
 	restarted := member.UpSince > 0 && member.UpSince != endpoint.Member.UpSince // less, if the wall clock was set back
 	if restarted || address == nil {
-		endpoint.StartedAt = l.starts.loopTime(member.UpSince, l.clock.now)
+		endpoint.StartedAt = l.starts.loopTime(balance.Milliseconds(member.UpSince), l.clock.now)
 	}
 	if address == nil || restarted || *address != member.HostPort {
 		current := strings.Clone(member.HostPort) // a substring would keep the text of the whole list in memory
--- a/internal/eventloop/events.go
+++ b/internal/eventloop/events.go
@@ -75,7 +75,7 @@
 type healthCheckEnd struct {
 	endpoint *upstream.Endpoint
 	result   upstream.Result
-	duration float64 // in milliseconds
+	duration balance.Milliseconds
 }
 
 func (ev healthCheckEnd) apply(l *Loop) {
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -3,7 +3,7 @@
 import "cindersaddle/balance"
 
 // logFailedAttempt logs an attempt that brought no good response.
-func (l *Loop) logFailedAttempt(req *request, ev *attemptEnd, duration float64) {
+func (l *Loop) logFailedAttempt(req *request, ev *attemptEnd, duration balance.Milliseconds) {
 	if ev.result.Outcome == balance.OK {
 		return
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -11,7 +11,7 @@
 // attempts, sets timers, starts health checks and gives each request its one final response. It never waits for a socket;
 // each attempt and each health check runs in a goroutine of its own, which ends before Run returns.
 //
-// Times are float64 milliseconds on the loop's clock, as the balancer counts them, unless their type says otherwise.
+// Points in time are balance.Milliseconds on the loop's clock, unless their type says otherwise.
 package eventloop
 
 import (
@@ -63,7 +63,7 @@
 	endpoints endpointTable
 	list      listVersion
 
-	lastFailureLog float64 // when a failed call to discovery was logged last
+	lastFailureLog balance.Milliseconds // when a failed call to discovery was logged last
 
 	ctx     context.Context // ends Run and all attempts
 	running sync.WaitGroup  // goroutines of attempts and health checks
--- a/internal/eventloop/requestindex.go
+++ b/internal/eventloop/requestindex.go
@@ -1,8 +1,6 @@
 package eventloop
 
 import (
-	"time"
-
 	"cindersaddle/balance"
 	"cindersaddle/internal/exchange"
 	"cindersaddle/internal/metrics"
@@ -12,9 +10,9 @@
 // request is a client's request, from its arrival until it has its response and no attempt of it is in flight.
 type request struct {
 	id            balance.RequestID
-	exchange      *exchange.Exchange  // nil once the request is released
-	deadline      float64             // not set while uploading
-	attempts      []*upstream.Attempt // by their number; nil once the request is released
+	exchange      *exchange.Exchange   // nil once the request is released
+	deadline      balance.Milliseconds // not set while uploading
+	attempts      []*upstream.Attempt  // by their number; nil once the request is released
 	maxAttempts   int
 	counters      *metrics.ClassCounters
 	inFlight      int  // attempts that have not ended
@@ -37,10 +35,10 @@
 
 // timeFromLastByte returns how many milliseconds the client of a request with a long body waits at least, from now on if the last
 // byte has come, and otherwise from then on. An attempt that follows a failed one can begin long after the last byte.
-func (r *request) timeFromLastByte() float64 {
+func (r *request) timeFromLastByte() balance.Milliseconds {
 	left := r.exchange.Request.Remaining
 	if upload := r.exchange.Message.Upload; upload != nil {
-		left -= float64(upload.SinceLastByte()) / float64(time.Millisecond)
+		left -= balance.MillisecondsOf(upload.SinceLastByte())
 	}
 	return max(0, left)
 }
--- a/internal/eventloop/starttimes_test.go
+++ b/internal/eventloop/starttimes_test.go
@@ -16,10 +16,10 @@
 func TestStartTimeAcrossClockSteps(t *testing.T) {
 	const began, now = 1e12, 1e12 + 30e3
 	for name, test := range map[string]struct {
-		step       float64 // of the wall clock, 10 s after the process began
-		listed     float64
-		want       float64
-		toleration float64
+		step       balance.Milliseconds // of the wall clock, 10 s after the process began
+		listed     balance.Milliseconds
+		want       balance.Milliseconds
+		toleration balance.Milliseconds
 	}{
 		"no step":                      {0, now - 5000, now - 5000, 0},
 		"long ago":                     {0, 0, 0, 0},
@@ -35,7 +35,7 @@
 		starts.observe(began, began)
 		starts.observe(began+10e3, began+10e3+test.step)
 		starts.observe(now, now+test.step)
-		if got := starts.loopTime(test.listed, now); math.Abs(got-test.want) > test.toleration {
+		if got := starts.loopTime(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.toleration) {
 			t.Errorf("%s: started %v ms before now, want %v", name, now-got, now-test.want)
 		}
 	}
@@ -45,13 +45,13 @@
 func TestClockDifferencesAreForgotten(t *testing.T) {
 	var starts startTimes
 	for i := range 100 {
-		moment := 1e12 + float64(i)*1000
-		starts.observe(moment, moment+float64(i)*hour)
+		moment := 1e12 + balance.Milliseconds(i)*1000
+		starts.observe(moment, moment+balance.Milliseconds(i)*hour)
 	}
 	if len(starts.differences) > maxClockDifferences {
 		t.Errorf("%d differences remembered, want at most %d", len(starts.differences), maxClockDifferences)
 	}
-	now := 1e12 + 200e3 + clockStepMemory
+	now := balance.Milliseconds(1e12 + 200e3 + clockStepMemory)
 	if got, want := starts.loopTime(now+98*hour, now), now-hour; got != want {
 		t.Errorf("start at %v, want %v", got, want)
 	}
@@ -64,13 +64,13 @@
 	l.upstreamClient = newTestUpstream(t)
 	l.clock.update()
 	member := sidecartest.ReadyMember("s-1", "127.0.0.1:9")
-	member.UpSince = l.clock.now - 60e3
+	member.UpSince = float64(l.clock.now - 60e3)
 	l.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Member{member}}}, balance.UpdateSnapshot)
 	endpoint := l.endpoints.byName["s-1"]
 	address := endpoint.Address.Load()
 
 	l.starts.observe(l.clock.now, l.clock.now-hour)
-	member.UpSince = l.clock.now - hour - 1000
+	member.UpSince = float64(l.clock.now - hour - 1000)
 	restarted := l.balancerEndpoint(l.updateEndpoint(&member), &member)
 	if endpoint.Address.Load() == address {
 		t.Error("connections to the previous process are still used")
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -1,10 +1,14 @@
 package eventloop
 
-import "container/heap"
+import (
+	"container/heap"
+
+	"cindersaddle/balance"
+)
 
 // timer is a timer of the balancer, or the deadline of a request.
 type timer struct {
-	dueAt   float64
+	dueAt   balance.Milliseconds
 	token   uint64   // the balancer's name for it; unused if request is set
 	request *request // the request that expires; nil: a timer of the balancer
 }
@@ -16,7 +20,7 @@
 func (q *timerQueue) schedule(t timer) { heap.Push(&q.heap, t) }
 
 // next returns when the first timer is due, and whether there is one.
-func (q *timerQueue) next() (dueAt float64, ok bool) {
+func (q *timerQueue) next() (dueAt balance.Milliseconds, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
@@ -24,7 +28,7 @@
 }
 
 // popDue removes and returns the first timer if it is due.
-func (q *timerQueue) popDue(now float64) (due timer, ok bool) {
+func (q *timerQueue) popDue(now balance.Milliseconds) (due timer, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].dueAt > now {
 		return timer{}, false
 	}
--- a/internal/eventloop/upload_test.go
+++ b/internal/eventloop/upload_test.go
@@ -15,7 +15,7 @@
 	const waits, since = 1000.0, 400 * time.Millisecond
 	for name, test := range map[string]struct {
 		complete bool
-		want     float64
+		want     balance.Milliseconds
 	}{
 		"before the last byte": {false, waits},
 		"after the last byte":  {true, 600},
@@ -32,7 +32,7 @@
 		l.requests.add(req)
 		endpoint := l.endpoints.add("s-1")
 		attempt := l.newAttempt(req, &balance.Action{Kind: balance.SendAttempt, Request: req.id, Endpoint: endpoint.ID})
-		left := float64(attempt.TimeAfterUpload) / float64(time.Millisecond)
+		left := balance.MillisecondsOf(attempt.TimeAfterUpload)
 		if left > test.want || left < test.want-100 {
 			t.Errorf("%s: the server is told %v ms, want %v", name, left, test.want)
 		}
@@ -68,8 +68,8 @@
 	l.clock.update()
 	endpoint := l.endpoints.add("s-1")
 	attempt := l.newAttempt(req, &balance.Action{Kind: balance.SendAttempt, Request: req.id, Endpoint: endpoint.ID})
-	want := waits - float64(pause.Milliseconds()) + slack
-	if told := float64(attempt.TimeAfterUpload) / float64(time.Millisecond); told > want {
+	want := waits - balance.MillisecondsOf(pause) + slack
+	if told := balance.MillisecondsOf(attempt.TimeAfterUpload); told > want {
 		t.Errorf("the server is told %v ms, want at most %v", told, want)
 	}
 }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"cindersaddle/balance"
 )
 
 // ExpiryHeader is the request header with the time that remains until the sender stops waiting; see ParseExpiry.
@@ -75,9 +77,9 @@
 	return strconv.FormatInt(max(1, remaining.Microseconds()), 10) + expiryMicroseconds
 }
 
-// ParseExpiry parses a value of ExpiryHeader, "480m" (milliseconds) or "480000u" (microseconds), and returns it in
-// milliseconds. limit, in milliseconds, is the upper bound, and the result for an empty text. The error is a RequestError.
-func ParseExpiry(text string, limit float64) (float64, error) {
+// ParseExpiry parses a value of ExpiryHeader, "480m" (milliseconds) or "480000u" (microseconds), and returns the
+// time. limit is the upper bound, and the result for an empty text. The error is a RequestError.
+func ParseExpiry(text string, limit balance.Milliseconds) (balance.Milliseconds, error) {
 	if text == "" {
 		return limit, nil
 	}
@@ -93,5 +95,5 @@
 	default:
 		return 0, Malformed("%s %q has no unit m or u", ExpiryHeader, text)
 	}
-	return min(value, limit), nil
+	return min(balance.Milliseconds(value), limit), nil
 }
--- a/internal/exchange/service.go
+++ b/internal/exchange/service.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"cindersaddle/balance"
-	"cindersaddle/internal/timing"
 )
 
 // MaxShutdownDeadline is the upper bound of the longest deadline that a shutdown waits for: the process is killed soon after.
@@ -53,9 +52,9 @@
 
 // LongestDeadline returns the longest deadline of the classes.
 func LongestDeadline(classes []balance.Class) time.Duration {
-	longest := 0.0
+	longest := balance.Milliseconds(0)
 	for i := range classes {
 		longest = max(longest, classes[i].Deadline)
 	}
-	return timing.Milliseconds(longest)
+	return longest.Duration()
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,5 +1,7 @@
 package settings
 
+import "cindersaddle/balance"
+
 // document mirrors the settings document; its times are in milliseconds. Keys that are not here are ignored, those of
 // later versions too. Left out on purpose, as no decision needs them: names (decisions must not depend on one), tiers
 // and kinds of peers, the rest of family_info, the CPU limits (the pass over the servers is cheap enough for all of
@@ -7,36 +9,36 @@
 //
 // A pointer is a key whose default is not the zero value.
 type document struct {
-	Classes         []classDocument  `json:"classes"`
-	Tenants         []tenantDocument `json:"tenants"`
-	Discovery       string           `json:"discovery"`
-	InstanceIndex   int              `json:"my_number"`
-	InstanceCount   int              `json:"peers_total"`
-	Zone            int              `json:"zone"`
-	Ratings         string           `json:"weights"`
-	WeightBy        string           `json:"value_by"`
-	Clients         clientsDocument  `json:"clients"`
-	Family          familyDocument   `json:"family_info"`
-	OverQuotaWeight *float64         `json:"over_share_worth"`
-	Quantum         float64          `json:"quantum_ms"`
-	Report          reportDocument   `json:"report"`
-	Limits          limitsDocument   `json:"limits"`
-	Rules           rulesDocument    `json:"rules"`
-	ScoreWeights    scoreDocument    `json:"result_mix"`
-	Costs           costsDocument    `json:"penalties"`
+	Classes         []classDocument      `json:"classes"`
+	Tenants         []tenantDocument     `json:"tenants"`
+	Discovery       string               `json:"discovery"`
+	InstanceIndex   int                  `json:"my_number"`
+	InstanceCount   int                  `json:"peers_total"`
+	Zone            int                  `json:"zone"`
+	Ratings         string               `json:"weights"`
+	WeightBy        string               `json:"value_by"`
+	Clients         clientsDocument      `json:"clients"`
+	Family          familyDocument       `json:"family_info"`
+	OverQuotaWeight *float64             `json:"over_share_worth"`
+	Quantum         balance.Milliseconds `json:"quantum_ms"`
+	Report          reportDocument       `json:"report"`
+	Limits          limitsDocument       `json:"limits"`
+	Rules           rulesDocument        `json:"rules"`
+	ScoreWeights    scoreDocument        `json:"result_mix"`
+	Costs           costsDocument        `json:"penalties"`
 }
 
 // classDocument is one class of requests.
 type classDocument struct {
-	Effect           string   `json:"effect"`
-	DedupScope       string   `json:"group"`
-	DedupWindow      *float64 `json:"window_ms"`
-	LatencyObjective float64  `json:"on_time_ms"` // 0: the deadline
-	ObjectiveStretch float64  `json:"aim_stretch"`
-	Deadline         float64  `json:"hard_limit_ms"`
-	PriorityWeight   *float64 `json:"worth"`
-	LateWeight       float64  `json:"late_worth"`
-	Streaming        bool     `json:"stream"`
+	Effect           string                `json:"effect"`
+	DedupScope       string                `json:"group"`
+	DedupWindow      *balance.Milliseconds `json:"window_ms"`
+	LatencyObjective balance.Milliseconds  `json:"on_time_ms"` // 0: the deadline
+	ObjectiveStretch float64               `json:"aim_stretch"`
+	Deadline         balance.Milliseconds  `json:"hard_limit_ms"`
+	PriorityWeight   *float64              `json:"worth"`
+	LateWeight       float64               `json:"late_worth"`
+	Streaming        bool                  `json:"stream"`
 }
 
 // tenantDocument is one tenant's quota.
@@ -63,27 +65,27 @@
 
 // limitsDocument holds what a sidecar may do.
 type limitsDocument struct {
-	Cancellation    bool     `json:"cancel"`
-	ConnectTimeout  float64  `json:"connect_timeout_ms"`
-	ConnIdleTimeout float64  `json:"conn_idle_ms"`
-	MaxAttempts     *float64 `json:"max_attempts"`
-	MaxRetryAfter   float64  `json:"max_retry_after_ms"`
-	MaxOpenRequests int      `json:"open_cap"`
-	Hedging         bool     `json:"parallel_tries"`
-	HealthChecks    bool     `json:"probes"`
-	RetryAfter      bool     `json:"retry_after"`
-	StreamsPerConn  *int     `json:"streams_per_conn"`
+	Cancellation    bool                 `json:"cancel"`
+	ConnectTimeout  balance.Milliseconds `json:"connect_timeout_ms"`
+	ConnIdleTimeout balance.Milliseconds `json:"conn_idle_ms"`
+	MaxAttempts     *float64             `json:"max_attempts"`
+	MaxRetryAfter   balance.Milliseconds `json:"max_retry_after_ms"`
+	MaxOpenRequests int                  `json:"open_cap"`
+	Hedging         bool                 `json:"parallel_tries"`
+	HealthChecks    bool                 `json:"probes"`
+	RetryAfter      bool                 `json:"retry_after"`
+	StreamsPerConn  *int                 `json:"streams_per_conn"`
 }
 
 // rulesDocument holds the rules of timing and of cold and overloaded servers.
 type rulesDocument struct {
-	AnswerGrace     float64  `json:"answer_slack_ms"`
-	MaxPollInterval float64  `json:"ask_within_ms"`
-	WarmUpFraction  *float64 `json:"cold_from"`
-	WarmUpDuration  float64  `json:"cold_ms"`
-	DrainGrace      float64  `json:"drain_grace_ms"`
-	OverloadWindow  float64  `json:"fall_ms"`
-	OverloadFactor  float64  `json:"fall_multiple"`
+	AnswerGrace     balance.Milliseconds `json:"answer_slack_ms"`
+	MaxPollInterval balance.Milliseconds `json:"ask_within_ms"`
+	WarmUpFraction  *float64             `json:"cold_from"`
+	WarmUpDuration  balance.Milliseconds `json:"cold_ms"`
+	DrainGrace      balance.Milliseconds `json:"drain_grace_ms"`
+	OverloadWindow  balance.Milliseconds `json:"fall_ms"`
+	OverloadFactor  float64              `json:"fall_multiple"`
 }
 
 // scoreDocument holds the weights of the parts of the score.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -106,7 +106,7 @@
 	return balance.Class{
 		Idempotency:      idempotencies[c.Effect],
 		DedupScope:       dedupScopes[c.DedupScope],
-		DedupWindow:      valueOr(c.DedupWindow, math.Inf(1)),
+		DedupWindow:      valueOr(c.DedupWindow, balance.Milliseconds(math.Inf(1))),
 		LatencyObjective: objective,
 		ObjectiveStretch: c.ObjectiveStretch,
 		Deadline:         c.Deadline,
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -78,17 +78,17 @@
 func (d *document) validateNumbers() error {
 	rules, limits := &d.Rules, &d.Limits
 	return validateNotNegative("", []number{
-		{"rules.answer_slack_ms", rules.AnswerGrace},
-		{"rules.ask_within_ms", rules.MaxPollInterval},
-		{"rules.cold_ms", rules.WarmUpDuration},
-		{"rules.drain_grace_ms", rules.DrainGrace},
-		{"rules.fall_ms", rules.OverloadWindow},
+		{"rules.answer_slack_ms", float64(rules.AnswerGrace)},
+		{"rules.ask_within_ms", float64(rules.MaxPollInterval)},
+		{"rules.cold_ms", float64(rules.WarmUpDuration)},
+		{"rules.drain_grace_ms", float64(rules.DrainGrace)},
+		{"rules.fall_ms", float64(rules.OverloadWindow)},
 		{"rules.fall_multiple", rules.OverloadFactor},
-		{"limits.connect_timeout_ms", limits.ConnectTimeout},
-		{"limits.conn_idle_ms", limits.ConnIdleTimeout},
-		{"limits.max_retry_after_ms", limits.MaxRetryAfter},
+		{"limits.connect_timeout_ms", float64(limits.ConnectTimeout)},
+		{"limits.conn_idle_ms", float64(limits.ConnIdleTimeout)},
+		{"limits.max_retry_after_ms", float64(limits.MaxRetryAfter)},
 		{"limits.open_cap", float64(limits.MaxOpenRequests)},
-		{"quantum_ms", d.Quantum},
+		{"quantum_ms", float64(d.Quantum)},
 		{"over_share_worth", valueOr(d.OverQuotaWeight, defaultOverQuotaWeight)},
 		{"zone", float64(d.Zone)},
 	})
@@ -149,8 +149,8 @@
 		return &KeyError{Key: prefix + "hard_limit_ms", Value: c.Deadline, Err: errNotPositive}
 	}
 	err := validateNotNegative(prefix, []number{
-		{"on_time_ms", c.LatencyObjective},
-		{"window_ms", valueOr(c.DedupWindow, 0)},
+		{"on_time_ms", float64(c.LatencyObjective)},
+		{"window_ms", float64(valueOr(c.DedupWindow, 0))},
 		{"worth", valueOr(c.PriorityWeight, defaultPriorityWeight)},
 		{"late_worth", c.LateWeight},
 		{"aim_stretch", c.ObjectiveStretch},
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -32,7 +32,6 @@
 	"cindersaddle/internal/eventloop"
 	"cindersaddle/internal/exchange"
 	"cindersaddle/internal/metrics"
-	"cindersaddle/internal/timing"
 	"cindersaddle/internal/upgrade"
 	"cindersaddle/internal/upstream"
 )
@@ -168,7 +167,7 @@
 // shortenIdleTimeout replaces the servers' idle timeout in the configuration by the time after which the pool closes an idle
 // connection, as the balancer must know that, and returns it; 0: the configuration has no idle timeout.
 func shortenIdleTimeout(cfg *config.Config) time.Duration {
-	idleTime := timing.Milliseconds(cfg.Balance.ConnIdleTimeout * connIdleFraction)
+	idleTime := (cfg.Balance.ConnIdleTimeout * connIdleFraction).Duration()
 	if idleTime > 0 {
 		cfg.Balance.ConnIdleTimeout *= connIdleFraction
 	}
@@ -178,7 +177,7 @@
 // newPool returns the pool of connections to servers, of which applyLimits sets the limit. idleTime is how long it keeps an
 // idle connection; 0: the default.
 func newPool(cfg *config.Config, idleTime time.Duration) *upstream.Pool {
-	connectTimeout := cmp.Or(timing.Milliseconds(cfg.Balance.ConnectTimeout), defaultConnectTimeout)
+	connectTimeout := cmp.Or(cfg.Balance.ConnectTimeout.Duration(), defaultConnectTimeout)
 	return upstream.NewPool(connectTimeout, cmp.Or(idleTime, defaultConnIdleTime), cfg.ConnReuseDelay, 0)
 }
 
--- a/internal/upgrade/compatibility_test.go
+++ b/internal/upgrade/compatibility_test.go
@@ -26,7 +26,7 @@
 		Tenants: []float64{27},
 		Servers: []balance.LearnedEndpoint{{
 			ID: 28, Size: 29, LastErr: 30, RestUntil: 31, Errs: 32, Rests: 33, Downs: 34, ColdSince: 35, Tokens: 36,
-			TokensAt: 37, HeardAt: 38, SlowUntil: 39, Scores: []float64{40}, ScoredAt: []float64{41},
+			TokensAt: 37, HeardAt: 38, SlowUntil: 39, Scores: []float64{40}, ScoredAt: []balance.Milliseconds{41},
 		}},
 	},
 }
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -21,7 +21,7 @@
 	Memory    balance.LearnedState
 	// WallAhead is by how many milliseconds the wall clock is ahead of the clock of Memory, because it was stepped. Earlier
 	// versions do not send it.
-	WallAhead float64
+	WallAhead balance.Milliseconds
 }
 
 // VersionError reports a predecessor of another version of the handover.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -32,9 +32,9 @@
 
 	// The fields below are the event loop's: the goroutine of the attempt does not use them.
 
-	SentAt          float64 // when it was sent, in milliseconds of the loop's clock
-	ResponseTooLong bool    // its response is longer than a sidecar that shuts down can forward
-	StreamLatency   float64 // milliseconds until a streamed response started; 0: none has
+	SentAt          balance.Milliseconds // when it was sent, on the loop's clock
+	ResponseTooLong bool                 // its response is longer than a sidecar that shuts down can forward
+	StreamLatency   balance.Milliseconds // time until a streamed response started; 0: none has
 }
 
 // Observer follows an attempt. Its methods are called on the goroutines of the attempt, and must not block for long.
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -70,6 +70,9 @@
 	return value
 }
 
+// milliseconds returns the next point in time or span of time, or 0 where it is not finite.
+func (c *cursor) milliseconds() balance.Milliseconds { return balance.Milliseconds(c.float64()) }
+
 // float32 returns the next number, or 0 where it is not finite.
 func (c *cursor) float32() float32 {
 	value := math.Float32frombits(c.uint32())
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -31,14 +31,13 @@
 // frameHeader is the header of a frame.
 type frameHeader struct {
 	records uint32
-	size    uint32  // of the whole frame, in bytes
-	clock   float64 // milliseconds
+	size    uint32 // of the whole frame, in bytes
+	clock   balance.Milliseconds
 }
 
-// Read calls handle for each record of the next frame that is for an instance, in order, with the clock of the frame
-// in milliseconds. It returns io.EOF at the end of input between two frames. Slices in records are valid during the
+// Read calls handle for each record of the next frame that is for an instance, in order, with the clock of the frame. It returns io.EOF at the end of input between two frames. Slices in records are valid during the
 // call of handle only.
-func (r *Reader) Read(handle func(clock float64, record Record) error) error {
+func (r *Reader) Read(handle func(clock balance.Milliseconds, record Record) error) error {
 	header, err := r.readHeader()
 	if err != nil {
 		return err
@@ -70,12 +69,12 @@
 	header := frameHeader{
 		records: binary.BigEndian.Uint32(data[0:]),
 		size:    binary.BigEndian.Uint32(data[4:]),
-		clock:   math.Float64frombits(binary.BigEndian.Uint64(data[8:])),
+		clock:   balance.Milliseconds(math.Float64frombits(binary.BigEndian.Uint64(data[8:]))),
 	}
 	if header.size < headerSize || header.size > maxFrameSize {
 		return frameHeader{}, fmt.Errorf("frame length %d: want %d to %d", header.size, headerSize, maxFrameSize)
 	}
-	if !isFinite(header.clock) {
+	if !isFinite(float64(header.clock)) {
 		return frameHeader{}, fmt.Errorf("frame clock is %v", header.clock)
 	}
 	return header, nil
@@ -93,7 +92,7 @@
 }
 
 // handleRecord decodes one record and hands it over, unless it is for no instance.
-func (r *Reader) handleRecord(fields *cursor, clock float64, handle func(float64, Record) error) error {
+func (r *Reader) handleRecord(fields *cursor, clock balance.Milliseconds, handle func(balance.Milliseconds, Record) error) error {
 	record, err := r.decodeRecord(fields)
 	if err != nil {
 		return err
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -133,7 +133,7 @@
 }
 
 func decodeEndpoint(fields *cursor) (balance.Endpoint, error) {
-	endpoint := balance.Endpoint{StartedAt: fields.float64()}
+	endpoint := balance.Endpoint{StartedAt: fields.milliseconds()}
 	stateCode := fields.uint8()
 	state, known := endpointStates[stateCode]
 	if !known {
@@ -179,7 +179,7 @@
 	request.ClientRetry = flags&flagClientRetry != 0
 	request.Write = flags&flagWrite != 0
 	request.StickyKey = fields.uint64()
-	request.Remaining = fields.float64()
+	request.Remaining = fields.milliseconds()
 	request.Class = int(fields.uint16())
 	return request
 }
@@ -189,7 +189,7 @@
 		Request:  fields.requestID(),
 		Attempt:  int(fields.uint8()),
 		Endpoint: fields.endpointID(),
-		Latency:  fields.float64(),
+		Latency:  fields.milliseconds(),
 	}
 }
 
@@ -200,7 +200,7 @@
 		Endpoint: fields.endpointID(),
 	}
 	resultCode := fields.uint16()
-	outcome.Duration = fields.float64()
+	outcome.Duration = fields.milliseconds()
 	outcome.Finished = fields.uint8() != 0
 	outcome.LoadReport = r.decodeLoadReport(fields)
 	var err error
@@ -209,7 +209,7 @@
 }
 
 func (r *Reader) decodeHealthCheckResult(fields *cursor) (balance.Event, error) {
-	result := balance.HealthCheckResult{Duration: fields.float64()}
+	result := balance.HealthCheckResult{Duration: fields.milliseconds()}
 	resultCode := fields.uint16()
 	result.Endpoint = fields.endpointID()
 	result.LoadReport = r.decodeLoadReport(fields)
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -70,14 +70,14 @@
 func (r *Reply) addSendAttempt(instance uint16, action *balance.Action) {
 	r.putHeader(codeSendAttempt, instance)
 	r.putUint64(uint64(action.Request))
-	r.putFloat64(action.Deadline)
+	r.putMilliseconds(action.Deadline)
 	r.putEndpointID(action.Endpoint)
 }
 
 func (r *Reply) addRejectRequest(instance uint16, action *balance.Action) {
 	r.putHeader(codeRejectRequest, instance)
 	r.putUint64(uint64(action.Request))
-	r.putFloat64(action.RetryAfter)
+	r.putMilliseconds(action.RetryAfter)
 }
 
 func (r *Reply) addFailRequest(instance uint16, action *balance.Action) {
@@ -94,7 +94,7 @@
 func (r *Reply) addSetTimer(instance uint16, action *balance.Action) {
 	r.putHeader(codeSetTimer, instance)
 	r.putUint64(action.Token)
-	r.putFloat64(action.Delay)
+	r.putMilliseconds(action.Delay)
 }
 
 func (r *Reply) addCheckHealth(instance uint16, action *balance.Action) {
@@ -132,6 +132,8 @@
 
 func (r *Reply) putFloat64(value float64) { r.putUint64(math.Float64bits(value)) }
 
+func (r *Reply) putMilliseconds(value balance.Milliseconds) { r.putFloat64(float64(value)) }
+
 // putEndpointID appends the address and the port that an ID holds.
 func (r *Reply) putEndpointID(id balance.EndpointID) {
 	r.putUint32(uint32(id >> portBits))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,11 +22,11 @@
 }
 
 // readAll returns all records of a reader and the clock of the last.
-func readAll(r *Reader) ([]Record, float64, error) {
+func readAll(r *Reader) ([]Record, balance.Milliseconds, error) {
 	var records []Record
-	var lastClock float64
+	var lastClock balance.Milliseconds
 	for {
-		err := r.Read(func(clock float64, record Record) error {
+		err := r.Read(func(clock balance.Milliseconds, record Record) error {
 			records, lastClock = append(records, record), clock
 			return nil
 		})
@@ -121,7 +121,7 @@
 		body := decodeHex(t, "041a 0003 ffff "+message+" 03fc 0003 000000000000004d")
 		frame := append(decodeHex(t, fmt.Sprintf("00000002 %08x 40c06e2000000000", len(body)+headerSize)), body...)
 		var events []any
-		err := NewReader(bytes.NewReader(frame)).Read(func(_ float64, record Record) error {
+		err := NewReader(bytes.NewReader(frame)).Read(func(_ balance.Milliseconds, record Record) error {
 			events = append(events, record.Event)
 			return nil
 		})
