--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -6,7 +6,6 @@
 
 	"cindersaddle/internal/config"
 	"cindersaddle/internal/membership"
-	"cindersaddle/internal/timing"
 )
 
 // Observer receives what a Watcher learns, on the goroutine of Run.
@@ -56,7 +55,7 @@
 	}
 	if !cfg.Balance.PolledDiscovery {
 		w.mode = agentMode
-		w.timeouts = agentTimeouts(timing.Milliseconds(cfg.Balance.DrainGrace))
+		w.timeouts = agentTimeouts(cfg.Balance.DrainGrace.Duration())
 		w.list.watchBroken = true // a new process has no watch open, and the agent may be unresponsive
 	}
 	w.client = newClient(w.dial, w.timeouts.dial())
