--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -38,12 +38,12 @@
 	for range 2 {
 		successor := NewHandover(cfg, slog.New(slog.DiscardHandler))
 		sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := successor.RequestState(); return err == nil })
-		if got := sidecartest.Next(t, processes); got != 2 || !handover.Succeeded() {
-			t.Errorf("%d processes, succeeded: %v", got, handover.Succeeded())
+		if got := sidecartest.Next(t, processes); got != 2 || !hasSuccessor(handover) {
+			t.Errorf("%d processes, succeeded: %v", got, hasSuccessor(handover))
 		}
 		successor.predecessor.Close()
-		if got := sidecartest.Next(t, processes); got != 1 || handover.Succeeded() {
-			t.Errorf("after the successor's end: %d processes, succeeded: %v", got, handover.Succeeded())
+		if got := sidecartest.Next(t, processes); got != 1 || hasSuccessor(handover) {
+			t.Errorf("after the successor's end: %d processes, succeeded: %v", got, hasSuccessor(handover))
 		}
 	}
 	cancel()
@@ -262,3 +262,10 @@
 		<-done
 	})
 }
+
+// hasSuccessor reports whether another process has taken over from this one and runs.
+func hasSuccessor(h *Handover) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.successors > 0
+}
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -93,10 +93,3 @@
 	h.retired.Store(true)
 	return h.successors > 0
 }
-
-// Succeeded reports whether another process has taken over and runs.
-func (h *Handover) Succeeded() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.successors > 0
-}
