--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -147,40 +147,45 @@
 
 // state hashes the exported state of a balancer.
 func (d *digest) state(m *balance.LearnedState) {
-	d.times(m.Started, m.AnsweredAt, m.AnswersAt, m.Admitted)
-	d.floats(m.Quickest, m.Slowness, m.SlowN, m.LateShare)
-	d.floats(m.Answers, m.Latest, m.Unconnected)
-	d.times(m.PerHeld)
-	d.floats(m.HeldN, m.Busy)
-	d.floats(m.Learned, m.Drift, m.Steady)
-	d.table(m.Kinds)
+	d.times(m.StartedAt, m.LastResponseAt, m.ResponsesCountedAt, m.LastRequestAt)
+	d.floats(m.MinLatencyRatio, m.LatencyRatio, m.LatencyRatioSamples, m.LateFraction)
+	d.floats(m.ResponseCount, m.LatestResponseCount, m.ConnectFailureFraction)
+	d.times(m.TimePerInFlight)
+	d.floats(m.TimePerInFlightSamples, m.BusyFraction)
+	d.floats(m.CapacityUpdates, m.CapacityDrift, m.SteadyShed)
+	d.table(m.MachineTypes)
 	d.table(m.Zones)
 	d.integer(len(m.Classes))
 	for _, class := range m.Classes {
-		d.floats(class.Asked, class.N)
-		d.times(class.Mean, class.Dev, class.Longest, class.FailedAt)
-		d.floats(class.Expected)
+		d.floats(class.Requests, class.LatencySamples)
+		d.times(class.MeanLatency, class.LatencyDeviation, class.LongestTimeout, class.LastFailureAt)
+		d.floats(class.MeanScore)
 	}
-	d.list(m.Tenants)
-	d.integer(len(m.Servers))
-	for i := range m.Servers {
-		d.endpointState(&m.Servers[i])
+	d.list(m.TenantRequests)
+	d.integer(len(m.Endpoints))
+	for i := range m.Endpoints {
+		d.endpointState(&m.Endpoints[i])
 	}
 }
 
 func (d *digest) endpointState(endpoint *balance.LearnedEndpoint) {
 	d.whole(uint64(endpoint.ID))
-	d.floats(endpoint.Size)
-	d.times(endpoint.LastErr, endpoint.RestUntil)
-	d.integer(endpoint.Errs)
-	d.integer(endpoint.Rests)
-	d.integer(endpoint.Downs)
-	d.times(endpoint.ColdSince)
-	d.floats(endpoint.Tokens)
-	d.times(endpoint.TokensAt, endpoint.HeardAt, endpoint.SlowUntil)
-	d.list(endpoint.Scores)
-	d.integer(len(endpoint.ScoredAt))
-	d.times(endpoint.ScoredAt...)
+	d.floats(endpoint.CapacityLog)
+	d.times(endpoint.LastErrorAt, endpoint.EjectedUntil)
+	d.integer(endpoint.ConsecutiveErrors)
+	d.integer(endpoint.Ejections)
+	d.integer(endpoint.ConnectErrors)
+	d.times(endpoint.WarmUpSince)
+	d.floats(endpoint.SlowStartTokens)
+	d.times(endpoint.TokensUpdatedAt, endpoint.LastResponseAt, endpoint.SlowUntil)
+	d.integer(len(endpoint.ClassScores))
+	for _, score := range endpoint.ClassScores {
+		d.floats(score.Value)
+	}
+	d.integer(len(endpoint.ClassScores))
+	for _, score := range endpoint.ClassScores {
+		d.times(score.UpdatedAt)
+	}
 }
 
 func (d *digest) list(values []float64) {
@@ -909,8 +914,8 @@
 	state := s.balancer.ExportState(s.now)
 	s.digest.state(&state)
 	if s.number%8 == 2 {
-		state.Quickest, state.Drift, state.Steady = math.NaN(), 5, -1
-		state.Started, state.Answers = s.now+1000, math.Inf(1)
+		state.MinLatencyRatio, state.CapacityDrift, state.SteadyShed = math.NaN(), 5, -1
+		state.StartedAt, state.ResponseCount = s.now+1000, math.Inf(1)
 	}
 	s.pending, s.recent = nil, nil
 	for _, endpoint := range s.endpoints {
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -12,90 +12,97 @@
 	maxImportedDelay  Milliseconds = 60e3 // from now until the end of an ejection
 )
 
-// LearnedState is what a balancer has learned, in a form that another process can import. Its fields, and
-// those of LearnedClass and LearnedEndpoint, are encoded by name (gob) between processes of different
-// versions: they must not be renamed. Points in time are Unix milliseconds.
+// LearnedState is what a balancer has learned, in a form that another process can import. Points in time are
+// Unix milliseconds. Package upgrade encodes it.
 type LearnedState struct {
-	Started    Milliseconds // when the balancer started
-	AnsweredAt Milliseconds // when the last answer arrived
-	AnswersAt  Milliseconds // when Answers and Latest were updated
-	Admitted   Milliseconds // when the last request arrived
+	StartedAt          Milliseconds // when the balancer started
+	LastRequestAt      Milliseconds // when the last request arrived
+	LastResponseAt     Milliseconds // when the last response arrived
+	ResponsesCountedAt Milliseconds // when the two counts of responses were updated
 
-	Quickest  float64 // least mean of latency / objective
-	Slowness  float64 // recent mean of latency / objective
-	SlowN     float64 // samples of Slowness
-	LateShare float64 // recent fraction of late answers
+	ResponseCount       float64 // responses, decaying over several of the longest latency objectives
+	LatestResponseCount float64 // responses, decaying over the longest latency objective
+	MinLatencyRatio     float64 // least mean of latency / objective
+	LatencyRatio        float64 // recent mean of latency / objective
+	LatencyRatioSamples float64
+	LateFraction        float64 // recent fraction of responses after their latency objective
+	SteadyShed          float64 // fraction of the load that is shed steadily
 
-	Answers     float64      // answers, decaying
-	Latest      float64      // answers, decaying within the longest latency objective
-	Unconnected float64      // recent fraction of attempts that could not connect
-	PerHeld     Milliseconds // mean latency divided by requests in flight
-	HeldN       float64      // samples of PerHeld
-	Busy        float64      // recent fraction of checked endpoints that had requests in flight
+	ConnectFailureFraction float64      // recent fraction of attempts that could not connect
+	TimePerInFlight        Milliseconds // mean latency divided by the requests in flight at the endpoint
+	TimePerInFlightSamples float64
+	BusyFraction           float64 // recent fraction of checked endpoints that had requests in flight
 
-	Learned float64 // updates of learned capacities
-	Drift   float64 // mean step of these updates
-	Steady  float64 // fraction of the load that is shed steadily
+	CapacityUpdates float64         // updates of learned capacities
+	CapacityDrift   float64         // mean step of these updates
+	MachineTypes    map[int]float64 // logarithm of the capacity factor by machine type
+	Zones           map[int]float64 // logarithm of the capacity factor by zone
 
-	Kinds   map[int]float64 // logarithm of the capacity factor by machine type
-	Zones   map[int]float64 // logarithm of the capacity factor by zone
-	Classes []LearnedClass
-	Tenants []float64 // requests of each tenant
-	Servers []LearnedEndpoint
+	Classes        []LearnedClass
+	TenantRequests []float64 // requests by tenant
+	Endpoints      []LearnedEndpoint
 }
 
 // LearnedClass is what is known of a class.
 type LearnedClass struct {
-	Asked    float64      // requests
-	N        float64      // samples of Mean
-	Mean     Milliseconds // mean latency
-	Dev      Milliseconds // mean absolute deviation of the latency
-	Longest  Milliseconds // longest time that a client was willing to wait
-	FailedAt Milliseconds // when an endpoint last failed a request
-	Expected float64      // mean of the endpoints' scores
+	Requests         float64
+	LatencySamples   float64
+	MeanLatency      Milliseconds
+	LatencyDeviation Milliseconds // mean absolute deviation
+	LongestTimeout   Milliseconds // longest time that a client was willing to wait
+	LastFailureAt    Milliseconds // when an endpoint last failed a request of the class
+	MeanScore        float64      // mean of the endpoints' scores
 }
 
 // LearnedEndpoint is what is known of an endpoint.
 type LearnedEndpoint struct {
-	ID        EndpointID
-	Size      float64      // logarithm of the capacity factor
-	LastErr   Milliseconds // when the last error occurred
-	RestUntil Milliseconds // end of the ejection
-	Errs      int          // consecutive errors
-	Rests     int          // consecutive ejections
-	Downs     int          // consecutive attempts that could not connect
-	ColdSince Milliseconds // start of the warm-up
-	Tokens    float64      // attempts that the slow start allows
-	TokensAt  Milliseconds // when Tokens was updated
-	HeardAt   Milliseconds // when the last answer arrived
-	SlowUntil Milliseconds // until when it counts as slow
-	Scores    []float64    // score by class
-	ScoredAt  []Milliseconds
+	ID                EndpointID
+	CapacityLog       float64 // logarithm of the capacity factor
+	LastErrorAt       Milliseconds
+	LastResponseAt    Milliseconds
+	ConsecutiveErrors int
+	ConnectErrors     int // consecutive attempts that could not connect
+	Ejections         int // consecutive ejections
+	EjectedUntil      Milliseconds
+	SlowUntil         Milliseconds // until when it is avoided for sticky keys, because it was slow
+	WarmUpSince       Milliseconds
+	SlowStartTokens   float64 // attempts that the slow start allows
+	TokensUpdatedAt   Milliseconds
+	ClassScores       []LearnedClassScore // by class
+}
+
+// LearnedClassScore is the score of a class at an endpoint.
+type LearnedClassScore struct {
+	Value     float64 // 0 (fails all requests) to 1
+	UpdatedAt Milliseconds
 }
 
 // ShiftTimes adds to all points in time, for a process whose clock differs from that of the one that exported
 // the state.
 func (s *LearnedState) ShiftTimes(by Milliseconds) {
-	for _, moment := range []*Milliseconds{&s.Started, &s.AnsweredAt, &s.AnswersAt, &s.Admitted} {
+	moments := []*Milliseconds{&s.StartedAt, &s.LastRequestAt, &s.LastResponseAt, &s.ResponsesCountedAt}
+	for _, moment := range moments {
 		*moment += by
 	}
 	for i := range s.Classes {
-		s.Classes[i].FailedAt += by
+		s.Classes[i].LastFailureAt += by
 	}
-	for i := range s.Servers {
-		s.Servers[i].shiftTimes(by)
+	for i := range s.Endpoints {
+		s.Endpoints[i].shiftTimes(by)
 	}
 }
 
 func (ep *LearnedEndpoint) shiftTimes(by Milliseconds) {
 	moments := []*Milliseconds{
-		&ep.LastErr, &ep.RestUntil, &ep.ColdSince, &ep.TokensAt, &ep.HeardAt, &ep.SlowUntil,
+		&ep.LastErrorAt, &ep.LastResponseAt,
+		&ep.EjectedUntil, &ep.SlowUntil,
+		&ep.WarmUpSince, &ep.TokensUpdatedAt,
 	}
 	for _, moment := range moments {
 		*moment += by
 	}
-	for i := range ep.ScoredAt {
-		ep.ScoredAt[i] += by
+	for i := range ep.ClassScores {
+		ep.ClassScores[i].UpdatedAt += by
 	}
 }
 
@@ -105,25 +112,25 @@
 	b.now = now
 	b.answerRate(0, 1)
 	state := LearnedState{
-		Started:     b.startedAt,
-		AnsweredAt:  b.lastAnswerAt,
-		AnswersAt:   b.answersCountedAt,
-		Admitted:    b.lastAdmissionAt,
-		Quickest:    b.minLatencyRatio,
-		Slowness:    b.latencyRatio,
-		SlowN:       b.latencyRatioSamples,
-		LateShare:   b.lateFraction,
-		Answers:     b.answerCount,
-		Latest:      b.latestAnswerCount,
-		Unconnected: b.connectFailureFraction,
-		PerHeld:     b.timePerInFlight,
-		HeldN:       b.timePerInFlightSamples,
-		Busy:        b.busyFraction,
-		Learned:     b.learnCount,
-		Drift:       b.learnDrift,
-		Steady:      b.steadyShed,
-		Kinds:       map[int]float64{},
-		Zones:       map[int]float64{},
+		StartedAt:              b.startedAt,
+		LastResponseAt:         b.lastAnswerAt,
+		ResponsesCountedAt:     b.answersCountedAt,
+		LastRequestAt:          b.lastAdmissionAt,
+		MinLatencyRatio:        b.minLatencyRatio,
+		LatencyRatio:           b.latencyRatio,
+		LatencyRatioSamples:    b.latencyRatioSamples,
+		LateFraction:           b.lateFraction,
+		ResponseCount:          b.answerCount,
+		LatestResponseCount:    b.latestAnswerCount,
+		ConnectFailureFraction: b.connectFailureFraction,
+		TimePerInFlight:        b.timePerInFlight,
+		TimePerInFlightSamples: b.timePerInFlightSamples,
+		BusyFraction:           b.busyFraction,
+		CapacityUpdates:        b.learnCount,
+		CapacityDrift:          b.learnDrift,
+		SteadyShed:             b.steadyShed,
+		MachineTypes:           map[int]float64{},
+		Zones:                  map[int]float64{},
 	}
 	b.answerCount /= 2
 	b.latestAnswerCount /= 2
@@ -134,7 +141,7 @@
 // exportCollections adds what was learned of machine types, zones, classes, tenants and endpoints.
 func (b *Balancer) exportCollections(state *LearnedState) {
 	for number, factor := range b.machineTypes {
-		state.Kinds[number] = factor.logarithm
+		state.MachineTypes[number] = factor.logarithm
 	}
 	for number, zone := range b.zones {
 		state.Zones[number] = zone.logarithm
@@ -143,44 +150,44 @@
 		state.Classes = append(state.Classes, class.export())
 	}
 	for _, tenant := range b.tenants[:len(b.cfg.Tenants)] {
-		state.Tenants = append(state.Tenants, tenant.count)
+		state.TenantRequests = append(state.TenantRequests, tenant.count)
 	}
 	for _, ep := range b.endpoints {
 		ep.slowStartTokens /= 2
-		state.Servers = append(state.Servers, ep.export(len(b.classes)))
+		state.Endpoints = append(state.Endpoints, ep.export(len(b.classes)))
 	}
 }
 
 func (c *classStats) export() LearnedClass {
 	return LearnedClass{
-		Asked:    c.count,
-		N:        c.samples,
-		Mean:     c.meanLatency,
-		Dev:      c.latencyDeviation,
-		Longest:  c.longestTimeout,
-		FailedAt: c.lastFailureAt,
-		Expected: c.meanScore,
+		Requests:         c.count,
+		LatencySamples:   c.samples,
+		MeanLatency:      c.meanLatency,
+		LatencyDeviation: c.latencyDeviation,
+		LongestTimeout:   c.longestTimeout,
+		LastFailureAt:    c.lastFailureAt,
+		MeanScore:        c.meanScore,
 	}
 }
 
 func (ep *endpoint) export(classCount int) LearnedEndpoint {
 	state := LearnedEndpoint{
-		ID:        ep.ID,
-		Size:      ep.learned.logarithm,
-		LastErr:   ep.lastErrorAt,
-		RestUntil: ep.ejectedUntil,
-		Errs:      ep.consecutiveErrors,
-		Rests:     ep.ejections,
-		Downs:     ep.connectErrors,
-		ColdSince: ep.warmUpSince,
-		Tokens:    ep.slowStartTokens,
-		TokensAt:  ep.tokensUpdatedAt,
-		HeardAt:   ep.lastResponseAt,
-		SlowUntil: ep.slowUntil,
+		ID:                ep.ID,
+		CapacityLog:       ep.learned.logarithm,
+		LastErrorAt:       ep.lastErrorAt,
+		EjectedUntil:      ep.ejectedUntil,
+		ConsecutiveErrors: ep.consecutiveErrors,
+		Ejections:         ep.ejections,
+		ConnectErrors:     ep.connectErrors,
+		WarmUpSince:       ep.warmUpSince,
+		SlowStartTokens:   ep.slowStartTokens,
+		TokensUpdatedAt:   ep.tokensUpdatedAt,
+		LastResponseAt:    ep.lastResponseAt,
+		SlowUntil:         ep.slowUntil,
 	}
 	for _, score := range ep.classScores[:classCount] {
-		state.Scores = append(state.Scores, score.value)
-		state.ScoredAt = append(state.ScoredAt, score.updatedAt)
+		learned := LearnedClassScore{Value: score.value, UpdatedAt: score.updatedAt}
+		state.ClassScores = append(state.ClassScores, learned)
 	}
 	return state
 }
@@ -192,7 +199,7 @@
 	b.now = now
 	b.importTimes(&state)
 	b.importStatistics(&state)
-	for number, logarithm := range state.Kinds {
+	for number, logarithm := range state.MachineTypes {
 		b.machineTypeFactor(number).restore(logarithm)
 	}
 	for number, logarithm := range state.Zones {
@@ -204,72 +211,71 @@
 		}
 	}
 	for i, tenant := range b.tenants[:len(b.cfg.Tenants)] {
-		if old, ok := oldIndex(tenants, i, len(state.Tenants)); ok {
-			tenant.count = max(1, validOr(state.Tenants[old], 1, maxImportedCount))
+		if old, ok := oldIndex(tenants, i, len(state.TenantRequests)); ok {
+			tenant.count = max(1, validOr(state.TenantRequests[old], 1, maxImportedCount))
 		}
 	}
-	for i := range state.Servers {
-		if ep := b.endpointsByID[state.Servers[i].ID]; ep != nil {
-			ep.restore(&state.Servers[i], classes, now)
+	for i := range state.Endpoints {
+		if ep := b.endpointsByID[state.Endpoints[i].ID]; ep != nil {
+			ep.restore(&state.Endpoints[i], classes, now)
 		}
 	}
 }
 
 func (b *Balancer) importTimes(state *LearnedState) {
-	b.startedAt = min(pastTime(state.Started, b.now), b.now)
-	b.lastAnswerAt = pastTime(state.AnsweredAt, b.now)
-	b.answersCountedAt = pastTime(state.AnswersAt, b.now)
-	b.lastAdmissionAt = pastTime(state.Admitted, b.now)
+	b.startedAt = min(pastTime(state.StartedAt, b.now), b.now)
+	b.lastAnswerAt = pastTime(state.LastResponseAt, b.now)
+	b.answersCountedAt = pastTime(state.ResponsesCountedAt, b.now)
+	b.lastAdmissionAt = pastTime(state.LastRequestAt, b.now)
 }
 
 func (b *Balancer) importStatistics(state *LearnedState) {
-	b.minLatencyRatio = validOr(state.Quickest, b.minLatencyRatio, maxImportedRatio)
-	b.latencyRatio = validOr(state.Slowness, b.latencyRatio, maxImportedRatio)
-	b.latencyRatioSamples = validOr(state.SlowN, 0, averagingSamples)
-	b.lateFraction = validOr(state.LateShare, 0, 1)
-	b.answerCount = validOr(state.Answers, 0, maxImportedRecent)
-	b.latestAnswerCount = validOr(state.Latest, 0, maxImportedRecent)
-	b.connectFailureFraction = validOr(state.Unconnected, 0, 1)
-	b.timePerInFlight = validOr(state.PerHeld, b.timePerInFlight, maxImportedTime)
-	b.timePerInFlightSamples = max(1, validOr(state.HeldN, 1, averagingSamples))
-	b.busyFraction = validOr(state.Busy, b.busyFraction, 1)
-	b.learnCount = validOr(state.Learned, 0, maxImportedCount)
-	b.steadyShed = validOr(state.Steady, 0, maxShedFraction)
-	if math.Abs(state.Drift) <= maxImportedDrift {
-		b.learnDrift = state.Drift
+	b.minLatencyRatio = validOr(state.MinLatencyRatio, b.minLatencyRatio, maxImportedRatio)
+	b.latencyRatio = validOr(state.LatencyRatio, b.latencyRatio, maxImportedRatio)
+	b.latencyRatioSamples = validOr(state.LatencyRatioSamples, 0, averagingSamples)
+	b.lateFraction = validOr(state.LateFraction, 0, 1)
+	b.answerCount = validOr(state.ResponseCount, 0, maxImportedRecent)
+	b.latestAnswerCount = validOr(state.LatestResponseCount, 0, maxImportedRecent)
+	b.connectFailureFraction = validOr(state.ConnectFailureFraction, 0, 1)
+	b.timePerInFlight = validOr(state.TimePerInFlight, b.timePerInFlight, maxImportedTime)
+	b.timePerInFlightSamples = max(1, validOr(state.TimePerInFlightSamples, 1, averagingSamples))
+	b.busyFraction = validOr(state.BusyFraction, b.busyFraction, 1)
+	b.learnCount = validOr(state.CapacityUpdates, 0, maxImportedCount)
+	b.steadyShed = validOr(state.SteadyShed, 0, maxShedFraction)
+	if math.Abs(state.CapacityDrift) <= maxImportedDrift {
+		b.learnDrift = state.CapacityDrift
 	}
 }
 
 func (c *classStats) restore(state *LearnedClass, now Milliseconds) {
-	c.count = max(1, validOr(state.Asked, 1, maxImportedCount))
-	c.samples = validOr(state.N, 0, maxLatencySamples)
-	c.meanLatency = validOr(state.Mean, 0, maxImportedTime)
-	c.latencyDeviation = validOr(state.Dev, 0, maxImportedTime)
-	c.longestTimeout = validOr(state.Longest, 0, maxImportedTime)
-	c.lastFailureAt = pastTime(state.FailedAt, now)
-	c.meanScore = validOr(state.Expected, 1, 1)
+	c.count = max(1, validOr(state.Requests, 1, maxImportedCount))
+	c.samples = validOr(state.LatencySamples, 0, maxLatencySamples)
+	c.meanLatency = validOr(state.MeanLatency, 0, maxImportedTime)
+	c.latencyDeviation = validOr(state.LatencyDeviation, 0, maxImportedTime)
+	c.longestTimeout = validOr(state.LongestTimeout, 0, maxImportedTime)
+	c.lastFailureAt = pastTime(state.LastFailureAt, now)
+	c.meanScore = validOr(state.MeanScore, 1, 1)
 }
 
 func (ep *endpoint) restore(state *LearnedEndpoint, classes []int, now Milliseconds) {
-	ep.learned.restore(state.Size)
-	ep.consecutiveErrors = max(0, state.Errs)
-	ep.ejections = max(0, state.Rests)
-	ep.connectErrors = max(0, state.Downs)
-	ep.lastErrorAt = pastTime(state.LastErr, now)
-	ep.lastResponseAt = max(0, pastTime(state.HeardAt, now))
-	ep.ejectedUntil = validOr(state.RestUntil, 0, now+maxImportedDelay)
+	ep.learned.restore(state.CapacityLog)
+	ep.consecutiveErrors = max(0, state.ConsecutiveErrors)
+	ep.ejections = max(0, state.Ejections)
+	ep.connectErrors = max(0, state.ConnectErrors)
+	ep.lastErrorAt = pastTime(state.LastErrorAt, now)
+	ep.lastResponseAt = max(0, pastTime(state.LastResponseAt, now))
+	ep.ejectedUntil = validOr(state.EjectedUntil, 0, now+maxImportedDelay)
 	ep.slowUntil = validOr(state.SlowUntil, 0, now+maxImportedDelay)
 	// Otherwise the endpoint list has a later start.
-	if since := pastTime(state.ColdSince, now); since >= ep.warmUpSince {
+	if since := pastTime(state.WarmUpSince, now); since >= ep.warmUpSince {
 		ep.warmUpSince = since
-		ep.slowStartTokens = validOr(state.Tokens, 0, maxImportedRecent)
-		ep.tokensUpdatedAt = max(0, pastTime(state.TokensAt, now))
+		ep.slowStartTokens = validOr(state.SlowStartTokens, 0, maxImportedRecent)
+		ep.tokensUpdatedAt = max(0, pastTime(state.TokensUpdatedAt, now))
 	}
-	scoreCount := min(len(state.Scores), len(state.ScoredAt))
 	for i := range ep.classScores[:len(ep.classScores)-1] {
-		if old, ok := oldIndex(classes, i, scoreCount); ok {
-			ep.classScores[i].value = validOr(state.Scores[old], 0, 1)
-			ep.classScores[i].updatedAt = pastTime(state.ScoredAt[old], now)
+		if old, ok := oldIndex(classes, i, len(state.ClassScores)); ok {
+			ep.classScores[i].value = validOr(state.ClassScores[old].Value, 0, 1)
+			ep.classScores[i].updatedAt = pastTime(state.ClassScores[old].UpdatedAt, now)
 		}
 	}
 }
--- a/balance/transfer_test.go
+++ b/balance/transfer_test.go
@@ -55,12 +55,17 @@
 			b.Handle(1000, EndpointUpdate{Kind: UpdateSnapshot, Endpoints: []Endpoint{{ID: 1, Rating: 1}}})
 			at := Milliseconds(v)
 			b.ImportState(1000, LearnedState{
-				Started: at, AnsweredAt: at, AnswersAt: at, Admitted: at, Quickest: v, Slowness: v, SlowN: v, LateShare: v,
-				Answers: v, Latest: v, Unconnected: v, PerHeld: at, Busy: v, Learned: v, Drift: v, Steady: v,
-				Kinds: map[int]float64{0: v}, Zones: map[int]float64{0: v}, Tenants: []float64{v},
+				StartedAt: at, LastResponseAt: at, ResponsesCountedAt: at, LastRequestAt: at,
+				MinLatencyRatio: v, LatencyRatio: v, LatencyRatioSamples: v, LateFraction: v,
+				ResponseCount: v, LatestResponseCount: v, ConnectFailureFraction: v, TimePerInFlight: at, BusyFraction: v,
+				CapacityUpdates: v, CapacityDrift: v, SteadyShed: v,
+				MachineTypes: map[int]float64{0: v}, Zones: map[int]float64{0: v}, TenantRequests: []float64{v},
 				Classes: []LearnedClass{{v, v, at, at, at, at, v}},
-				Servers: []LearnedEndpoint{{ID: 1, Size: v, LastErr: at, RestUntil: at, Errs: -5, ColdSince: at, Tokens: v,
-					TokensAt: at, HeardAt: at, SlowUntil: at, Scores: []float64{v}, ScoredAt: []Milliseconds{at}}, {ID: 9}},
+				Endpoints: []LearnedEndpoint{{
+					ID: 1, CapacityLog: v, LastErrorAt: at, EjectedUntil: at, ConsecutiveErrors: -5, WarmUpSince: at,
+					SlowStartTokens: v, TokensUpdatedAt: at, LastResponseAt: at, SlowUntil: at,
+					ClassScores: []LearnedClassScore{{Value: v, UpdatedAt: at}},
+				}, {ID: 9}},
 			}, []int{0}, []int{0})
 			actions, err := b.Handle(1001, Request{ID: 1, Remaining: 1000})
 			sent := false
--- a/internal/eventloop/clockstep_faults_test.go
+++ b/internal/eventloop/clockstep_faults_test.go
@@ -33,7 +33,7 @@
 	next.applyList(endpointListUpdate{list: &next.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
 	next.importState()
 	learned := next.balancer.ExportState(next.clock.now)
-	if age := next.clock.now - learned.Servers[0].ColdSince; age < 0 || age > 10e3 {
+	if age := next.clock.now - learned.Endpoints[0].WarmUpSince; age < 0 || age > 10e3 {
 		t.Errorf("the server counts as started %v ms ago, want about 1000", age)
 	}
 }
--- a/internal/eventloop/state.go
+++ b/internal/eventloop/state.go
@@ -41,7 +41,7 @@
 		List:      membership.EndpointList{Revision: l.list.revision, Complete: l.list.complete},
 		Classes:   l.settings.ClassNames,
 		Tenants:   l.settings.TenantNames,
-		Memory:    l.balancer.ExportState(l.clock.now),
+		Learned:   l.balancer.ExportState(l.clock.now),
 		WallAhead: l.starts.wallAhead(),
 	}
 	for _, endpoint := range l.endpoints.sorted() {
@@ -56,10 +56,10 @@
 		return
 	}
 	// Its times are on the clock of the previous process, which does not follow steps of the wall clock.
-	l.predecessor.Memory.ShiftTimes(l.predecessor.WallAhead - l.starts.wallAhead())
+	l.predecessor.Learned.ShiftTimes(l.predecessor.WallAhead - l.starts.wallAhead())
 	l.balancer.ImportState(
 		l.clock.now,
-		l.predecessor.Memory,
+		l.predecessor.Learned,
 		exchange.OldIndexes(l.settings.ClassNames, config.IndexByName(l.predecessor.Classes)),
 		exchange.OldIndexes(l.settings.TenantNames, config.IndexByName(l.predecessor.Tenants)),
 	)
--- /dev/null
+++ b/internal/upgrade/codec.go
@@ -0,0 +1,257 @@
+package upgrade
+
+import (
+	"encoding/gob"
+	"io"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/membership"
+)
+
+// maxStateBytes bounds the encoded state that a successor reads.
+const maxStateBytes = 4 << 20
+
+// The types below are the encoded form of State. gob encodes fields by name, and the two processes of an upgrade may run
+// different versions: a field that is renamed is lost. New fields may be added, which earlier versions ignore.
+
+type encodedState struct {
+	Version   int
+	Listen    string
+	Discovery string
+	List      encodedList
+	Classes   []string
+	Tenants   []string
+	Memory    encodedLearnedState
+	WallAhead float64
+}
+
+type encodedList struct {
+	Revision int64
+	Complete bool
+	Members  []encodedListEntry
+}
+
+type encodedListEntry struct {
+	ID       string
+	HostPort string
+	Locality string
+	Flavor   string
+	Cell     int
+	Phase    string
+	Size     float64
+	UpSince  float64
+}
+
+type encodedLearnedState struct {
+	Started, AnsweredAt, AnswersAt, Admitted balance.Milliseconds
+
+	Quickest, Slowness, SlowN, LateShare float64
+	Answers, Latest, Unconnected         float64
+	PerHeld                              balance.Milliseconds
+	HeldN, Busy                          float64
+	Learned, Drift, Steady               float64
+
+	Kinds, Zones map[int]float64
+	Classes      []encodedClass
+	Tenants      []float64
+	Servers      []encodedEndpoint
+}
+
+type encodedClass struct {
+	Asked, N                     float64
+	Mean, Dev, Longest, FailedAt balance.Milliseconds
+	Expected                     float64
+}
+
+type encodedEndpoint struct {
+	ID                           balance.EndpointID
+	Size                         float64
+	LastErr, RestUntil           balance.Milliseconds
+	Errs, Rests, Downs           int
+	ColdSince                    balance.Milliseconds
+	Tokens                       float64
+	TokensAt, HeardAt, SlowUntil balance.Milliseconds
+	Scores                       []float64
+	ScoredAt                     []balance.Milliseconds // of Scores
+}
+
+// encode writes a state in the form that successors of all versions read.
+func encode(w io.Writer, state *State) error {
+	return gob.NewEncoder(w).Encode(&encodedState{
+		Version:   state.Version,
+		Listen:    state.Listen,
+		Discovery: state.Discovery,
+		List:      encodeList(&state.List),
+		Classes:   state.Classes,
+		Tenants:   state.Tenants,
+		Memory:    encodeLearned(&state.Learned),
+		WallAhead: float64(state.WallAhead),
+	})
+}
+
+// decode reads the state of a predecessor, of this version or an earlier one.
+func decode(r io.Reader) (*State, error) {
+	var encoded encodedState
+	if err := gob.NewDecoder(io.LimitReader(r, maxStateBytes)).Decode(&encoded); err != nil {
+		return nil, err
+	}
+	return &State{
+		Version:   encoded.Version,
+		Listen:    encoded.Listen,
+		Discovery: encoded.Discovery,
+		List:      encoded.List.decode(),
+		Classes:   encoded.Classes,
+		Tenants:   encoded.Tenants,
+		Learned:   encoded.Memory.decode(),
+		WallAhead: balance.Milliseconds(encoded.WallAhead),
+	}, nil
+}
+
+func encodeList(list *membership.EndpointList) encodedList {
+	encoded := encodedList{Revision: list.Revision, Complete: list.Complete}
+	for _, endpoint := range list.Members {
+		encoded.Members = append(encoded.Members, encodedListEntry(endpoint))
+	}
+	return encoded
+}
+
+func (l *encodedList) decode() membership.EndpointList {
+	list := membership.EndpointList{Revision: l.Revision, Complete: l.Complete}
+	for _, entry := range l.Members {
+		list.Members = append(list.Members, membership.Endpoint(entry))
+	}
+	return list
+}
+
+func encodeLearned(learned *balance.LearnedState) encodedLearnedState {
+	encoded := encodedLearnedState{
+		Started:     learned.StartedAt,
+		AnsweredAt:  learned.LastResponseAt,
+		AnswersAt:   learned.ResponsesCountedAt,
+		Admitted:    learned.LastRequestAt,
+		Quickest:    learned.MinLatencyRatio,
+		Slowness:    learned.LatencyRatio,
+		SlowN:       learned.LatencyRatioSamples,
+		LateShare:   learned.LateFraction,
+		Answers:     learned.ResponseCount,
+		Latest:      learned.LatestResponseCount,
+		Unconnected: learned.ConnectFailureFraction,
+		PerHeld:     learned.TimePerInFlight,
+		HeldN:       learned.TimePerInFlightSamples,
+		Busy:        learned.BusyFraction,
+		Learned:     learned.CapacityUpdates,
+		Drift:       learned.CapacityDrift,
+		Steady:      learned.SteadyShed,
+		Kinds:       learned.MachineTypes,
+		Zones:       learned.Zones,
+		Tenants:     learned.TenantRequests,
+	}
+	for i := range learned.Classes {
+		encoded.Classes = append(encoded.Classes, encodeClass(&learned.Classes[i]))
+	}
+	for i := range learned.Endpoints {
+		encoded.Servers = append(encoded.Servers, encodeEndpoint(&learned.Endpoints[i]))
+	}
+	return encoded
+}
+
+func (s *encodedLearnedState) decode() balance.LearnedState {
+	learned := balance.LearnedState{
+		StartedAt:              s.Started,
+		LastResponseAt:         s.AnsweredAt,
+		ResponsesCountedAt:     s.AnswersAt,
+		LastRequestAt:          s.Admitted,
+		MinLatencyRatio:        s.Quickest,
+		LatencyRatio:           s.Slowness,
+		LatencyRatioSamples:    s.SlowN,
+		LateFraction:           s.LateShare,
+		ResponseCount:          s.Answers,
+		LatestResponseCount:    s.Latest,
+		ConnectFailureFraction: s.Unconnected,
+		TimePerInFlight:        s.PerHeld,
+		TimePerInFlightSamples: s.HeldN,
+		BusyFraction:           s.Busy,
+		CapacityUpdates:        s.Learned,
+		CapacityDrift:          s.Drift,
+		SteadyShed:             s.Steady,
+		MachineTypes:           s.Kinds,
+		Zones:                  s.Zones,
+		TenantRequests:         s.Tenants,
+	}
+	for i := range s.Classes {
+		learned.Classes = append(learned.Classes, s.Classes[i].decode())
+	}
+	for i := range s.Servers {
+		learned.Endpoints = append(learned.Endpoints, s.Servers[i].decode())
+	}
+	return learned
+}
+
+func encodeClass(class *balance.LearnedClass) encodedClass {
+	return encodedClass{
+		Asked:    class.Requests,
+		N:        class.LatencySamples,
+		Mean:     class.MeanLatency,
+		Dev:      class.LatencyDeviation,
+		Longest:  class.LongestTimeout,
+		FailedAt: class.LastFailureAt,
+		Expected: class.MeanScore,
+	}
+}
+
+func (c *encodedClass) decode() balance.LearnedClass {
+	return balance.LearnedClass{
+		Requests:         c.Asked,
+		LatencySamples:   c.N,
+		MeanLatency:      c.Mean,
+		LatencyDeviation: c.Dev,
+		LongestTimeout:   c.Longest,
+		LastFailureAt:    c.FailedAt,
+		MeanScore:        c.Expected,
+	}
+}
+
+func encodeEndpoint(endpoint *balance.LearnedEndpoint) encodedEndpoint {
+	encoded := encodedEndpoint{
+		ID:        endpoint.ID,
+		Size:      endpoint.CapacityLog,
+		LastErr:   endpoint.LastErrorAt,
+		RestUntil: endpoint.EjectedUntil,
+		Errs:      endpoint.ConsecutiveErrors,
+		Rests:     endpoint.Ejections,
+		Downs:     endpoint.ConnectErrors,
+		ColdSince: endpoint.WarmUpSince,
+		Tokens:    endpoint.SlowStartTokens,
+		TokensAt:  endpoint.TokensUpdatedAt,
+		HeardAt:   endpoint.LastResponseAt,
+		SlowUntil: endpoint.SlowUntil,
+	}
+	for _, score := range endpoint.ClassScores {
+		encoded.Scores = append(encoded.Scores, score.Value)
+		encoded.ScoredAt = append(encoded.ScoredAt, score.UpdatedAt)
+	}
+	return encoded
+}
+
+// decode leaves out scores without a time, and times without a score: the state may be corrupt.
+func (e *encodedEndpoint) decode() balance.LearnedEndpoint {
+	endpoint := balance.LearnedEndpoint{
+		ID:                e.ID,
+		CapacityLog:       e.Size,
+		LastErrorAt:       e.LastErr,
+		EjectedUntil:      e.RestUntil,
+		ConsecutiveErrors: e.Errs,
+		Ejections:         e.Rests,
+		ConnectErrors:     e.Downs,
+		WarmUpSince:       e.ColdSince,
+		SlowStartTokens:   e.Tokens,
+		TokensUpdatedAt:   e.TokensAt,
+		LastResponseAt:    e.HeardAt,
+		SlowUntil:         e.SlowUntil,
+	}
+	for i := range min(len(e.Scores), len(e.ScoredAt)) {
+		score := balance.LearnedClassScore{Value: e.Scores[i], UpdatedAt: e.ScoredAt[i]}
+		endpoint.ClassScores = append(endpoint.ClassScores, score)
+	}
+	return endpoint
+}
--- a/internal/upgrade/compatibility_test.go
+++ b/internal/upgrade/compatibility_test.go
@@ -18,15 +18,22 @@
 		ID: "s-1", HostPort: "127.0.0.1:9", Locality: "room-1", Flavor: "small", Cell: 2, Phase: "draining", Size: 1.5, UpSince: 77,
 	}}},
 	Classes: []string{"read", "pay"}, Tenants: []string{"acme"},
-	Memory: balance.LearnedState{
-		Started: 1, AnsweredAt: 2, AnswersAt: 3, Admitted: 4, Quickest: 5, Slowness: 6, SlowN: 7, LateShare: 8,
-		Answers: 9, Latest: 10, Unconnected: 11, PerHeld: 12, HeldN: 13, Busy: 14, Learned: 15, Drift: 16, Steady: 17,
-		Kinds: map[int]float64{1: 18}, Zones: map[int]float64{2: 19},
-		Classes: []balance.LearnedClass{{Asked: 20, N: 21, Mean: 22, Dev: 23, Longest: 24, FailedAt: 25, Expected: 26}},
-		Tenants: []float64{27},
-		Servers: []balance.LearnedEndpoint{{
-			ID: 28, Size: 29, LastErr: 30, RestUntil: 31, Errs: 32, Rests: 33, Downs: 34, ColdSince: 35, Tokens: 36,
-			TokensAt: 37, HeardAt: 38, SlowUntil: 39, Scores: []float64{40}, ScoredAt: []balance.Milliseconds{41},
+	Learned: balance.LearnedState{
+		StartedAt: 1, LastResponseAt: 2, ResponsesCountedAt: 3, LastRequestAt: 4,
+		MinLatencyRatio: 5, LatencyRatio: 6, LatencyRatioSamples: 7, LateFraction: 8,
+		ResponseCount: 9, LatestResponseCount: 10, ConnectFailureFraction: 11,
+		TimePerInFlight: 12, TimePerInFlightSamples: 13, BusyFraction: 14,
+		CapacityUpdates: 15, CapacityDrift: 16, SteadyShed: 17,
+		MachineTypes: map[int]float64{1: 18}, Zones: map[int]float64{2: 19},
+		Classes: []balance.LearnedClass{{
+			Requests: 20, LatencySamples: 21, MeanLatency: 22, LatencyDeviation: 23, LongestTimeout: 24, LastFailureAt: 25,
+			MeanScore: 26,
+		}},
+		TenantRequests: []float64{27},
+		Endpoints: []balance.LearnedEndpoint{{
+			ID: 28, CapacityLog: 29, LastErrorAt: 30, EjectedUntil: 31, ConsecutiveErrors: 32, Ejections: 33,
+			ConnectErrors: 34, WarmUpSince: 35, SlowStartTokens: 36, TokensUpdatedAt: 37, LastResponseAt: 38, SlowUntil: 39,
+			ClassScores: []balance.LearnedClassScore{{Value: 40, UpdatedAt: 41}},
 		}},
 	},
 }
@@ -37,12 +44,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got State
-	if err := gob.NewDecoder(bytes.NewReader(text)).Decode(&got); err != nil {
+	got, err := decode(bytes.NewReader(text))
+	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(got, recordedState) {
-		t.Errorf("decoded %+v\nwant    %+v", got, recordedState)
+	if !reflect.DeepEqual(*got, recordedState) {
+		t.Errorf("decoded %+v\nwant    %+v", *got, recordedState)
 	}
 }
 
@@ -80,7 +87,7 @@
 		}
 	}
 	var now, earlier bytes.Buffer
-	if err := gob.NewEncoder(&now).Encode(&recordedState); err != nil {
+	if err := encode(&now, &recordedState); err != nil {
 		t.Fatal(err)
 	}
 	var read earlierState
@@ -90,11 +97,11 @@
 	if err := gob.NewEncoder(&earlier).Encode(&read); err != nil {
 		t.Fatal(err)
 	}
-	var back State
-	if err := gob.NewDecoder(&earlier).Decode(&back); err != nil {
+	back, err := decode(&earlier)
+	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(back, recordedState) {
-		t.Errorf("an earlier version reads %+v\nof %+v", back, recordedState)
+	if !reflect.DeepEqual(*back, recordedState) {
+		t.Errorf("an earlier version reads %+v\nof %+v", *back, recordedState)
 	}
 }
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"encoding/gob"
 	"errors"
 	"net"
 	"sync"
@@ -78,7 +77,7 @@
 	if err := sendListener(conn, h.listener); err != nil {
 		return err
 	}
-	return gob.NewEncoder(conn).Encode(state)
+	return encode(conn, state)
 }
 
 // Retire marks the end of this process and reports whether another one has taken over; from then on none can. When a
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -10,7 +10,7 @@
 // StateVersion is the version of State and of the bytes around it.
 const StateVersion = 1
 
-// State is what a process hands to its successor. Its field names are part of the encoding.
+// State is what a process hands to its successor. encode and decode map it to its encoded form.
 type State struct {
 	Version   int
 	Listen    string // the clients' address
@@ -18,8 +18,8 @@
 	List      membership.EndpointList
 	Classes   []string
 	Tenants   []string
-	Memory    balance.LearnedState
-	// WallAhead is by how many milliseconds the wall clock is ahead of the clock of Memory, because it was stepped. Earlier
+	Learned   balance.LearnedState
+	// WallAhead is by how many milliseconds the wall clock is ahead of the clock of Learned, because it was stepped. Earlier
 	// versions do not send it.
 	WallAhead balance.Milliseconds
 }
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/gob"
 	"fmt"
 	"io"
 	"net"
@@ -10,9 +9,6 @@
 	"time"
 )
 
-// maxStateBytes bounds the encoded state that a successor reads.
-const maxStateBytes = 4 << 20
-
 // RequestState requests the state of the process that serves now. The error is an os.ErrNotExist where there is no
 // socket, that is, no predecessor. It must be called before Run, once.
 func (h *Handover) RequestState() (*State, error) {
@@ -55,8 +51,8 @@
 
 // receiveState reads the state and checks that it is for this version and for the clients' address listen.
 func receiveState(r io.Reader, listen string) (*State, error) {
-	state := &State{}
-	if err := gob.NewDecoder(io.LimitReader(r, maxStateBytes)).Decode(state); err != nil {
+	state, err := decode(r)
+	if err != nil {
 		return nil, err
 	}
 	if state.Version != StateVersion {
