--- a/balance/actions.go
+++ b/balance/actions.go
@@ -6,8 +6,8 @@
 // The kinds of actions. The comment names the fields of Action that are used in addition to Kind.
 const (
 	SendAttempt    ActionKind = iota // Request, Endpoint, Deadline
-	RejectRequest                    // Request, RetryAfter: final answer; the request may be retried safely
-	FailRequest                      // Request: final answer; the request may have been executed
+	RejectRequest                    // Request, RetryAfter: final response; the client may retry safely
+	FailRequest                      // Request: final response; the request may have been executed
 	CancelAttempt                    // Request, Attempt
 	SetTimer                         // Token, Delay
 	CheckHealth                      // Endpoint
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -10,9 +10,10 @@
 // setOverload sets the steady shed fraction and fills the endpoints so that the expected latency exceeds what
 // the admission control allows by the given part of the objective.
 func (h *harness) setOverload(steadyShed, excess float64) {
-	full := h.b.minLatencyRatio + queueingAllowance*(1-h.b.minLatencyRatio)
-	h.b.steadyShed, h.b.lateFraction = steadyShed, 1
-	h.b.endpoints[0].inFlightLoad += (full+excess)*h.b.answerRate(0, priorAnswers) - h.b.inFlightLoad()
+	full := h.b.latency.minRatio + queueingAllowance*(1-h.b.latency.minRatio)
+	h.b.shedder.steadyFraction, h.b.latency.lateFraction = steadyShed, 1
+	h.b.advanceResponseRate()
+	h.b.endpoints.list[0].load.perObjective += (full+excess)*h.b.responsesPerMillisecond(priorResponses) - h.b.inFlightLoad()
 }
 
 // rejectedFractions sends 4000 requests, drawn from pairs of class and tenant, while 0.4 of the work is to be
@@ -98,7 +99,7 @@
 // priority weight first. Otherwise all queues fill and all responses are late.
 func TestOverloadShedsLowPriorityFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
-	h.b.lateFraction = 1
+	h.b.latency.lateFraction = 1
 	rejected := map[int]int{}
 	var open []RequestID
 	for i := range 2000 {
@@ -141,18 +142,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, cfg, newEndpoints(4)...)
 			h.request(idempotentClass)
-			h.b.steadyShed, h.b.lateFraction = c.shed, 1
+			h.b.shedder.steadyFraction, h.b.latency.lateFraction = c.shed, 1
 			r := &request{
 				Request: Request{Remaining: c.remaining}, class: &h.b.cfg.Classes[idempotentClass],
 				stats: h.b.classes[idempotentClass],
 			}
-			if got := h.b.isLateRetry(r) && h.b.steadyShed >= r.class.LateWeight; got != c.rejected {
+			if got := h.b.isLateRetry(r) && h.b.shedder.steadyFraction >= r.class.LateWeight; got != c.rejected {
 				t.Errorf("%+v: rejected %v", c, got)
 			}
 			if !c.rejected {
 				return
 			}
-			h.b.steadyShed = c.shed
+			h.b.shedder.steadyFraction = c.shed
 			if actions := h.dispatch(Request{ID: 77, Remaining: c.remaining}); !hasAction(actions, RejectRequest) {
 				t.Errorf("%+v: %+v", c, actions)
 			}
@@ -192,7 +193,7 @@
 	for inFlight, rejected := range map[float32]bool{0: false, 1: false, 6: true} {
 		t.Run(fmt.Sprintf("%v in flight", inFlight), func(t *testing.T) {
 			h := newHarness(t, healthCheckConfig(), newEndpoints(12)...)
-			h.b.busyFraction = 0.5 // so that only some endpoints are polled
+			h.b.checks.busyFraction = 0.5 // so that only some endpoints are polled
 			id, actions := h.request(globalKeyClass)
 			checked := map[EndpointID]bool{}
 			for _, a := range actions {
@@ -248,9 +249,9 @@
 		h.now += 50
 		h.finishAttempt(id, 0, OK, 50)
 	}
-	for _, s := range h.b.endpoints {
+	for _, s := range h.b.endpoints.list {
 		if s.ID != at {
-			s.lastSendAt = never // the connections to the others were closed
+			s.activity.lastSendAt = never // the connections to the others were closed
 		}
 	}
 	h.now += 100
@@ -287,11 +288,11 @@
 // Requests that hang at an ejected endpoint are a fault of that endpoint and must not cause shedding.
 func TestEjectedEndpointsAreNotCountedAsLoad(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
-	h.b.endpoints[0].inFlightLoad, h.b.endpoints[1].inFlightLoad = 5, 1
+	h.b.endpoints.list[0].load.perObjective, h.b.endpoints.list[1].load.perObjective = 5, 1
 	if load := h.b.inFlightLoad(); load != 6 {
 		t.Fatalf("load %v before the ejection", load)
 	}
-	h.b.eject(h.b.endpoints[0])
+	h.b.eject(h.b.endpoints.list[0])
 	if load := h.b.inFlightLoad(); load != 1 {
 		t.Fatalf("load %v during the ejection", load)
 	}
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -1,5 +1,57 @@
 package balance
 
+// attempt is one attempt of a request at an endpoint.
+type attempt struct {
+	endpoint       *endpoint
+	sentAt         Milliseconds
+	inFlight       bool
+	neverExecuted  bool // proven by its result
+	connReset      bool // its connection broke
+	overdue        bool // it takes far longer than is usual in its class
+	countedAsLoad  bool // it is part of the endpoint's load, or of the overdue load
+	resultRecorded bool // its response has started, and the result was recorded then
+	abandoned      bool // cancelled: the endpoint responded to newer attempts, or its zone is unreachable
+	// inFlightBefore is the number of requests in flight at the endpoint before the attempt, according to a
+	// fresh load report, or unknownInFlight.
+	inFlightBefore float64
+}
+
+// noAttempt is the index of no attempt.
+const noAttempt = -1
+
+// overtaken reports whether the endpoint has responded to an attempt that was sent later.
+func (a *attempt) overtaken() bool { return a.endpoint.activity.newestRespondedSentAt > a.sentAt }
+
+// sendAttempt sends a request to an endpoint.
+func (b *Balancer) sendAttempt(req *request, ep *endpoint) {
+	attempt := &attempt{endpoint: ep, sentAt: b.now, inFlight: true, inFlightBefore: unknownInFlight}
+	if b.hasFreshReport(ep) {
+		attempt.inFlightBefore = b.estimatedInFlight(ep)
+	}
+	ep.slowStart.tokens--
+	ep.load.inFlight++
+	ep.load.sentSinceReport++
+	ep.activity.lastSendAt = b.now
+	req.inFlight++
+	req.attempts = append(req.attempts, attempt)
+	if !req.Uploading {
+		b.load.add(req, attempt)
+	}
+	b.emit(Action{Kind: SendAttempt, Request: req.ID, Endpoint: ep.ID})
+}
+
+// cancelAttempts cancels the attempts of a request that are in flight, except the one with index keep.
+func (b *Balancer) cancelAttempts(req *request, keep int) {
+	if !b.cfg.Cancellation {
+		return
+	}
+	for i, a := range req.attempts {
+		if a.inFlight && i != keep {
+			b.emit(Action{Kind: CancelAttempt, Request: req.ID, Attempt: i})
+		}
+	}
+}
+
 // onOutcome handles the end of an attempt.
 func (b *Balancer) onOutcome(ev Outcome) error {
 	req := b.requests[ev.Request]
@@ -24,32 +76,11 @@
 	attempt.inFlight = false
 	attempt.neverExecuted = ev.Result.NeverExecuted()
 	attempt.connReset = ev.Result == ConnReset
-	attempt.endpoint.inFlight--
-	b.removeLoad(req, attempt)
+	attempt.endpoint.load.inFlight--
+	b.load.remove(req, attempt)
 	req.inFlight--
 	b.recordLoadReport(attempt.endpoint, ev.LoadReport)
-	b.connectFailureFraction -= b.connectFailureFraction / (averagingSamples / 2)
-	if ev.Result == ConnectFailed {
-		b.connectFailureFraction += 1. / (averagingSamples / 2)
-	}
-}
-
-// sendAttempt sends a request to an endpoint.
-func (b *Balancer) sendAttempt(req *request, ep *endpoint) {
-	attempt := &attempt{endpoint: ep, sentAt: b.now, inFlight: true, inFlightBefore: unknownInFlight}
-	if b.hasFreshReport(ep) {
-		attempt.inFlightBefore = b.estimatedInFlight(ep)
-	}
-	ep.slowStartTokens--
-	ep.inFlight++
-	ep.lastSendAt = b.now
-	ep.sentSinceReport++
-	req.inFlight++
-	req.attempts = append(req.attempts, attempt)
-	if !req.Uploading {
-		b.addLoad(req, attempt)
-	}
-	b.emit(Action{Kind: SendAttempt, Request: req.ID, Endpoint: ep.ID})
+	b.connectFailures.record(ev.Result == ConnectFailed)
 }
 
 // onUploadComplete starts the time of a request with a long body. Only now does it load its endpoint.
@@ -65,7 +96,7 @@
 	for _, a := range req.attempts {
 		if a.inFlight {
 			a.sentAt = b.now
-			b.addLoad(req, a)
+			b.load.add(req, a)
 		}
 	}
 	b.advance(req)
@@ -82,7 +113,7 @@
 	b.recordResponseStart(req, ev.Attempt, ev.Latency)
 }
 
-// onResponseStarted handles the start of a successful answer.
+// onResponseStarted handles the start of a successful response.
 func (b *Balancer) onResponseStarted(ev ResponseStarted) {
 	req := b.requests[ev.Request]
 	if req == nil || ev.Attempt >= len(req.attempts) {
@@ -92,43 +123,15 @@
 	b.advance(req)
 }
 
-// recordResponseStart records the result of an attempt when its answer starts. The rest is transfer: it is no
-// load for the endpoint, and never overdue.
+// recordResponseStart records the result of an attempt when its response starts. The rest is transfer: it
+// is no load for the endpoint, and never overdue.
 func (b *Balancer) recordResponseStart(req *request, index int, latency Milliseconds) {
 	attempt := req.attemptInFlight(index)
 	if attempt == nil || attempt.resultRecorded {
 		return
 	}
-	b.removeLoad(req, attempt)
+	b.load.remove(req, attempt)
 	attempt.overdue = false
 	b.recordOutcome(req, attempt, Outcome{Result: OK, Duration: latency})
 	attempt.resultRecorded = true
 }
-
-// addLoad adds an attempt to the load of its endpoint, as 1 / latency objective.
-func (b *Balancer) addLoad(req *request, attempt *attempt) {
-	if attempt.countedAsLoad {
-		return
-	}
-	attempt.countedAsLoad = true
-	attempt.endpoint.inFlightLoad += 1 / float64(req.class.LatencyObjective)
-}
-
-// removeLoad removes an attempt from the load that it is counted in.
-func (b *Balancer) removeLoad(req *request, attempt *attempt) {
-	if !attempt.countedAsLoad {
-		return
-	}
-	if attempt.overdue {
-		b.moveToOverdueLoad(req, attempt, -1)
-	}
-	attempt.countedAsLoad = false
-	attempt.endpoint.inFlightLoad -= 1 / float64(req.class.LatencyObjective)
-}
-
-// moveToOverdueLoad moves attempts of a request from the endpoint's load to the overdue load, which may be
-// lost. A negative count moves them back.
-func (b *Balancer) moveToOverdueLoad(req *request, attempt *attempt, count float64) {
-	attempt.endpoint.inFlightLoad -= count / float64(req.class.LatencyObjective)
-	b.overdueLoad += count / float64(req.class.LatencyObjective)
-}
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -3,44 +3,65 @@
 import "math"
 
 const (
-	// capacityLearnTime is the time constant of learned capacities, however many answers there are.
-	capacityLearnTime Milliseconds = 1000
-	// minLearnGain and maxLearnGain limit the gain of an answer, as single latencies scatter.
-	minLearnGain = 0.01
-	maxLearnGain = 0.2
-	// capacityRegression pulls learned capacities towards 1, by this part of the gain. Without it, they
-	// drifted to their bounds.
+	// capacityRegression pulls learned capacities towards 1, by this part of the gain: errors in one
+	// direction would otherwise add up.
 	capacityRegression = 0.1
-	// maxCapacityLog bounds the logarithm of each learned factor.
+	// maxCapacityLog bounds the logarithm of each capacity factor.
 	maxCapacityLog = 2.5
-	// averagingSamples is the number of answers or reports over which means are taken.
-	averagingSamples = 50
 	// errorLatencyRatio is the latency, relative to the class's mean, that an error counts as.
 	errorLatencyRatio = 3
+	// minCapacityStep bounds the step that a single slow response causes.
+	minCapacityStep = -2
+	// capacityDriftGain is the gain of the mean step, relative to the gain of a step.
+	capacityDriftGain = 0.5
+	// ownCapacityGain is the gain of the factors of an endpoint and of its zone, relative to that of its
+	// machine type.
+	ownCapacityGain = 0.5
 )
 
-// learnedFactor is a learned factor of an endpoint's capacity. It caches the exponential: with hundreds of
-// endpoints, computing it for each of them at each pick cost more CPU than everything else.
-type learnedFactor struct{ logarithm, factor float64 }
+// capacityFactor is a learned factor of an endpoint's capacity. The factor is cached, as each pick reads it.
+type capacityFactor struct{ logarithm, factor float64 }
 
-func (f *learnedFactor) adjust(step, gain float64) {
-	f.logarithm = clamp(f.logarithm*(1-capacityRegression*gain)+step, -maxCapacityLog, maxCapacityLog)
-	f.factor = math.Exp(f.logarithm)
+// newCapacityFactor returns the factor 1.
+func newCapacityFactor() capacityFactor { return capacityFactor{factor: 1} }
+
+// adjust moves the logarithm of the factor by a step, and towards 0.
+func (f *capacityFactor) adjust(step, gain float64) {
+	f.set(clamp(f.logarithm*(1-capacityRegression*gain)+step, -maxCapacityLog, maxCapacityLog))
+}
+
+func (f *capacityFactor) set(logarithm float64) {
+	f.logarithm = logarithm
+	f.factor = math.Exp(logarithm)
+}
+
+// capacityLearner turns latencies into steps of capacity factors. What all endpoints have in common is
+// load, not capacity: the mean step is subtracted.
+type capacityLearner struct {
+	updates float64 // number of steps
+	drift   float64 // mean step
+}
+
+// step returns the step of the capacity factors for a latency, relative to the mean of its class. gain is
+// its weight.
+func (l *capacityLearner) step(latencyRatio, gain float64) float64 {
+	step := max(minCapacityStep, 1-latencyRatio)
+	l.updates++
+	l.drift += gain * (step - l.drift) * capacityDriftGain
+	return gain * (step - l.drift)
 }
 
-// learnCapacity adjusts the capacity factors of an endpoint, its machine type and its zone, so that answers
-// take equally long everywhere. latencyRatio is relative to the mean of the class. The mean step is
-// subtracted: what all endpoints have in common is load, not capacity.
+// learnCapacity adjusts the capacity factors of an endpoint, its machine type and its zone, so that
+// responses take equally long everywhere. latencyRatio is relative to the mean of the class. An endpoint
+// that warms up is slow for another reason, and teaches nothing.
 func (b *Balancer) learnCapacity(ep *endpoint, latencyRatio float64) {
 	if b.warmingUp(ep) {
 		return
 	}
-	step := max(-2, 1-latencyRatio)
-	b.learnCount++
+	b.advanceResponseRate()
 	gain := b.averagingGain()
-	b.learnDrift += gain * (step - b.learnDrift) / 2
-	step = gain * (step - b.learnDrift)
-	ep.learned.adjust(step/2, gain)
+	step := b.capacity.step(latencyRatio, gain)
+	ep.ownCapacity.adjust(step*ownCapacityGain, gain)
 	ep.machineType.adjust(step, gain)
-	ep.zone.adjust(step/2, gain)
+	ep.zone.capacity.adjust(step*ownCapacityGain, gain)
 }
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -21,8 +21,8 @@
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
 	}
-	if h.b.machineTypes[1].logarithm <= h.b.machineTypes[0].logarithm {
-		t.Fatalf("machine types %v", h.b.machineTypes)
+	if h.b.endpoints.machineTypes[1].logarithm <= h.b.endpoints.machineTypes[0].logarithm {
+		t.Fatalf("machine types %v", h.b.endpoints.machineTypes)
 	}
 }
 
@@ -39,10 +39,10 @@
 			for end := h.now + 10000; h.now < end; h.now += gap {
 				id, actions := h.request(idempotentClass)
 				if s, ok := sendTarget(actions); ok {
-					h.finishAttempt(id, 0, OK, []Milliseconds{100, 50}[h.b.endpointsByID[s].MachineType])
+					h.finishAttempt(id, 0, OK, []Milliseconds{100, 50}[h.b.endpoints.byID[s].MachineType])
 				}
 			}
-			if fast, slow := h.b.machineTypes[1].factor, h.b.machineTypes[0].factor; fast < 1.2*slow {
+			if fast, slow := h.b.endpoints.machineTypes[1].factor, h.b.endpoints.machineTypes[0].factor; fast < 1.2*slow {
 				t.Errorf("a request each %v ms: machine types twice as fast have %.2f of the capacity of slow ones", gap, fast/slow)
 			}
 		})
--- a/balance/config.go
+++ b/balance/config.go
@@ -27,17 +27,17 @@
 
 	// DedupWindow is how long endpoints remember a key, from the first attempt that may have been executed.
 	DedupWindow Milliseconds
-	// LatencyObjective is the latency within which an answer earns the full priority weight.
+	// LatencyObjective is the latency within which a response earns the full priority weight.
 	LatencyObjective Milliseconds
 	// ObjectiveStretch is the multiple of the request's own work that is added to the latency objective.
 	ObjectiveStretch float64
 	// Deadline is how long a client waits at most, over all attempts of its own.
 	Deadline Milliseconds
-	// PriorityWeight is what an answer within the latency objective earns.
+	// PriorityWeight is what a response within the latency objective earns.
 	PriorityWeight float64
-	// LateWeight is the fraction of PriorityWeight that an answer after the latency objective still earns.
+	// LateWeight is the fraction of PriorityWeight that a response after the latency objective still earns.
 	LateWeight float64
-	// Streaming is set if answers are streams.
+	// Streaming is set if responses are streams.
 	Streaming bool
 }
 
@@ -53,7 +53,7 @@
 // The modes of load reports.
 const (
 	LoadReportsNone        LoadReportMode = iota // there are none
-	LoadReportsPiggybacked                       // with the answers
+	LoadReportsPiggybacked                       // with the responses
 	LoadReportsPolled                            // with the results of health checks
 )
 
@@ -132,14 +132,3 @@
 type Costs struct {
 	CrossZone, WastedWork, NewConnection, HealthCheck, PeerTraffic, LateFailure, OpenConnection float64
 }
-
-// includes reports whether an endpoint knows the idempotency keys that another one has seen.
-func (scope DedupScope) includes(seen, ep *endpoint) bool {
-	switch scope {
-	case DedupCell:
-		return seen.Cell == ep.Cell
-	case DedupZone:
-		return seen.Zone == ep.Zone
-	}
-	return true
-}
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -8,7 +8,7 @@
 // An endpoint that leaves several attempts unanswered is ejected, and is used again when the ejection ends.
 func TestConsecutiveErrorsEjectEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
-	s := h.b.endpoints[0]
+	s := h.b.endpoints.list[0]
 	for range errorsToEject - 1 {
 		h.b.recordError(s, false)
 	}
@@ -26,11 +26,11 @@
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	h.now = s.ejectedUntil
+	h.now = s.outlier.ejectedUntil
 	for range 12 {
 		id, actions := h.request(idempotentClass)
 		to, _ := sendTarget(actions)
-		if h.finishAttempt(id, 0, OK, 10); to == s.ID && s.ejectedUntil == 0 && s.consecutiveErrors == 0 {
+		if h.finishAttempt(id, 0, OK, 10); to == s.ID && s.outlier.ejectedUntil == 0 && s.outlier.consecutiveErrors == 0 {
 			return
 		}
 	}
@@ -40,7 +40,7 @@
 // When all endpoints are ejected the cause is hardly theirs, and requests are sent all the same.
 func TestAllEjectedEndpointsAreUsed(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
-	for _, s := range h.b.endpoints {
+	for _, s := range h.b.endpoints.list {
 		h.b.recordError(s, true)
 	}
 	if _, actions := h.request(idempotentClass); !hasAction(actions, SendAttempt) {
@@ -52,16 +52,16 @@
 // process.
 func TestRestartClearsErrorsAndEjection(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
-	s := h.b.endpoints[0]
+	s := h.b.endpoints.list[0]
 	h.dispatch(HealthCheckResult{Endpoint: s.ID, Result: TimedOut})
-	if !s.unreachable || !h.b.ejected(s) {
+	if !s.outlier.unreachable || !h.b.ejected(s) {
 		t.Fatal("a health check without response does not eject the endpoint")
 	}
 	entry := s.Endpoint
 	entry.StartedAt = h.now
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
-	if s.unreachable || s.ejections != 0 || h.b.ejected(s) {
-		t.Fatalf("after the restart: unreachable %v, %d ejections", s.unreachable, s.ejections)
+	if s.outlier.unreachable || s.outlier.ejections != 0 || h.b.ejected(s) {
+		t.Fatalf("after the restart: unreachable %v, %d ejections", s.outlier.unreachable, s.outlier.ejections)
 	}
 }
 
@@ -84,9 +84,9 @@
 		h.now += 10
 		h.finishAttempt(h.lastRequest, 0, TimedOut, 10)
 	}
-	for _, s := range h.b.endpoints {
-		if h.b.health(s) < 1 || h.b.ejected(s) {
-			t.Errorf("endpoint %d: health %.2f, ejected: %v", s.ID, h.b.health(s), h.b.ejected(s))
+	for _, s := range h.b.endpoints.list {
+		if h.health(s) < 1 || h.b.ejected(s) {
+			t.Errorf("endpoint %d: health %.2f, ejected: %v", s.ID, h.health(s), h.b.ejected(s))
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	if h.now = r.nextTimerAt; h.now >= r.deadline {
 		t.Fatal("no timer checks the attempt before its deadline")
 	}
-	if h.dispatch(TimerFired{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].endpoint.consecutiveErrors != 1 {
+	if h.dispatch(TimerFired{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].endpoint.outlier.consecutiveErrors != 1 {
 		t.Fatal("an attempt far slower than all others is no error")
 	}
 }
@@ -169,31 +169,31 @@
 // Errors of one endpoint do not affect another.
 func TestHealthFallsRecoversAndHasAFloor(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
-	s := h.b.endpoints[0]
-	if m := h.b.health(s); m != 1 {
+	s := h.b.endpoints.list[0]
+	if m := h.health(s); m != 1 {
 		t.Fatalf("health without errors is %v", m)
 	}
-	s.consecutiveErrors, s.lastErrorAt = 2, h.now
-	if m := h.b.health(s); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
+	s.outlier.consecutiveErrors, s.outlier.lastErrorAt = 2, h.now
+	if m := h.health(s); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
 		t.Fatalf("health after two errors is %v", m)
 	}
 	h.b.now += errorHalfLife
-	if m := h.b.health(s); math.Abs(m-(1-errorPenalty)) > 1e-9 {
+	if m := h.health(s); math.Abs(m-(1-errorPenalty)) > 1e-9 {
 		t.Fatalf("health after a half-life is %v", m)
 	}
-	s.consecutiveErrors = 1000
-	if m := h.b.health(s); m != minHealth {
+	s.outlier.consecutiveErrors = 1000
+	if m := h.health(s); m != minHealth {
 		t.Fatalf("health after very many errors is %v, want the minimum", m)
 	}
-	if m := h.b.health(h.b.endpoints[1]); m != 1 {
+	if m := h.health(h.b.endpoints.list[1]); m != 1 {
 		t.Fatalf("errors of another endpoint changed health to %v", m)
 	}
-	s.consecutiveErrors = 2
+	s.outlier.consecutiveErrors = 2
 	id, _ := h.request(idempotentClass)
 	h.b.requests[id].attempts[0].endpoint = s
-	s.inFlight, h.b.endpoints[1].inFlight = 1, 0
+	s.load.inFlight, h.b.endpoints.list[1].load.inFlight = 1, 0
 	h.finishAttempt(id, 0, OK, 10)
-	if m := h.b.health(s); m != 1 {
+	if m := h.health(s); m != 1 {
 		t.Fatalf("health after a success is %v", m)
 	}
 }
@@ -204,7 +204,7 @@
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
-		h.b.endpoints[2].consecutiveErrors, h.b.endpoints[2].lastErrorAt = 1000, h.now
+		h.b.endpoints.list[2].outlier.consecutiveErrors, h.b.endpoints.list[2].outlier.lastErrorAt = 1000, h.now
 		if sendSequence(h, 1)[0] == 3 {
 			hits++
 		}
--- /dev/null
+++ b/balance/endpointset.go
@@ -0,0 +1,120 @@
+package balance
+
+import (
+	"cmp"
+	"slices"
+)
+
+// endpointSet holds the endpoints of the endpoint list, and what endpoints of one machine type or zone
+// share. Machine types and zones stay when their last endpoint goes.
+type endpointSet struct {
+	list         []*endpoint // by ID
+	byID         map[EndpointID]*endpoint
+	machineTypes map[int]*capacityFactor
+	zones        map[int]*zone
+}
+
+func newEndpointSet() endpointSet {
+	return endpointSet{
+		byID:         map[EndpointID]*endpoint{},
+		machineTypes: map[int]*capacityFactor{},
+		zones:        map[int]*zone{},
+	}
+}
+
+// machineType returns the capacity factor of a machine type. It adds the type if it is new.
+func (s *endpointSet) machineType(number int) *capacityFactor {
+	if s.machineTypes[number] == nil {
+		factor := newCapacityFactor()
+		s.machineTypes[number] = &factor
+	}
+	return s.machineTypes[number]
+}
+
+// zone returns a zone. It adds the zone if it is new.
+func (s *endpointSet) zone(number int) *zone {
+	if s.zones[number] == nil {
+		s.zones[number] = &zone{capacity: newCapacityFactor(), number: number}
+	}
+	return s.zones[number]
+}
+
+// endpoint returns the endpoint of a list entry. It adds the endpoint if it is new.
+func (s *endpointSet) endpoint(id EndpointID, classCount int) *endpoint {
+	ep := s.byID[id]
+	if ep == nil {
+		ep = newEndpoint(classCount)
+		s.byID[id] = ep
+		s.list = append(s.list, ep)
+	}
+	return ep
+}
+
+// markUnlistedGone marks the endpoints that a complete endpoint list does not contain as gone.
+func (s *endpointSet) markUnlistedGone(entries []Endpoint) {
+	listed := make(map[EndpointID]bool, len(entries))
+	for i := range entries {
+		listed[entries[i].ID] = true
+	}
+	for _, ep := range s.list {
+		if !listed[ep.ID] {
+			ep.State = Gone
+		}
+	}
+}
+
+// removeGone removes the endpoints that are gone and sorts the others by ID.
+func (s *endpointSet) removeGone() {
+	s.list = slices.DeleteFunc(s.list, func(ep *endpoint) bool {
+		if ep.State == Gone {
+			delete(s.byID, ep.ID)
+		}
+		return ep.State == Gone
+	})
+	slices.SortFunc(s.list, func(left, right *endpoint) int { return cmp.Compare(left.ID, right.ID) })
+}
+
+// onEndpointUpdate applies an update from discovery.
+func (b *Balancer) onEndpointUpdate(ev EndpointUpdate) {
+	if ev.Kind == UpdateFailed {
+		b.retryPoll()
+		return
+	}
+	if ev.Kind != UpdateDelta {
+		b.endpoints.markUnlistedGone(ev.Endpoints)
+	}
+	if ev.Kind != UpdateCachedSnapshot {
+		b.polling.failures = 0
+	}
+	for i := range ev.Endpoints {
+		entry := &ev.Endpoints[i]
+		if entry.State != Gone || b.endpoints.byID[entry.ID] != nil {
+			b.updateEndpoint(entry)
+		}
+	}
+	b.endpoints.removeGone()
+}
+
+// updateEndpoint applies one entry of the endpoint list. A restart clears the errors of the endpoint.
+func (b *Balancer) updateEndpoint(entry *Endpoint) {
+	ep := b.endpoints.endpoint(entry.ID, len(b.cfg.Classes))
+	if entry.StartedAt > ep.StartedAt {
+		ep.outlier.clear()
+		b.startWarmUp(ep, entry.StartedAt)
+	}
+	ep.Endpoint = *entry
+	ep.machineType = b.endpoints.machineType(ep.MachineType)
+	ep.zone = b.endpoints.zone(ep.Zone)
+}
+
+// UnavailableCount returns the number of listed endpoints that get no new requests at a time, unless no
+// others are left.
+func (b *Balancer) UnavailableCount(now Milliseconds) int {
+	count := 0
+	for _, ep := range b.endpoints.list {
+		if ep.State != Ready || ep.outlier.ejected(now) || ep.zone.outage || ep.outlier.unreachable {
+			count++
+		}
+	}
+	return count
+}
--- a/balance/events.go
+++ b/balance/events.go
@@ -47,7 +47,7 @@
 	Endpoints []Endpoint
 }
 
-// Request is a client's request. It gets exactly one final answer.
+// Request is a client's request. It gets exactly one final response.
 type Request struct {
 	ID          RequestID
 	Class       int          // index in Config.Classes
@@ -73,7 +73,7 @@
 	OK            Result = iota
 	ServerError          // the endpoint answered with an error
 	Rejected             // the endpoint rejected the attempt before executing it
-	TimedOut             // no answer arrived in time
+	TimedOut             // no response arrived in time
 	ConnectFailed        // no connection could be opened
 	ConnReset            // the connection broke
 	Cancelled            // the balancer cancelled the attempt
@@ -105,7 +105,7 @@
 	Endpoint      EndpointID
 	Result        Result
 	Duration      Milliseconds
-	Finished      bool      // the request needs no answer, or no further one
+	Finished      bool      // the request needs no response, or no further one
 	BodyDiscarded bool      // the body sent was not retained, so that the request cannot be retried
 	LoadReport    []float32 // values in the order of Config.LoadReportFields; empty if none; not retained
 }
@@ -117,7 +117,7 @@
 	BodyDiscarded bool         // as in Outcome
 }
 
-// ResponseStarted reports that a successful answer has started to arrive, but is not complete: the endpoint
+// ResponseStarted reports that a successful response has started to arrive, but is not complete: the endpoint
 // has done its work. The rest of the transfer depends on the network and the client, and may still fail.
 type ResponseStarted struct {
 	Request RequestID
@@ -125,7 +125,8 @@
 	Latency Milliseconds
 }
 
-// StreamStarted reports that a streamed answer has started. From now on the client decides how long it lasts.
+// StreamStarted reports that a streamed response has started. From now on the client decides how long it
+// lasts.
 type StreamStarted struct {
 	Request  RequestID
 	Attempt  int
@@ -133,7 +134,7 @@
 	Latency  Milliseconds
 }
 
-// ClientGone reports that the client disconnected. It needs no answer.
+// ClientGone reports that the client disconnected. It needs no response.
 type ClientGone struct{ Request RequestID }
 
 // TimerFired reports that a timer set by a SetTimer action has expired.
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -8,53 +8,76 @@
 const (
 	// healthCheckBudget is the part of the result that the health checks of a request may cost.
 	healthCheckBudget = 0.03
+	// minHealthCheckCost keeps the number of affordable health checks finite.
+	minHealthCheckCost = 1e-3
 	// reportLifetimeObjectives is how long load reports are valid, and how long a first attempt waits for
 	// health checks, in latency objectives.
 	reportLifetimeObjectives = 0.05
 	// allBusyProbability is the probability that all checked endpoints are busy at which no more are checked.
 	allBusyProbability = 0.01
+	// minBusyFraction and maxBusyFraction keep the logarithm of the busy fraction finite and below 0.
+	minBusyFraction = 0.01
+	maxBusyFraction = 0.99
 	// duplicateTolerance is how much the send times of the same health check may differ by rounding.
 	duplicateTolerance Milliseconds = 1
 )
 
+// healthCheckState is an endpoint's last health check.
+type healthCheckState struct {
+	pending bool
+	sentAt  Milliseconds
+}
+
+// candidateChecks holds what the health checks before first attempts need.
+type candidateChecks struct {
+	busyFraction float64    // recent fraction of checked endpoints that had requests in flight
+	awaiting     []*request // requests that wait for health checks
+}
+
+// recordReport adds a load report to the fraction of busy endpoints.
+func (c *candidateChecks) recordReport(inFlight float64) {
+	c.busyFraction += (min(inFlight, 1) - c.busyFraction) / averagingSamples
+}
+
+// count returns the number of endpoints to check, so that they are hardly ever all busy. The cost of a
+// health check limits it.
+func (c *candidateChecks) count(cost float64) int {
+	affordable := healthCheckBudget / max(cost, minHealthCheckCost)
+	busyFraction := clamp(c.busyFraction, minBusyFraction, maxBusyFraction)
+	needed := math.Ceil(math.Log(allBusyProbability) / math.Log(busyFraction))
+	return int(min(affordable, needed))
+}
+
 // checkCandidates checks the endpoints that are next in the rotation before a first attempt, where only
 // health checks report the load.
 func (b *Balancer) checkCandidates(req *request) {
 	if !b.cfg.HealthChecks || b.cfg.LoadReports != LoadReportsPolled {
 		return
 	}
-	for count := b.candidateChecks(); len(req.checkedEndpoints) < count; {
+	for count := b.checks.count(b.cfg.Costs.HealthCheck); len(req.checkedEndpoints) < count; {
 		next := b.nextToCheck(req)
 		if next == nil {
 			break
 		}
 		req.checkedEndpoints = append(req.checkedEndpoints, next)
-		if !next.checkPending || b.respondedSinceCheck(next, next.lastCheckAt) {
+		if !next.healthCheck.pending || b.respondedSinceCheck(next, next.healthCheck.sentAt) {
 			b.sendHealthCheck(next)
 		}
 	}
 	if len(req.checkedEndpoints) > 0 {
 		req.awaitChecksUntil = b.now + reportLifetimeObjectives*req.class.LatencyObjective
-		b.awaitingChecks = append(b.awaitingChecks, req)
+		b.checks.awaiting = append(b.checks.awaiting, req)
 	}
 }
 
-// candidateChecks returns the number of endpoints to check, so that they are hardly ever all busy. The cost
-// of health checks limits it.
-func (b *Balancer) candidateChecks() int {
-	affordable := healthCheckBudget / max(b.cfg.Costs.HealthCheck, 1e-3)
-	needed := math.Ceil(math.Log(allBusyProbability) / math.Log(clamp(b.busyFraction, 0.01, 0.99)))
-	return int(min(affordable, needed))
-}
-
 // nextToCheck returns the unchecked endpoint that is next in the rotation, or nil.
 func (b *Balancer) nextToCheck(req *request) *endpoint {
 	var next *endpoint
-	for _, ep := range b.endpoints {
+	for _, ep := range b.endpoints.list {
 		if !b.available(req, ep) || slices.Contains(req.checkedEndpoints, ep) {
 			continue
 		}
-		if next == nil || ep.rotationValue > next.rotationValue {
+		if next == nil || ep.rotation.value > next.rotation.value {
 			next = ep
 		}
 	}
@@ -62,14 +85,13 @@
 }
 
 func (b *Balancer) sendHealthCheck(ep *endpoint) {
-	ep.checkPending = true
-	ep.lastCheckAt = b.now
+	ep.healthCheck = healthCheckState{pending: true, sentAt: b.now}
 	b.emit(Action{Kind: CheckHealth, Endpoint: ep.ID})
 }
 
 // onHealthCheckResult handles the result of a health check.
 func (b *Balancer) onHealthCheckResult(ev HealthCheckResult) {
-	ep := b.endpointsByID[ev.Endpoint]
+	ep := b.endpoints.byID[ev.Endpoint]
 	if ep == nil {
 		return
 	}
@@ -77,57 +99,47 @@
 	switch {
 	case ev.Result == OK:
 		b.recordLoadReport(ep, ev.LoadReport)
-		if ep.unreachable {
-			ep.clearErrors()
+		if ep.outlier.unreachable {
+			ep.outlier.clear()
 		}
-		b.recordAnswer(ep)
+		b.recordResponse(ep)
 	case ev.Result == ConnReset || ev.Result == NotAttempted:
 		// The connection broke, or there was none: another connection may work.
 	case b.respondedSinceCheck(ep, sentAt): // only the health check was lost
-		if ep.lastCheckAt > sentAt+duplicateTolerance { // a later one is pending
+		if ep.healthCheck.sentAt > sentAt+duplicateTolerance { // a later one is pending
 			return
 		}
 	default: // the process may run, but nothing reaches it from here
 		b.eject(ep)
-		ep.unreachable = true
+		ep.outlier.unreachable = true
 	}
-	ep.checkPending = false
+	ep.healthCheck.pending = false
 	b.resumeAwaitingChecks()
 }
 
 // respondedSinceCheck reports whether an endpoint responded after the result of a health check was due. The
 // endpoint is reachable then, even if the result never arrived.
 func (b *Balancer) respondedSinceCheck(ep *endpoint, checkedAt Milliseconds) bool {
-	return ep.lastResponseAt > checkedAt+reportLifetimeObjectives*b.longestObjective
+	return ep.activity.lastResponseAt > checkedAt+reportLifetimeObjectives*b.longestObjective
 }
 
-// awaitsChecks reports whether a request still waits for its health checks.
-func (b *Balancer) awaitsChecks(req *request) bool {
-	for _, ep := range req.checkedEndpoints {
-		if ep.checkPending && b.now < req.awaitChecksUntil {
-			return true
-		}
+// checksDone reports whether a request need not wait for its health checks any more.
+func (b *Balancer) checksDone(req *request) bool {
+	if b.now >= req.awaitChecksUntil {
+		return true
 	}
-	req.awaitChecksUntil = 0
-	return false
+	pending := func(ep *endpoint) bool { return ep.healthCheck.pending }
+	return !slices.ContainsFunc(req.checkedEndpoints, pending)
 }
 
 // resumeAwaitingChecks advances the requests that wait for health checks. It keeps those that still do.
 func (b *Balancer) resumeAwaitingChecks() {
-	waiting := b.awaitingChecks
-	b.awaitingChecks = waiting[:0]
+	waiting := b.checks.awaiting
+	b.checks.awaiting = waiting[:0]
 	for _, req := range waiting {
 		b.advance(req)
 		if !req.done && req.awaitChecksUntil > b.now {
-			b.awaitingChecks = append(b.awaitingChecks, req)
+			b.checks.awaiting = append(b.checks.awaiting, req)
 		}
 	}
 }
-
-// hasFreshReport reports whether the last load report of an endpoint is still valid.
-func (b *Balancer) hasFreshReport(ep *endpoint) bool {
-	if ep.reportedAt <= 0 || b.cfg.LoadReports != LoadReportsPolled {
-		return false
-	}
-	return b.now-ep.reportedAt <= reportLifetimeObjectives*b.longestObjective
-}
--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -37,7 +37,7 @@
 // little traffic cannot know from its own requests what others send.
 func TestPolledQueueIsAvoided(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
-	h.b.endpoints[0].rotationValue = 1000 // next in the rotation
+	h.b.endpoints.list[0].rotation.value = 1000 // next in the rotation
 	id, actions := h.request(idempotentClass)
 	if hasAction(actions, SendAttempt) {
 		t.Fatal("sent before the health checks were completed")
@@ -96,7 +96,7 @@
 				t.Fatal("no endpoint is checked")
 			}
 			h.dispatch(HealthCheckResult{Endpoint: 1, Result: res, Duration: 1})
-			if got := h.b.ejected(h.b.endpointsByID[1]); got != ejects {
+			if got := h.b.ejected(h.b.endpoints.byID[1]); got != ejects {
 				t.Errorf("result %d: ejected: %v", res, got)
 			}
 		})
@@ -132,7 +132,7 @@
 			}
 			h.now += 290
 			h.dispatch(HealthCheckResult{Endpoint: at, Result: TimedOut, Duration: h.now - lost})
-			if got := h.b.ejected(h.b.endpointsByID[at]); got == responseSeen {
+			if got := h.b.ejected(h.b.endpoints.byID[at]); got == responseSeen {
 				t.Errorf("response seen: %v, ejected: %v", responseSeen, got)
 			}
 		})
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -45,16 +45,16 @@
 	h := &harness{t: t, b: New(cfg), now: 1000}
 	h.actions = append(h.actions, h.b.Start(h.now)...)
 	h.dispatch(EndpointUpdate{Kind: UpdateCachedSnapshot, Endpoints: endpoints})
-	for _, s := range h.b.endpoints {
-		s.rotationValue, s.inRotation = 0, true // the random start would hide the sequence
+	for _, s := range h.b.endpoints.list {
+		s.rotation.value, s.rotation.active = 0, true // the random start would hide the sequence
 	}
 	return h
 }
 
 // randomizeRotation restores the random start of the rotation, which newHarness removes.
 func (h *harness) randomizeRotation() {
-	for _, s := range h.b.endpoints {
-		s.inRotation = false
+	for _, s := range h.b.endpoints.list {
+		s.rotation.active = false
 	}
 }
 
@@ -67,6 +67,9 @@
 	return list
 }
 
+// health returns the health multiplier of an endpoint at the time of the last event.
+func (h *harness) health(s *endpoint) float64 { return s.outlier.health(h.b.now) }
+
 // dispatch gives the balancer an event and returns a copy of its actions.
 func (h *harness) dispatch(ev Event) []Action {
 	h.t.Helper()
--- a/balance/keycounter.go
+++ b/balance/keycounter.go
@@ -11,24 +11,32 @@
 	priorKeyRequests = 60
 )
 
-// keyCounterBucket returns the index in keyCounts of a key.
-func keyCounterBucket(key uint64) int { return int(key * splitMixIncrement >> keyCounterShift) }
+// keyCounter counts recent requests by sticky key. Several keys share a bucket.
+type keyCounter struct {
+	buckets [keyCounterBuckets]float64
+	total   float64 // sum of buckets
+}
+
+// bucket returns the count of a key.
+func (c *keyCounter) bucket(key uint64) *float64 {
+	return &c.buckets[key*splitMixIncrement>>keyCounterShift]
+}
 
-// countKey counts a request for a key.
-func (b *Balancer) countKey(key uint64) {
-	b.keyCounts[keyCounterBucket(key)]++
-	b.keyCountTotal++
-	if b.keyCountTotal < keyCounterWindow {
+// record counts a request for a key.
+func (c *keyCounter) record(key uint64) {
+	*c.bucket(key)++
+	c.total++
+	if c.total < keyCounterWindow {
 		return
 	}
-	for i := range b.keyCounts {
-		b.keyCounts[i] /= 2
+	for i := range c.buckets {
+		c.buckets[i] /= 2
 	}
-	b.keyCountTotal /= 2
+	c.total /= 2
 }
 
-// keyFraction returns the fraction of recent requests that are for a key. The first request for a key counts
+// fraction returns the fraction of recent requests that are for a key. The first request for a key counts
 // in full: it is more likely to be for a hot key.
-func (b *Balancer) keyFraction(key uint64) float64 {
-	return b.keyCounts[keyCounterBucket(key)] / (b.keyCountTotal + priorKeyRequests)
+func (c *keyCounter) fraction(key uint64) float64 {
+	return *c.bucket(key) / (c.total + priorKeyRequests)
 }
--- a/balance/polling.go
+++ b/balance/polling.go
@@ -14,80 +14,79 @@
 	// propagationLimit is the time within which a sidecar has to know a change that discovery reports,
 	// counted from when discovery can be reached.
 	propagationLimit Milliseconds = 6000
+	// startSpreadFraction is the part of MaxPollInterval over which the first polls of all sidecars are
+	// spread.
+	startSpreadFraction = 0.5
+	// backoffDivisor makes three failed polls in a row fit into MaxPollInterval.
+	backoffDivisor = 3
 )
 
-// scheduleFirstPoll spreads the first polls of all sidecars over time. If sidecars that start together all
-// polled at once, most polls would time out, and discovery would still be busy with them when they are
-// repeated.
-func (b *Balancer) scheduleFirstPoll() {
-	spread := min(b.pollRoundTime(), propagationLimit-pollTimeUncontended)
-	if b.cfg.MaxPollInterval > 0 {
-		spread = min(spread, b.cfg.MaxPollInterval/2)
-	}
-	instanceCount := max(b.cfg.InstanceCount, 1)
-	position := max(b.cfg.InstanceIndex, 0) % instanceCount
-	if position == 0 {
-		b.emit(Action{Kind: WatchEndpoints})
-		return
-	}
-	delay := spread * Milliseconds(position) / Milliseconds(instanceCount)
-	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
+// pollBackoff decides when the endpoint list is polled, so that one discovery service can serve all sidecars.
+type pollBackoff struct {
+	failures int // consecutive failed polls
 }
 
-// pollRoundTime returns the time in which discovery can serve one poll of each sidecar.
-func (b *Balancer) pollRoundTime() Milliseconds {
-	return pollServiceTime * Milliseconds(b.cfg.InstanceCount)
+// firstDelay returns the delay of the first poll, which spreads the polls of all sidecars over time:
+// sidecars that start together would overload discovery, most polls would time out, and the repeated ones
+// would find it still busy.
+func (p *pollBackoff) firstDelay(cfg *Config) Milliseconds {
+	spread := min(pollRoundTime(cfg), propagationLimit-pollTimeUncontended)
+	if cfg.MaxPollInterval > 0 {
+		spread = min(spread, cfg.MaxPollInterval*startSpreadFraction)
+	}
+	instanceCount := max(cfg.InstanceCount, 1)
+	position := max(cfg.InstanceIndex, 0) % instanceCount
+	return spread * Milliseconds(position) / Milliseconds(instanceCount)
 }
 
-// retryPoll repeats a failed poll after a growing delay with jitter. The failed poll may have just missed the
-// recovery of discovery, and the next one takes time, too: the delay is what propagationLimit leaves. If
-// discovery could not serve all sidecars in that time, each sidecar waits for its position in a round of all.
-func (b *Balancer) retryPoll() {
+// retryDelay counts a failed poll and returns the delay of the next: it grows, with jitter. The failed poll
+// may have just missed the recovery of discovery, and the next one takes time, too: the longest delay is
+// what propagationLimit leaves. If discovery cannot serve all sidecars in that time, each sidecar waits for
+// its turn in a round of all.
+func (p *pollBackoff) retryDelay(cfg *Config, now Milliseconds, random *randomSource) Milliseconds {
 	maxDelay := propagationLimit - 2*pollTimeout - pollBackoffBase/2
-	roundTime := b.pollRoundTime()
-	if b.cfg.MaxPollInterval > 0 {
-		maxDelay = min(maxDelay, b.cfg.MaxPollInterval/3)
+	if cfg.MaxPollInterval > 0 {
+		maxDelay = min(maxDelay, cfg.MaxPollInterval/backoffDivisor)
 	}
-	backoff := pollBackoffBase.scaled(backoffFactor(b.failedPolls, maxPollDoublings))
-	delay := min(backoff, maxDelay).scaled(b.jitter())
-	if roundTime > pollTimeout+maxDelay {
-		turn := (float64(b.cfg.InstanceIndex) + b.random()) / float64(b.cfg.InstanceCount)
-		position := roundTime.scaled(turn)
-		delay = modulo(position-modulo(b.now, roundTime)+roundTime, roundTime)
+	backoff := pollBackoffBase.scaled(backoffFactor(p.failures, maxPollDoublings))
+	delay := min(backoff, maxDelay).scaled(random.jitter())
+	if roundTime := pollRoundTime(cfg); roundTime > pollTimeout+maxDelay {
+		delay = untilTurn(cfg, now, roundTime, random)
 	}
-	b.failedPolls++
-	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
+	p.failures++
+	return delay
+}
+
+// untilTurn returns the time until this sidecar's turn in a round of all sidecars, at a random moment of
+// the turn.
+func untilTurn(cfg *Config, now, roundTime Milliseconds, random *randomSource) Milliseconds {
+	turn := (float64(cfg.InstanceIndex) + random.next()) / float64(cfg.InstanceCount)
+	position := roundTime.scaled(turn)
+	return modulo(position-modulo(now, roundTime)+roundTime, roundTime)
+}
+
+// pollRoundTime returns the time in which discovery can serve one poll of each sidecar.
+func pollRoundTime(cfg *Config) Milliseconds {
+	return pollServiceTime * Milliseconds(cfg.InstanceCount)
 }
 
-// onEndpointUpdate applies an update from discovery.
-func (b *Balancer) onEndpointUpdate(ev EndpointUpdate) {
-	if ev.Kind == UpdateFailed {
-		b.retryPoll()
+// scheduleFirstPoll polls the endpoint list for the first time.
+func (b *Balancer) scheduleFirstPoll() {
+	delay := b.polling.firstDelay(&b.cfg)
+	if delay == 0 {
+		b.emit(Action{Kind: WatchEndpoints})
 		return
 	}
-	if ev.Kind != UpdateDelta {
-		b.markUnlistedGone(ev.Endpoints)
-	}
-	if ev.Kind != UpdateCachedSnapshot {
-		b.failedPolls = 0
-	}
-	for i := range ev.Endpoints {
-		entry := &ev.Endpoints[i]
-		if entry.State != Gone || b.endpointsByID[entry.ID] != nil {
-			b.updateEndpoint(entry)
-		}
-	}
-	b.removeGone()
+	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
 }
 
-// updateEndpoint applies one entry of the endpoint list. A restart clears the errors of the endpoint.
-func (b *Balancer) updateEndpoint(entry *Endpoint) {
-	ep := b.endpointFor(entry)
-	if entry.StartedAt > ep.StartedAt {
-		ep.clearErrors()
-		b.startWarmUp(ep, entry.StartedAt)
-	}
-	ep.Endpoint = *entry
-	ep.machineType = b.machineTypeFactor(ep.MachineType)
-	ep.zone = b.zoneFor(ep.Zone)
+// retryPoll repeats a failed poll.
+func (b *Balancer) retryPoll() {
+	delay := b.polling.retryDelay(&b.cfg, b.now, &b.random)
+	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
+}
+
+// backoffFactor returns 2 to the power of count, with a limited number of doublings.
+func backoffFactor(count, maxDoublings int) float64 {
+	return float64(int(1) << min(count, maxDoublings))
 }
--- a/balance/polling_test.go
+++ b/balance/polling_test.go
@@ -175,8 +175,8 @@
 			t.Fatal("not polled again")
 		}
 	}
-	if delays[5] < 2*delays[0] || len(h.b.endpoints) != 3 {
-		t.Fatalf("delays %v, %d endpoints", delays, len(h.b.endpoints))
+	if delays[5] < 2*delays[0] || len(h.b.endpoints.list) != 3 {
+		t.Fatalf("delays %v, %d endpoints", delays, len(h.b.endpoints.list))
 	}
 }
 
--- /dev/null
+++ b/balance/random.go
@@ -0,0 +1,26 @@
+package balance
+
+// splitMixIncrement is the increment of the splitmix64 generator: 2^64 divided by the golden ratio.
+const splitMixIncrement = 0x9e3779b97f4a7c15
+
+// randomBits is the number of random bits in a number of randomSource: the precision of a float64.
+const randomBits = 53
+
+// randomSource is a splitmix64 generator. The same seed gives the same decisions.
+type randomSource struct{ state uint64 }
+
+// next returns the next random number in [0, 1).
+func (r *randomSource) next() float64 {
+	r.state += splitMixIncrement
+	return float64(splitMix(r.state)) / (1 << randomBits)
+}
+
+// jitter returns a random factor in [0.5, 1).
+func (r *randomSource) jitter() float64 { return 0.5 + r.next()/2 }
+
+// splitMix is the output function of splitmix64, cut to randomBits.
+func splitMix(state uint64) uint64 {
+	state = (state ^ state>>30) * 0xbf58476d1ce4e5b9
+	state = (state ^ state>>27) * 0x94d049bb133111eb
+	return (state ^ state>>31) >> (64 - randomBits)
+}
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -1,20 +1,18 @@
 package balance
 
-// Reconfigure replaces the settings. What was learned is kept, and open requests keep the settings that they
+// Reconfigure replaces the settings. What was learned stays, and open requests keep the settings that they
 // arrived under. classes and tenants give the old index of each new class and tenant, or -1 for an added one.
 // The seed does not change.
 func (b *Balancer) Reconfigure(cfg Config, classes, tenants []int) {
 	cfg.Seed = b.cfg.Seed
 	oldClassCount := len(b.cfg.Classes)
 	b.applyConfig(cfg, classes, tenants)
-	for _, ep := range b.endpoints {
+	for _, ep := range b.endpoints.list {
 		oldScores := ep.classScores
-		ep.classScores = make([]classScore, len(cfg.Classes)+1)
+		ep.classScores = newClassScores(len(cfg.Classes))
 		for i := range ep.classScores {
 			if old, ok := oldIndex(classes, i, oldClassCount); ok {
 				ep.classScores[i] = oldScores[old]
-			} else {
-				ep.classScores[i].updatedAt = longAgo
 			}
 		}
 	}
--- a/balance/request.go
+++ b/balance/request.go
@@ -1,65 +1,35 @@
 package balance
 
-// attempt is one attempt of a request at an endpoint.
-type attempt struct {
-	endpoint       *endpoint
-	sentAt         Milliseconds
-	inFlight       bool
-	neverExecuted  bool // proven by its result
-	connReset      bool // its connection broke
-	overdue        bool // it takes far longer than is usual in its class
-	countedAsLoad  bool // it is part of the endpoint's load, or of the overdue load
-	resultRecorded bool // its answer has started, and the result was recorded then
-	abandoned      bool // cancelled: the endpoint answered newer attempts, or its zone is unreachable
-	// inFlightBefore is the number of requests in flight at the endpoint before the attempt, according to a
-	// fresh load report, or unknownInFlight.
-	inFlightBefore float64
-}
-
-// unknownInFlight stands for a number of requests in flight that no fresh load report gives.
-const unknownInFlight = -1
-
-// overtaken reports whether the endpoint has answered an attempt that was sent later.
-func (a *attempt) overtaken() bool { return a.endpoint.newestAnsweredSentAt > a.sentAt }
-
-// request is the state of an open request.
+// request is the state of an open request: from its arrival until it has its final response and no attempt is
+// in flight.
 type request struct {
 	Request
-	class            *Class
-	stats            *classStats
-	tenant           *requestCounter
-	arrivedAt        Milliseconds
-	deadline         Milliseconds
-	attempts         []*attempt
-	inFlight         int // attempts in flight
-	done             bool
-	streaming        bool
-	bodyDiscarded    bool         // the body sent was not retained: no further attempt is possible
-	nextTimerAt      Milliseconds // when its timer fires; +Inf: no timer is set
+	class         *Class
+	stats         *classStats
+	tenant        *requestCounter
+	arrivedAt     Milliseconds // never: its body is still arriving
+	deadline      Milliseconds
+	attempts      []*attempt
+	inFlight      int // attempts in flight
+	done          bool
+	streaming     bool         // its response is on its way to the client: no deadline, no retries
+	bodyDiscarded bool         // the body sent was not retained: no further attempt is possible
+	nextTimerAt   Milliseconds // when its timer fires; never: no timer is set
+
 	checkedEndpoints []*endpoint  // endpoints health-checked before the first attempt
 	awaitChecksUntil Milliseconds // how long the first attempt waits for these health checks
 }
 
-// mayHaveExecuted reports whether an attempt is in flight, or ended without proof that it was not executed.
-func (req *request) mayHaveExecuted() bool {
-	for _, a := range req.attempts {
-		if !a.neverExecuted {
-			return true
-		}
-	}
-	return false
-}
+// attemptKind distinguishes the first attempt of a request from its retries.
+type attemptKind bool
 
-// resetCount returns the number of attempts whose connections broke.
-func (req *request) resetCount() int {
-	count := 0
-	for _, a := range req.attempts {
-		if a.connReset {
-			count++
-		}
-	}
-	return count
-}
+const (
+	firstAttempt attemptKind = false
+	retryAttempt attemptKind = true
+)
+
+// nextAttemptKind returns the kind of a request's next attempt.
+func (req *request) nextAttemptKind() attemptKind { return len(req.attempts) > 0 }
 
 // attemptInFlight returns an attempt that is in flight, or nil if there is none with this index.
 func (req *request) attemptInFlight(index int) *attempt {
@@ -69,6 +39,21 @@
 	return req.attempts[index]
 }
 
+// onRequest handles a new request.
+func (b *Balancer) onRequest(ev Request) error {
+	if ev.ClassOverride == nil && (ev.Class < 0 || ev.Class >= len(b.cfg.Classes)) {
+		return &UnknownClassError{Request: ev.ID, Class: ev.Class}
+	}
+	req := b.openRequest(ev)
+	if !b.admit(req) {
+		b.rejectOrFail(req)
+		return nil
+	}
+	b.checkCandidates(req)
+	b.advance(req)
+	return nil
+}
+
 // openRequest registers a new request.
 func (b *Balancer) openRequest(ev Request) *request {
 	req := &request{
@@ -93,43 +78,46 @@
 		req.deadline = never
 	}
 	b.requests[ev.ID] = req
+	b.countRequest(req)
+	return req
+}
+
+// countRequest adds a request to the statistics of its key, class and tenant.
+func (b *Balancer) countRequest(req *request) {
 	if req.StickyKey != 0 {
-		b.countKey(req.StickyKey)
+		b.keys.record(req.StickyKey)
 	}
-	req.stats.count++
-	req.stats.longestTimeout = max(req.stats.longestTimeout, req.Remaining)
+	req.stats.recordRequest(req.Remaining)
 	req.tenant.count++
-	return req
 }
 
-// finishRequest marks a request as answered and cancels its attempts that are in flight.
+// retryAfterObjectives is the Retry-After time of a rejected request, in its latency objectives.
+const retryAfterObjectives = 0.1
+
+// rejectOrFail ends a request without a response from an endpoint. It is rejected, with a short Retry-After
+// time, if a retry by the client is safe, and otherwise failed.
+func (b *Balancer) rejectOrFail(req *request) {
+	action := Action{Kind: FailRequest, Request: req.ID}
+	if req.clientMayRetry() {
+		action.Kind = RejectRequest
+		action.RetryAfter = min(retryAfterObjectives*req.class.LatencyObjective, b.cfg.MaxRetryAfter)
+	}
+	b.emit(action)
+	b.finishRequest(req)
+}
+
+// finishRequest marks a request as done and cancels its attempts that are in flight.
 func (b *Balancer) finishRequest(req *request) {
 	req.done = true
-	b.cancelAttempts(req, -1)
+	b.cancelAttempts(req, noAttempt)
 	if req.inFlight == 0 {
 		delete(b.requests, req.ID)
 	}
 }
 
-// cancelAttempts cancels the attempts of a request that are in flight, except the one with index keep.
-func (b *Balancer) cancelAttempts(req *request, keep int) {
-	if !b.cfg.Cancellation {
-		return
-	}
-	for i, a := range req.attempts {
-		if a.inFlight && i != keep {
-			b.emit(Action{Kind: CancelAttempt, Request: req.ID, Attempt: i})
-		}
+// onClientGone ends a request whose client needs no response.
+func (b *Balancer) onClientGone(ev ClientGone) {
+	if req := b.requests[ev.Request]; req != nil {
+		b.finishRequest(req)
 	}
 }
-
-// attemptKind distinguishes the first attempt of a request from its retries.
-type attemptKind bool
-
-const (
-	firstAttempt attemptKind = false
-	retryAttempt attemptKind = true
-)
-
-// nextAttemptKind returns the kind of a request's next attempt.
-func (req *request) nextAttemptKind() attemptKind { return len(req.attempts) > 0 }
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -100,7 +100,7 @@
 	id, actions := h.request(idempotentClass)
 	s, _ := sendTarget(h.answerHealthChecks(actions, 0, nil))
 	h.dispatch(ResponseStarted{Request: id, Attempt: 0, Latency: 20})
-	if h.finishAttempt(id, 0, ConnReset, 30); h.b.endpointsByID[s].consecutiveErrors != 1 {
+	if h.finishAttempt(id, 0, ConnReset, 30); h.b.endpoints.byID[s].outlier.consecutiveErrors != 1 {
 		t.Error("an interrupted response is no error")
 	}
 }
@@ -181,10 +181,10 @@
 		}
 	}
 	b := h.b
-	if len(b.requests) > 1 || len(b.endpoints) != 5 || len(b.endpointsByID) != 5 ||
-		len(b.awaitingChecks) > 1 || cap(b.actions) > 100 {
+	if len(b.requests) > 1 || len(b.endpoints.list) != 5 || len(b.endpoints.byID) != 5 ||
+		len(b.checks.awaiting) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("%d requests, %d endpoints, %d by ID, %d waiting, room for %d actions",
-			len(b.requests), len(b.endpoints), len(b.endpointsByID), len(b.awaitingChecks), cap(b.actions))
+			len(b.requests), len(b.endpoints.list), len(b.endpoints.byID), len(b.checks.awaiting), cap(b.actions))
 	}
 }
 
--- a/balance/retries_test.go
+++ b/balance/retries_test.go
@@ -51,7 +51,7 @@
 		}
 		return
 	}
-	a, b := h.b.endpointsByID[first], h.b.endpointsByID[second]
+	a, b := h.b.endpoints.byID[first], h.b.endpoints.byID[second]
 	dirty := !res.NeverExecuted()
 	if a == b || dirty && class == cellKeyClass && a.Cell != b.Cell || dirty && class == zoneKeyClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Endpoint, a.Endpoint)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -23,16 +23,16 @@
 // yet, whatever the rotation says.
 func TestRetryUsesHealthiestUnusedEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
-	for _, s := range h.b.endpoints {
-		s.consecutiveErrors, s.lastErrorAt = 2, h.now
+	for _, s := range h.b.endpoints.list {
+		s.outlier.consecutiveErrors, s.outlier.lastErrorAt = 2, h.now
 	}
-	h.b.endpoints[2].consecutiveErrors = 1
-	h.b.endpoints[1].rotationValue = 1000 // next in the rotation, though it is not the healthiest
+	h.b.endpoints.list[2].outlier.consecutiveErrors = 1
+	h.b.endpoints.list[1].rotation.value = 1000 // next in the rotation, though it is not the healthiest
 	id, actions := h.request(idempotentClass)
 	if s, _ := sendTarget(actions); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	h.b.endpoints[3].rotationValue = 1000 // next in the rotation, which must not count for a retry
+	h.b.endpoints.list[3].rotation.value = 1000 // next in the rotation, which must not count for a retry
 	if s, ok := sendTarget(h.finishAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("retried at %d, want 3", s)
 	}
@@ -51,17 +51,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(4)...)
-			for i, s := range h.b.endpoints {
-				s.inFlight, s.rotationValue = c.inFlight[i], float64(10*(4-i))
+			for i, s := range h.b.endpoints.list {
+				s.load.inFlight, s.rotation.value = c.inFlight[i], float64(10*(4-i))
 			}
-			h.b.endpoints[1].consecutiveErrors, h.b.endpoints[1].lastErrorAt = 1, h.now-5000
+			h.b.endpoints.list[1].outlier.consecutiveErrors, h.b.endpoints.list[1].outlier.lastErrorAt = 1, h.now-5000
 			r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: h.b.classes[idempotentClass]}
 			if c.want == 2 {
 				if s := h.b.pick(r, true); s.ID == 2 {
 					t.Errorf("%v: the retry went to the endpoint of lowest health", c.inFlight)
 				}
-				for i, s := range h.b.endpoints {
-					s.rotationValue = float64(10 * (4 - i))
+				for i, s := range h.b.endpoints.list {
+					s.rotation.value = float64(10 * (4 - i))
 				}
 			}
 			if s := h.b.pick(r, false); s.ID != c.want {
@@ -176,17 +176,17 @@
 	cfg := baseConfig()
 	cfg.ConnIdleTimeout, cfg.Costs.NewConnection = 10000, 0.08
 	h := newHarness(t, cfg, newEndpoints(4)...)
-	s := h.b.endpoints[0]
+	s := h.b.endpoints.list[0]
 	plain := h.b.affinityFactor(s)
-	s.lastSendAt = h.now
+	s.activity.lastSendAt = h.now
 	if h.b.affinityFactor(s) < 10*plain {
 		t.Error("an open connection has no effect")
 	}
-	s.consecutiveErrors, s.lastErrorAt = 1, longAgo
+	s.outlier.consecutiveErrors, s.outlier.lastErrorAt = 1, longAgo
 	if h.b.affinityFactor(s) != plain {
 		t.Error("an endpoint that just failed is preferred")
 	}
-	s.consecutiveErrors = 0
+	s.outlier.consecutiveErrors = 0
 	if h.b.now += cfg.ConnIdleTimeout; h.b.affinityFactor(s) != plain {
 		t.Error("a closed connection is preferred")
 	}
@@ -201,13 +201,13 @@
 		h := newHarness(t, cfg, newEndpoints(16)...)
 		h.randomizeRotation()
 		sendSequence(h, 6)
-		for _, s := range h.b.endpoints {
-			s.rotationValue = 0 // otherwise endpoints not used yet come first
+		for _, s := range h.b.endpoints.list {
+			s.rotation.value = 0 // otherwise endpoints not used yet come first
 		}
 		seen := map[EndpointID]bool{}
 		for range 12 {
 			h.now += 20
-			h.b.connectFailureFraction = refusedPart
+			h.b.connectFailures.fraction = refusedPart
 			id, actions := h.request(idempotentClass)
 			if s, ok := sendTarget(actions); ok {
 				seen[s] = true
@@ -231,8 +231,8 @@
 		h := newHarness(t, cfg, newEndpoints(20)...)
 		h.randomizeRotation()
 		sendSequence(h, 20)
-		for _, s := range h.b.endpoints {
-			s.rotationValue -= 0.6
+		for _, s := range h.b.endpoints.list {
+			s.rotation.value -= 0.6
 		}
 		sendSequence(h, 5)
 		h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 99, Rating: 1}}})
@@ -249,7 +249,7 @@
 // then on the first endpoint would get all requests.
 func TestRotationContinuesAfterAllWereEjected(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
-	for _, s := range h.b.endpoints {
+	for _, s := range h.b.endpoints.list {
 		h.b.eject(s)
 	}
 	sendSequence(h, 1)
@@ -259,8 +259,8 @@
 		used[s]++
 	}
 	for id := EndpointID(1); id <= 3; id++ {
-		if s := h.b.endpointsByID[id]; math.IsNaN(s.rotationValue) || used[id] < 5 {
-			t.Errorf("endpoint %d: %d of 30 requests, rotation value %v", id, used[id], s.rotationValue)
+		if s := h.b.endpoints.byID[id]; math.IsNaN(s.rotation.value) || used[id] < 5 {
+			t.Errorf("endpoint %d: %d of 30 requests, rotation value %v", id, used[id], s.rotation.value)
 		}
 	}
 }
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -18,7 +18,7 @@
 		id, actions := h.request(idempotentClass)
 		s, ok := sendTarget(actions)
 		if !ok {
-			t.Fatalf("request %d was rejected: shed %v", id, h.b.steadyShed)
+			t.Fatalf("request %d was rejected: shed %v", id, h.b.shedder.steadyFraction)
 		}
 		if s == 1 {
 			hung++
@@ -101,8 +101,8 @@
 			h.finishAttempt(id, 0, OK, 1200)
 		}
 	}
-	if h.b.steadyShed < 0.5 {
-		t.Fatalf("latency of four objectives: sheds %.2f", h.b.steadyShed)
+	if h.b.shedder.steadyFraction < 0.5 {
+		t.Fatalf("latency of four objectives: sheds %.2f", h.b.shedder.steadyFraction)
 	}
 	served := 0
 	for i := range 60 {
@@ -190,7 +190,7 @@
 // few responses go on shedding for half a minute after an overload.
 func TestLateFractionDecaysOverTime(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
-	h.b.steadyShed, h.b.lateFraction, h.b.latencyRatio, h.b.lastAnswerAt = 0.95, 0.6, 0.55, h.now
+	h.b.shedder.steadyFraction, h.b.latency.lateFraction, h.b.latency.ratio, h.b.latency.lastResponseAt = 0.95, 0.6, 0.55, h.now
 	rejected := 0
 	for range 20 {
 		h.now += 1000
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,5 +1,12 @@
 package balance
 
+// slowStartWindowFraction is the part of the overload window for which tokens are saved up at most.
+const slowStartWindowFraction = 0.25
+
+// slowStartLoadFraction is the part of the overload factor that one sidecar uses: chance adds to the sum of
+// all.
+const slowStartLoadFraction = 0.5
+
 // tokenPolicy says which slow-start tokens of an endpoint count.
 type tokenPolicy bool
 
@@ -8,41 +15,84 @@
 	recentToken tokenPolicy = true  // a saved token expires after the overload window
 )
 
-func (b *Balancer) warmingUp(ep *endpoint) bool { return b.now < ep.warmUpSince+b.cfg.WarmUpDuration }
+// slowStart limits the attempts to an endpoint that warms up: a token bucket of this sidecar. It is a hard
+// limit, because an endpoint that warms up fails when the sum of all sidecars exceeds it.
+type slowStart struct {
+	warmUpSince Milliseconds // start of the warm-up
+	tokens      float64      // attempts allowed; each attempt takes one, a retry too
+	updatedAt   Milliseconds // time of the last refill
+	fullTokenAt Milliseconds // when tokens reached a whole attempt
+}
 
-// warmUpFraction returns the least fraction of its capacity that an endpoint has; 1 after the warm-up.
-func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
-	progress := ratio(max(0, b.now-ep.warmUpSince), max(b.cfg.WarmUpDuration, 1))
-	return b.cfg.WarmUpInitialFraction + (1-b.cfg.WarmUpInitialFraction)*min(1, progress)
+// start starts a warm-up. firstTokens is random, so that the sidecars do not send their first attempts
+// together.
+func (s *slowStart) start(since, now Milliseconds, firstTokens float64) {
+	s.warmUpSince = since
+	s.tokens = firstTokens
+	s.updatedAt = now
 }
 
-// slowStartAllows reports whether an endpoint that warms up may get an attempt. It is a hard limit: a token
-// bucket, filled at half of the overload factor times what endpoints of this capacity answer for this
-// sidecar, times the warm-up fraction. It goes by answers, because clients repeat requests in an overload,
-// and assumes only one more: with thirty assumed, small sidecars exceeded the limit. Each sidecar may save
-// one token; random first tokens keep the sidecars apart. But where warm endpoints fail, all sidecars turn to
-// the one that warms up at the same time: then only a recent token counts.
-func (b *Balancer) slowStartAllows(ep *endpoint, policy tokenPolicy) bool {
-	pool := max(b.poolCapacity, ep.capacity)
-	fillRate := b.answerRate(0, 1) * ep.capacity / pool * max(1, b.cfg.OverloadFactor/2)
-	if ep.slowStartTokens < 1 {
-		ep.fullTokenAt = ep.tokensUpdatedAt + Milliseconds((1-ep.slowStartTokens)/fillRate)
+// refill adds the tokens of the time since the last refill. rate is in tokens per millisecond. A sidecar
+// saves up to one token, or what comes within a part of the overload window.
+func (s *slowStart) refill(now Milliseconds, rate float64, overloadWindow Milliseconds) {
+	if s.tokens < 1 {
+		s.fullTokenAt = s.updatedAt + Milliseconds((1-s.tokens)/rate)
 	}
-	limit := max(1, fillRate*float64(b.cfg.OverloadWindow)/4)
-	ep.slowStartTokens = min(ep.slowStartTokens+fillRate*float64(b.now-ep.tokensUpdatedAt), limit)
-	ep.tokensUpdatedAt = b.now
-	if ep.slowStartTokens == 1 && policy == recentToken {
-		expired := b.now > ep.fullTokenAt+b.cfg.OverloadWindow
+	limit := max(1, rate*float64(overloadWindow)*slowStartWindowFraction)
+	s.tokens = min(s.tokens+rate*float64(now-s.updatedAt), limit)
+	s.updatedAt = now
+}
+
+// allows reports whether the endpoint may get an attempt. refill comes before it.
+func (s *slowStart) allows(policy tokenPolicy, overloadWindow Milliseconds) bool {
+	if s.tokens == 1 && policy == recentToken {
+		expired := s.updatedAt > s.fullTokenAt+overloadWindow
 		return !expired
 	}
-	return ep.slowStartTokens >= 1
+	return s.tokens >= 1
+}
+
+// warmingUp reports whether an endpoint is in its warm-up.
+func (b *Balancer) warmingUp(ep *endpoint) bool {
+	return b.now < ep.slowStart.warmUpSince+b.cfg.WarmUpDuration
+}
+
+// warmUpFraction returns the least fraction of its capacity that an endpoint has; 1 after the warm-up.
+func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
+	elapsed := max(0, b.now-ep.slowStart.warmUpSince)
+	progress := ratio(elapsed, max(b.cfg.WarmUpDuration, 1))
+	return b.cfg.WarmUpInitialFraction + (1-b.cfg.WarmUpInitialFraction)*min(1, progress)
 }
 
-// startWarmUp starts the warm-up of an endpoint. The first tokens are random, so that the sidecars do not
-// send their first attempts at the same time.
+// startWarmUp starts the warm-up of an endpoint, which enters the rotation anew.
 func (b *Balancer) startWarmUp(ep *endpoint, since Milliseconds) {
-	ep.warmUpSince = since
-	ep.slowStartTokens = b.random()
-	ep.tokensUpdatedAt = b.now
-	ep.inRotation = false
+	ep.slowStart.start(since, b.now, b.random.next())
+	ep.rotation.active = false
+}
+
+// refillSlowStart refills the tokens of an endpoint that warms up, at a part of the overload factor times
+// what endpoints of its present capacity serve for this sidecar. The rate goes by responses, because
+// clients repeat requests in an overload, and assumes only one more response, so that the assumed ones of
+// many sidecars do not add up.
+func (b *Balancer) refillSlowStart(ep *endpoint) {
+	b.advanceResponseRate()
+	pool := max(b.rotation.poolCapacity, ep.candidate.capacity)
+	loadFactor := max(1, b.cfg.OverloadFactor*slowStartLoadFraction)
+	rate := b.responsesPerMillisecond(1) * ep.candidate.capacity / pool * loadFactor
+	ep.slowStart.refill(b.now, rate, b.cfg.OverloadWindow)
+}
+
+// slowStartAllows reports whether the warm-up of an endpoint allows an attempt now. refillSlowStart comes
+// before it.
+func (b *Balancer) slowStartAllows(ep *endpoint, policy tokenPolicy) bool {
+	return !b.warmingUp(ep) || ep.slowStart.allows(policy, b.cfg.OverloadWindow)
+}
+
+// slowStartPolicy returns which tokens count for a request. Where warm endpoints fail a class, all sidecars
+// turn to the endpoints that warm up at the same time: tokens saved up for long would be spent together.
+func (b *Balancer) slowStartPolicy(req *request) tokenPolicy {
+	if b.classFailing(req) && req.stats.meanScore < failingClassScore {
+		return recentToken
+	}
+	return anyToken
 }
--- a/balance/slowstart_simulation_test.go
+++ b/balance/slowstart_simulation_test.go
@@ -138,7 +138,7 @@
 		if i >= 0 && updated {
 			run.sends[i] = append(run.sends[i], h.now)
 		}
-		if attempt > 0 || !run.attemptFails(h.b.endpointsByID[id], h.now) {
+		if attempt > 0 || !run.attemptFails(h.b.endpoints.byID[id], h.now) {
 			h.finishAttempt(h.lastRequest, attempt, OK, 5)
 			return
 		}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -22,7 +22,7 @@
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	if !h.b.warmingUp(h.b.endpointsByID[s]) {
+	if !h.b.warmingUp(h.b.endpoints.byID[s]) {
 		t.Fatal("the endpoint is treated as warm")
 	}
 }
@@ -33,7 +33,7 @@
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	for range 50 {
 		id, actions := h.request(idempotentClass)
-		if s, _ := sendTarget(actions); h.b.endpointsByID[s].connectErrors == 0 {
+		if s, _ := sendTarget(actions); h.b.endpoints.byID[s].outlier.connectErrors == 0 {
 			again, _ := sendTarget(h.finishAttempt(id, 0, ConnectFailed, 1))
 			if again == 0 || again == s {
 				t.Fatalf("retried from %d to %d", s, again)
@@ -44,7 +44,7 @@
 		}
 		h.now += 20
 	}
-	for _, s := range h.b.endpoints {
+	for _, s := range h.b.endpoints.list {
 		if h.b.warmingUp(s) {
 			t.Errorf("endpoint %d is treated as warming up", s.ID)
 		}
@@ -184,8 +184,8 @@
 		return sent
 	}
 	before := sendToWarmingUp(100)
-	for _, s := range h.b.endpoints[:2] {
-		s.ejectedUntil = h.now + 1000
+	for _, s := range h.b.endpoints.list[:2] {
+		s.outlier.ejectedUntil = h.now + 1000
 	}
 	if during := sendToWarmingUp(100); during > before+before/2+2 {
 		t.Errorf("the endpoint that warms up got %d of 100 while two others are ejected, %d before", during, before)
@@ -194,22 +194,24 @@
 
 // The responses assumed before any was seen do not count in the slow start budget: those of many small
 // instances together overloaded an endpoint. An instance without responses may hardly send anything to it.
-func TestPriorAnswersDoNotRaiseSlowStartBudget(t *testing.T) {
+func TestPriorResponsesDoNotRaiseSlowStartBudget(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
-	entry := h.b.endpoints[0].Endpoint
+	entry := h.b.endpoints.list[0].Endpoint
 	entry.StartedAt = h.now
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
 	h.now += 2000
 	h.request(idempotentClass) // sets the weights
-	s := h.b.endpoints[0]
-	s.slowStartTokens, s.tokensUpdatedAt = 0, h.now-2000
-	if h.b.slowStartAllows(s, false); s.slowStartTokens > 0.2 { // 1 with ten assumed responses
-		t.Fatalf("%.2f sends in two seconds", s.slowStartTokens)
+	s := h.b.endpoints.list[0]
+	s.slowStart.tokens, s.slowStart.updatedAt = 0, h.now-2000
+	if h.b.refillSlowStart(s); s.slowStart.tokens > 0.2 { // 1 with ten assumed responses
+		t.Fatalf("%.2f sends in two seconds", s.slowStart.tokens)
 	}
-	h.b.answerRate(400, 0) // a share of two hundred responses a second
-	s.slowStartTokens, s.tokensUpdatedAt = 0, h.now-2000
-	if h.b.slowStartAllows(s, false); s.slowStartTokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy instance", s.slowStartTokens)
+	for range 400 { // a share of two hundred responses a second
+		h.b.responses.record()
+	}
+	s.slowStart.tokens, s.slowStart.updatedAt = 0, h.now-2000
+	if h.b.refillSlowStart(s); s.slowStart.tokens < 0.5 {
+		t.Fatalf("%.2f sends in two seconds for a busy instance", s.slowStart.tokens)
 	}
 }
 
@@ -258,7 +260,7 @@
 		if err != nil || !ok {
 			t.Fatalf("not sent: %v, %v", actions, err)
 		}
-		if b.warmingUp(b.endpointsByID[s]) {
+		if b.warmingUp(b.endpoints.byID[s]) {
 			toWarmingUp++
 		}
 	}
--- a/balance/sticky.go
+++ b/balance/sticky.go
@@ -17,13 +17,20 @@
 	largeFleetSize = 20
 )
 
+// stickyState is what an endpoint's place among the sticky endpoints of a key depends on.
+type stickyState struct {
+	rank      float64      // in the current pick, the rank for the key; the highest are sticky
+	slowUntil Milliseconds // the endpoint was slow, and is avoided for sticky keys until then
+}
+
 // restrictToStickyEndpoints leaves only the sticky endpoints of its key as candidates for a first attempt,
 // where endpoints do less work for a key that they served recently. In a rotation over a large fleet, each
 // endpoint would forget the key before it comes again. By rendezvous hashing, all sidecars choose the same
-// endpoints, and the loss of an endpoint moves only its own keys; so does, for a while, a slow answer. A hot
-// key would overload its few endpoints. It gets more of them, in an order that is the same at all sidecars.
+// endpoints, and the loss of an endpoint moves only its own keys; so does, for a while, a slow response. A
+// hot key would overload its few endpoints. It gets more of them, in an order that is the same at all
+// sidecars.
 func (b *Balancer) restrictToStickyEndpoints(req *request) {
-	if !b.cfg.KeyCaching || req.StickyKey == 0 || len(b.endpoints) < largeFleetSize {
+	if !b.cfg.KeyCaching || req.StickyKey == 0 || len(b.endpoints.list) < largeFleetSize {
 		return
 	}
 	ranks := b.rankStickyEndpoints(req.StickyKey)
@@ -33,39 +40,41 @@
 	}
 	slices.Sort(ranks)
 	lowestRank := ranks[len(ranks)-count]
-	for _, ep := range b.endpoints {
-		if ep.stickyRank < lowestRank {
-			ep.weight = 0
+	for _, ep := range b.endpoints.list {
+		if ep.sticky.rank < lowestRank {
+			ep.candidate.weight = 0
 		}
 	}
 }
 
 // rankStickyEndpoints sets the rank of each endpoint for a key, and returns the ranks of the candidates.
 func (b *Balancer) rankStickyEndpoints(key uint64) []float64 {
-	ranks := make([]float64, 0, len(b.endpoints))
-	for _, ep := range b.endpoints {
-		ep.stickyRank = 0
-		if ep.weight == 0 || b.warmingUp(ep) && !b.slowStartAllows(ep, anyToken) {
+	ranks := make([]float64, 0, len(b.endpoints.list))
+	for _, ep := range b.endpoints.list {
+		ep.sticky.rank = 0
+		if ep.candidate.weight == 0 || !b.slowStartAllows(ep, anyToken) {
 			continue
 		}
-		ep.stickyRank = rendezvousScore(key, ep.ID, ep.ratingOrDefault())
-		if b.now < ep.slowUntil {
-			ep.stickyRank *= slowStickyFactor
+		ep.sticky.rank = rendezvousScore(key, ep.ID, ep.ratingOrDefault())
+		if b.now < ep.sticky.slowUntil {
+			ep.sticky.rank *= slowStickyFactor
 		}
-		ranks = append(ranks, ep.stickyRank)
+		ranks = append(ranks, ep.sticky.rank)
 	}
 	return ranks
 }
 
 // stickyEndpointCount returns the number of endpoints for a key.
 func (b *Balancer) stickyEndpointCount(key uint64) int {
-	needed := math.Ceil(b.keyFraction(key) * float64(len(b.endpoints)) / maxKeyFraction)
+	needed := math.Ceil(b.keys.fraction(key) * float64(len(b.endpoints.list)) / maxKeyFraction)
 	return max(stickyEndpoints, int(needed))
 }
 
 // rendezvousScore returns the weighted rendezvous hash (highest random weight) of a key and an endpoint. It
-// is the same at all sidecars. An endpoint's probability of the highest score is proportional to its weight.
+// is the same at all sidecars. An endpoint's probability of the highest score is proportional to its
+// weight.
 func rendezvousScore(key uint64, id EndpointID, weight float64) float64 {
 	hash := splitMix((key ^ uint64(id)*splitMixIncrement) + splitMixIncrement)
-	return -weight / math.Log((float64(hash)+0.5)/(1<<53))
+	uniform := (float64(hash) + 0.5) / (1 << randomBits) // in (0, 1)
+	return -weight / math.Log(uniform)
 }
--- a/balance/transfer_test.go
+++ b/balance/transfer_test.go
@@ -21,14 +21,14 @@
 		return b
 	}
 	one := start()
-	one.endpointsByID[1].consecutiveErrors, one.endpointsByID[1].lastErrorAt, one.endpointsByID[1].ejectedUntil = 2, 9900, 12000
-	one.endpointsByID[1].classScores[1] = classScore{value: 0.25, updatedAt: 9800}
-	one.endpointsByID[2].slowStartTokens = 0.8
+	one.endpoints.byID[1].outlier.consecutiveErrors, one.endpoints.byID[1].outlier.lastErrorAt, one.endpoints.byID[1].outlier.ejectedUntil = 2, 9900, 12000
+	one.endpoints.byID[1].classScores[1] = classScore{value: 0.25, updatedAt: 9800}
+	one.endpoints.byID[2].slowStart.tokens = 0.8
 	one.classes[0].meanLatency, one.classes[1].meanLatency = 30, 70
 	state := one.ExportState(10000)
 	two := start()
 	two.ImportState(10000, state, []int{1, -1}, nil) // its first class was the second of the old process, the other is new
-	if s := two.endpointsByID[1]; s.consecutiveErrors != 2 || s.lastErrorAt != 9900 || s.ejectedUntil != 12000 ||
+	if s := two.endpoints.byID[1]; s.outlier.consecutiveErrors != 2 || s.outlier.lastErrorAt != 9900 || s.outlier.ejectedUntil != 12000 ||
 		s.classScores[0].value != 0.25 {
 		t.Errorf("state of the failing endpoint: %+v", s)
 	}
@@ -38,10 +38,10 @@
 	if got := two.classes[0].meanLatency; got != 70 {
 		t.Errorf("mean latency of its first class is %v", got)
 	}
-	sum := one.endpointsByID[2].slowStartTokens + two.endpointsByID[2].slowStartTokens
-	if math.Abs(sum-0.8) > 1e-9 || two.endpointsByID[2].warmUpSince != 9000 {
+	sum := one.endpoints.byID[2].slowStart.tokens + two.endpoints.byID[2].slowStart.tokens
+	if math.Abs(sum-0.8) > 1e-9 || two.endpoints.byID[2].slowStart.warmUpSince != 9000 {
 		t.Errorf("both have %v slow start tokens for an endpoint that warms up since %v",
-			sum, two.endpointsByID[2].warmUpSince)
+			sum, two.endpoints.byID[2].slowStart.warmUpSince)
 	}
 }
 
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -10,23 +10,50 @@
 	maxZoneCheckDoublings = 2
 )
 
-// recordSilence records that an endpoint did not respond to what was sent at sentAt. A single endpoint may
-// hang, but several in a row mean that the zone is unreachable. If that were detected for each endpoint
-// separately, each sidecar would lose requests at every one.
-func (b *Balancer) recordSilence(ep *endpoint, sentAt Milliseconds) {
-	zone := ep.zone
-	if zone.outage || sentAt < zone.lastResponseAt || !b.cfg.HealthChecks {
-		return
+// zone is the state that this sidecar keeps for all endpoints of a zone together. In an outage none of them
+// gets attempts, until one responds to a health check.
+type zone struct {
+	number          int
+	capacity        capacityFactor
+	lastResponseAt  Milliseconds // when any endpoint of the zone responded last
+	silentEndpoints []*endpoint  // endpoints that did not respond to what was sent since
+	outage          bool         // the zone is considered unreachable as a whole
+	outageSince     Milliseconds
+	recoveryChecks  int          // health checks since then
+	nextCheckAt     Milliseconds // when the next one is due
+}
+
+// recordSilence counts an endpoint that did not respond to what was sent at sentAt, and reports whether the
+// zone counts as unreachable now.
+func (z *zone) recordSilence(ep *endpoint, now, sentAt Milliseconds) (outageBegins bool) {
+	if z.outage || sentAt < z.lastResponseAt || slices.Contains(z.silentEndpoints, ep) {
+		return false
 	}
-	if slices.Contains(zone.silentEndpoints, ep) {
-		return
+	z.silentEndpoints = append(z.silentEndpoints, ep)
+	if len(z.silentEndpoints) < silentEndpointsForOutage {
+		return false
 	}
-	zone.silentEndpoints = append(zone.silentEndpoints, ep)
-	if len(zone.silentEndpoints) >= silentEndpointsForOutage {
-		zone.outage = true
-		zone.outageSince = b.now
-		zone.recoveryChecks = 0
-		b.checkZone(zone)
+	z.outage = true
+	z.outageSince = now
+	z.recoveryChecks = 0
+	return true
+}
+
+// recordResponse ends an outage, and reports whether there was one.
+func (z *zone) recordResponse(now Milliseconds) (outageEnds bool) {
+	z.lastResponseAt = now
+	z.silentEndpoints = z.silentEndpoints[:0]
+	outageEnds = z.outage
+	z.outage = false
+	return outageEnds
+}
+
+// recordSilence counts an endpoint that did not respond to what was sent at sentAt. A single endpoint may
+// hang, but several in a row mean that their zone is unreachable: detected for each endpoint separately,
+// that would cost each sidecar requests at every one.
+func (b *Balancer) recordSilence(ep *endpoint, sentAt Milliseconds) {
+	if b.cfg.HealthChecks && ep.zone.recordSilence(ep, b.now, sentAt) {
+		b.checkZone(ep.zone)
 	}
 }
 
@@ -46,47 +73,52 @@
 		b.sendHealthCheck(chosen)
 	}
 	backoff := b.longestObjective.scaled(backoffFactor(zone.recoveryChecks, maxZoneCheckDoublings))
-	delay := backoff.scaled(b.jitter())
+	delay := backoff.scaled(b.random.jitter())
 	zone.recoveryChecks++
 	zone.nextCheckAt = b.now + delay
 	b.emit(Action{Kind: SetTimer, Token: zoneTimerToken + uint64(zone.number), Delay: delay})
 }
 
-// chooseZoneCheck chooses an endpoint of a zone at random, and returns it with the number of ready endpoints.
-// It leaves out the silent endpoints and those with a pending health check.
+// onZoneTimer checks an unreachable zone again.
+func (b *Balancer) onZoneTimer(number int) {
+	zone := b.endpoints.zone(number)
+	if zone.outage && b.now > zone.nextCheckAt-timerTolerance {
+		b.checkZone(zone)
+	}
+}
+
+// chooseZoneCheck chooses an endpoint of a zone at random, and returns it with the number of ready
+// endpoints. It leaves out the silent endpoints and those with a pending health check.
 func (b *Balancer) chooseZoneCheck(zone *zone) (chosen *endpoint, readyCount int) {
 	candidateCount := 0.0
-	for _, ep := range b.endpoints {
+	for _, ep := range b.endpoints.list {
 		if ep.zone != zone || ep.State != Ready {
 			continue
 		}
 		readyCount++
-		if ep.checkPending || slices.Contains(zone.silentEndpoints, ep) {
+		if ep.healthCheck.pending || slices.Contains(zone.silentEndpoints, ep) {
 			continue
 		}
 		candidateCount++
-		if b.random() < 1/candidateCount {
+		if b.random.next() < 1/candidateCount {
 			chosen = ep
 		}
 	}
 	return chosen, readyCount
 }
 
-// recordAnswer records that an endpoint responded, which ends an outage of its zone. After a long outage the
-// endpoints may have restarted, even if discovery has not reported it.
-func (b *Balancer) recordAnswer(answered *endpoint) {
-	zone := answered.zone
-	answered.lastResponseAt = b.now
-	zone.lastResponseAt = b.now
-	zone.silentEndpoints = zone.silentEndpoints[:0]
-	if !zone.outage {
+// recordResponse records that an endpoint responded, which ends an outage of its zone. After a long outage
+// the endpoints may have restarted, even if discovery has not reported it.
+func (b *Balancer) recordResponse(responding *endpoint) {
+	zone := responding.zone
+	responding.activity.lastResponseAt = b.now
+	if !zone.recordResponse(b.now) {
 		return
 	}
-	zone.outage = false
 	if zone.recoveryChecks > 1 {
 		b.logf("zone %d is reachable again after %.0f ms", zone.number, b.now-zone.outageSince)
 	}
-	for _, ep := range b.endpoints {
+	for _, ep := range b.endpoints.list {
 		if ep.zone == zone && !b.warmingUp(ep) && b.now >= zone.outageSince+restartSilence {
 			b.startWarmUp(ep, b.now)
 		}
--- a/balance/zoneoutage_test.go
+++ b/balance/zoneoutage_test.go
@@ -13,7 +13,7 @@
 		sim := newInstanceSimulation(t, i, instances, endpoints)
 		sim.run(sim.now+4000, 50)
 		before, requests, served := sim.sentToZone(endpoints, 1), sim.lastRequest, sim.served
-		sim.hangs = func(id EndpointID) bool { return sim.b.endpointsByID[id].Zone == 1 }
+		sim.hangs = func(id EndpointID) bool { return sim.b.endpoints.byID[id].Zone == 1 }
 		sim.run(sim.now+5000, 50)
 		lost += sim.sentToZone(endpoints, 1) - before
 		healthChecks += sim.healthChecks
@@ -41,7 +41,7 @@
 		start := sim.sentToZone(endpoints, 1)
 		sim.run(sim.now+3000, 50)
 		before += sim.sentToZone(endpoints, 1) - start
-		sim.hangs = func(id EndpointID) bool { return sim.b.endpointsByID[id].Zone == 1 }
+		sim.hangs = func(id EndpointID) bool { return sim.b.endpoints.byID[id].Zone == 1 }
 		sim.run(sim.now+5000, 50)
 		sim.hangs = func(EndpointID) bool { return false }
 		if sim.logLines != 1 {
