--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -58,7 +58,7 @@
 			controller.SetReadDeadline(time.Now().Add(timeout))
 		},
 	}
-	upload.Pause(time.Now())
+	upload.PauseReading(time.Now())
 	return upload
 }
 
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -102,7 +102,7 @@
 func validateSingleValues(header http.Header) error {
 	for _, name := range singleValueHeaders {
 		if len(header[name]) > 1 {
-			return exchange.Malformed("%s more than once", name)
+			return exchange.BadRequestf("%s more than once", name)
 		}
 	}
 	return nil
@@ -114,12 +114,12 @@
 	className := header.Get(classHeader)
 	class, known := settings.ClassIndex[className]
 	if !known {
-		return 0, 0, exchange.Malformed("unknown class %q in %s", className, classHeader)
+		return 0, 0, exchange.BadRequestf("unknown class %q in %s", className, classHeader)
 	}
 	tenantName := header.Get(tenantHeader)
 	tenant, known = settings.TenantIndex[tenantName]
 	if !known && len(settings.TenantIndex) > 0 {
-		return 0, 0, exchange.Malformed("unknown tenant %q in %s", tenantName, tenantHeader)
+		return 0, 0, exchange.BadRequestf("unknown tenant %q in %s", tenantName, tenantHeader)
 	}
 	return class, tenant, nil
 }
@@ -135,10 +135,10 @@
 		return &exchange.RequestError{Status: http.StatusMethodNotAllowed, Text: "this class wants " + method}
 	}
 	if !isToken(r.Header.Get(traceIDHeader)) {
-		return exchange.Malformed("no %s, or one that is no token", traceIDHeader)
+		return exchange.BadRequestf("no %s, or one that is no token", traceIDHeader)
 	}
 	if idempotency == balance.IdempotencyKey && !isToken(r.Header.Get(idempotencyKeyHeader)) {
-		return exchange.Malformed("no %s, which this class wants, or one that is no token", idempotencyKeyHeader)
+		return exchange.BadRequestf("no %s, which this class wants, or one that is no token", idempotencyKeyHeader)
 	}
 	return nil
 }
@@ -193,4 +193,4 @@
 	return body, upload, nil
 }
 
-var errUnexpectedBody = exchange.Malformed("a body where none belongs")
+var errUnexpectedBody = exchange.BadRequestf("a body where none belongs")
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -174,7 +174,7 @@
 		return nil
 	}
 	if err := conn.AwaitResponse(conn.requests); errors.Is(err, ErrSurplus) {
-		return exchange.Malformed("%v", err)
+		return exchange.BadRequestf("%v", err)
 	}
 	return nil
 }
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -36,7 +36,7 @@
 // newAttempt returns the next attempt of a request. Its endpoint is nil if that has been removed.
 func (l *Loop) newAttempt(req *request, action *balance.Action) *upstream.Attempt {
 	if upload := req.exchange.Message.Upload; upload != nil {
-		upload.CountPause()
+		upload.ResumeReading()
 	}
 	timeAfterUpload := req.timeFromLastByte()
 	if !req.uploading {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -159,7 +159,7 @@
 			l.upstreamClient = newTestUpstream(t)
 			now := time.Now()
 			l.clock.now = l.clock.milliseconds(now)
-			shutdown := &exchange.ShutdownTimes{LateAfter: now.Add(time.Hour), AnswerBy: now.Add(300 * time.Millisecond)}
+			shutdown := &exchange.ShutdownTimes{LateAfter: now.Add(time.Hour), RespondBy: now.Add(300 * time.Millisecond)}
 			if c.late {
 				shutdown.LateAfter = now.Add(-time.Millisecond)
 			}
@@ -169,7 +169,7 @@
 			l.admitRequest(incoming)
 			runUntilResponse(l, incoming)
 			response := <-incoming.Responses
-			if response.Status != c.wantStatus || l.clock.now > l.clock.milliseconds(shutdown.AnswerBy)+deadlineSlack+1000 {
+			if response.Status != c.wantStatus || l.clock.now > l.clock.milliseconds(shutdown.RespondBy)+deadlineSlack+1000 {
 				t.Errorf("status %d after %v ms, want %d in time", response.Status, l.clock.now-l.clock.milliseconds(now), c.wantStatus)
 			}
 			if response.Download != nil {
--- a/internal/eventloop/reload.go
+++ b/internal/eventloop/reload.go
@@ -70,8 +70,8 @@
 	l.settings = exchange.NewSettings(next, l.metrics)
 	l.balancer.Reconfigure(
 		next.Balance,
-		exchange.OldIndexes(l.settings.ClassNames, previousSettings.ClassIndex),
-		exchange.OldIndexes(l.settings.TenantNames, previousSettings.TenantIndex),
+		exchange.PreviousIndexes(l.settings.ClassNames, previousSettings.ClassIndex),
+		exchange.PreviousIndexes(l.settings.TenantNames, previousSettings.TenantIndex),
 	)
 	l.state.Settings.Store(l.settings)
 	if !maps.Equal(previous.ZoneIndex, next.ZoneIndex) || !maps.Equal(previous.MachineTypeIndex, next.MachineTypeIndex) {
--- a/internal/eventloop/requests.go
+++ b/internal/eventloop/requests.go
@@ -40,7 +40,7 @@
 		return
 	}
 	req.afterShutdown = true
-	allowed := l.clock.milliseconds(shutdown.AnswerBy) - l.clock.now
+	allowed := l.clock.milliseconds(shutdown.RespondBy) - l.clock.now
 	pending := &req.exchange.Request
 	pending.Remaining = max(0, min(pending.Remaining, allowed))
 }
--- a/internal/eventloop/state.go
+++ b/internal/eventloop/state.go
@@ -60,8 +60,8 @@
 	l.balancer.ImportState(
 		l.clock.now,
 		l.predecessor.Memory,
-		exchange.OldIndexes(l.settings.ClassNames, config.IndexByName(l.predecessor.Classes)),
-		exchange.OldIndexes(l.settings.TenantNames, config.IndexByName(l.predecessor.Tenants)),
+		exchange.PreviousIndexes(l.settings.ClassNames, config.IndexByName(l.predecessor.Classes)),
+		exchange.PreviousIndexes(l.settings.TenantNames, config.IndexByName(l.predecessor.Tenants)),
 	)
 	l.predecessor = nil
 }
--- a/internal/exchange/errors.go
+++ b/internal/exchange/errors.go
@@ -17,8 +17,8 @@
 // Error returns the text that the client gets.
 func (e *RequestError) Error() string { return e.Text }
 
-// Malformed returns a RequestError with status 400 and a formatted text.
-func Malformed(format string, args ...any) error {
+// BadRequestf returns a RequestError with status 400 and a formatted text.
+func BadRequestf(format string, args ...any) error {
 	return &RequestError{Status: http.StatusBadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
@@ -34,5 +34,5 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &RequestError{Status: http.StatusRequestTimeout, Text: "the body does not come"}
 	}
-	return Malformed("body: %v", err)
+	return BadRequestf("body: %v", err)
 }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"cindersaddle/balance"
 )
 
 // ExpiryHeader is the request header with the time that remains until the sender stops waiting; see ParseExpiry.
@@ -76,22 +78,22 @@
 }
 
 // ParseExpiry parses a value of ExpiryHeader, "480m" (milliseconds) or "480000u" (microseconds), and returns it in
-// milliseconds. limit, in milliseconds, is the upper bound, and the result for an empty text. The error is a RequestError.
-func ParseExpiry(text string, limit float64) (float64, error) {
+// milliseconds. limit is the upper bound, and the result for an empty text. The error is a RequestError.
+func ParseExpiry(text string, limit balance.Milliseconds) (balance.Milliseconds, error) {
 	if text == "" {
 		return limit, nil
 	}
 	number, unit := text[:len(text)-1], text[len(text)-1:]
 	value, err := strconv.ParseFloat(number, 64)
 	if err != nil || strings.Trim(number, "0123456789.") != "" { // no sign, exponent, infinity or NaN
-		return 0, Malformed("%s %q is no time", ExpiryHeader, text)
+		return 0, BadRequestf("%s %q is no time", ExpiryHeader, text)
 	}
 	switch unit {
 	case expiryMilliseconds:
 	case expiryMicroseconds:
 		value /= microsecondsPerMillisecond
 	default:
-		return 0, Malformed("%s %q has no unit m or u", ExpiryHeader, text)
+		return 0, BadRequestf("%s %q has no unit m or u", ExpiryHeader, text)
 	}
 	return min(value, limit), nil
 }
--- a/internal/exchange/service.go
+++ b/internal/exchange/service.go
@@ -37,7 +37,7 @@
 // finish must arrive some time before: a request that arrives later has less time than its client allows.
 type ShutdownTimes struct {
 	LateAfter time.Time // a request that arrives later is late
-	AnswerBy  time.Time // when a late request must have its response
+	RespondBy time.Time // when a late request must have its response
 	EndBy     time.Time // when everything must have ended
 }
 
@@ -46,7 +46,7 @@
 	end := signal.Add(longestDeadline + killMargin)
 	return &ShutdownTimes{
 		LateAfter: signal.Add(lateAfterSignal),
-		AnswerBy:  end.Add(-deliveryMargin),
+		RespondBy: end.Add(-deliveryMargin),
 		EndBy:     end,
 	}
 }
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -38,8 +38,8 @@
 	return settings
 }
 
-// OldIndexes returns, for each of the names, its index in an earlier table, or -1 if it was not there.
-func OldIndexes(names []string, earlier map[string]int) []int {
+// PreviousIndexes returns, for each of the names, its index in an earlier table, or -1 if it was not there.
+func PreviousIndexes(names []string, earlier map[string]int) []int {
 	indexes := make([]int, len(names))
 	for i, name := range names {
 		indexes[i] = noIndex
--- a/internal/exchange/upload.go
+++ b/internal/exchange/upload.go
@@ -97,18 +97,18 @@
 	u.Complete.Store(true)
 }
 
-// Pause records that nobody reads from a moment on.
-func (u *Upload) Pause(from time.Time) { u.pausedAt.Store(&from) }
+// PauseReading records that nobody reads from a moment on.
+func (u *Upload) PauseReading(from time.Time) { u.pausedAt.Store(&from) }
 
-// CountPause adds the time since which nobody reads to what SinceLastByte returns. It is called when reading is to go on.
-func (u *Upload) CountPause() {
+// ResumeReading adds the time since which nobody reads to what SinceLastByte returns. It is called when reading is to go on.
+func (u *Upload) ResumeReading() {
 	from := u.pausedAt.Load()
 	if from == nil || u.Complete.Load() {
 		return
 	}
 	now := time.Now()
 	u.paused.Add(int64(now.Sub(*from)))
-	u.Pause(now)
+	u.PauseReading(now)
 }
 
 // SinceLastByte returns how long ago the last byte can have come. While it has not been read, that is the time in which nobody
@@ -137,7 +137,7 @@
 	u.SetReadTimeout(StallTimeout)
 	u.pausedAt.Store(nil)
 	n, err := u.Source.Read(p)
-	u.Pause(time.Now())
+	u.PauseReading(time.Now())
 	u.BytesRead += int64(n)
 	u.buffer(p[:n])
 	if err == io.EOF {
