--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -113,7 +113,7 @@
 		Result:        ev.result.Outcome,
 		Duration:      duration,
 		Finished:      finished,
-		BodyDiscarded: attempt.ResponseTooLong,
+		BodyDiscarded: attempt.MustNotRetry,
 		LoadReport:    ev.result.LoadReport,
 	}
 	if upload := attempt.Message.Upload; upload != nil && upload.Discarded.Load() {
--- a/internal/eventloop/requests.go
+++ b/internal/eventloop/requests.go
@@ -64,7 +64,7 @@
 	}
 	l.requests.markDone(req)
 	for _, attempt := range req.attempts {
-		attempt.Answered.Store(true)
+		attempt.RequestDone.Store(true)
 	}
 	if response != nil {
 		if !req.streaming && !response.Abort {
--- a/internal/eventloop/streams.go
+++ b/internal/eventloop/streams.go
@@ -34,7 +34,7 @@
 	attempt := ev.attempt
 	req := l.requests.byID[attempt.RequestID]
 	if req.afterShutdown { // the process would be killed before its end
-		attempt.ResponseTooLong = true
+		attempt.MustNotRetry = true
 	}
 	// The rest of a response whose attempt the balancer has cancelled cannot be read any more, and the request is retried.
 	cancelled := attempt.Context.Err() != nil
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -27,14 +27,16 @@
 	Observer        Observer
 	LoopDone        <-chan struct{} // closed when the event loop ends
 
-	// Answered is set by the event loop when the request has its final response: the attempt must not send any more.
-	Answered atomic.Bool
+	// RequestDone is set by the event loop when the request has its final response: the attempt must not send any more.
+	RequestDone atomic.Bool
 
 	// The fields below are the event loop's: the goroutine of the attempt does not use them.
 
-	SentAt          float64 // when it was sent, in milliseconds of the loop's clock
-	ResponseTooLong bool    // its response is longer than a sidecar that shuts down can forward
-	StreamLatency   float64 // milliseconds until a streamed response started; 0: none has
+	SentAt        balance.Milliseconds // when it was sent, on the loop's clock
+	StreamLatency balance.Milliseconds // from SentAt to the start of its streamed response; 0: it has none
+	// MustNotRetry means that its request gets no further attempt: the response is too long to be forwarded before the
+	// end of a shutdown, and that of another attempt would be too.
+	MustNotRetry bool
 }
 
 // Observer follows an attempt. Its methods are called on the goroutines of the attempt, and must not block for long.
@@ -48,7 +50,7 @@
 }
 
 // obsolete reports whether nobody waits for the attempt any more: nothing is sent for it then.
-func (a *Attempt) obsolete() bool { return a.Answered.Load() || a.Context.Err() != nil }
+func (a *Attempt) obsolete() bool { return a.RequestDone.Load() || a.Context.Err() != nil }
 
 // mustNotSend reports whether the attempt must end before its first byte is sent.
 func (a *Attempt) mustNotSend() bool {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -5,7 +5,7 @@
 // has not run, and may be sent again.
 //
 // The event loop owns the endpoints and the attempts; the package reads them, and shares with the loop only the atomic
-// fields Endpoint.Address, Endpoint.Closed and Attempt.Answered. Client.Do and Client.CheckHealth run on a goroutine of
+// fields Endpoint.Address, Endpoint.Closed and Attempt.RequestDone. Client.Do and Client.CheckHealth run on a goroutine of
 // their caller, one for each attempt or health check. An attempt with a streamed request body starts one more, which
 // writes the body. Pool.Run is the goroutine that closes idle connections; a mutex guards the pool.
 package upstream
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -14,7 +14,7 @@
 func TestObsoleteAttemptSendsNothing(t *testing.T) {
 	for name, late := range map[string]func(*Attempt){
 		"draining":          func(attempt *Attempt) { attempt.Endpoint.Closed.Store(true) },
-		"request answered":  func(attempt *Attempt) { attempt.Answered.Store(true) },
+		"request answered":  func(attempt *Attempt) { attempt.RequestDone.Store(true) },
 		"attempt cancelled": func(attempt *Attempt) { attempt.Cancel() },
 		"client gone":       func(attempt *Attempt) { attempt.Message.ClientGone = func() bool { return true } },
 		"past deadline":     func(attempt *Attempt) { attempt.Deadline = time.Now() },
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -15,8 +15,8 @@
 
 	// The fields below are the event loop's.
 
-	StartedAt float64           // when the server last started, in milliseconds of the loop's clock; 0: long ago
-	Member    membership.Member // as last listed
+	StartedAt balance.Milliseconds // when it last started, on the loop's clock; 0: long ago
+	Member    membership.Member    // as last listed
 
 	// Address is replaced by another pointer with each new address and each restart of the server: connections with
 	// an earlier pointer are stale.
