--- a/internal/exchange/doc.go
+++ b/internal/exchange/doc.go
@@ -1,8 +1,8 @@
-// Package exchange holds the types that the client side (package downstream), the server side (package upstream) and the
-// event loop (package eventloop) share about a request.
+// Package exchange holds the types that the client side (package downstream), the endpoint side (package upstream) and
+// the event loop (package eventloop) share about a request.
 //
 // An Exchange is one request of a client. The client side creates it and waits for its one Response; the event loop decides
-// which endpoints get its Message, and the server side sends it. Bodies of a request or a response that are too long to be
+// which endpoints get its Message, and the endpoint side sends it. Bodies of a request or a response that are too long to be
 // buffered pass through as an Upload or a Download.
 //
 // The package starts no goroutine. ServiceState, Settings, BufferBudget, Upload and Download may be used from several
--- a/internal/exchange/download.go
+++ b/internal/exchange/download.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// ErrClientStopped is the end of a Download whose client did not accept the rest of the response.
+// ErrClientStopped is the error of a Download whose client did not accept the rest of the response.
 var ErrClientStopped = errors.New("client stopped reading the response")
 
 // Download is the rest of a response that is too long to be buffered: it is copied to the client while it arrives. The
@@ -14,8 +14,8 @@
 type Download struct {
 	FirstBytes     []byte             // the part of the body that was read before the response was passed on
 	Body           io.Reader          // the part of the body that is still to come
-	ExtendDeadline func()             // gives the server StallTimeout for the next bytes
-	Length         int64              // length of the whole body in bytes as the server declared it; -1: none declared
+	ExtendDeadline func()             // gives the endpoint StallTimeout for the next bytes
+	Length         int64              // length of the whole body in bytes as the endpoint declared it; -1: none declared
 	Cancel         context.CancelFunc // ends the attempt
 	Done           chan error         // receives how the download ended; buffered for one value
 }
--- a/internal/exchange/errors.go
+++ b/internal/exchange/errors.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// RequestError is a fault of the client's request. The client gets it as a response with this status and text; it is not a
+// RequestError is an error of the client's request. The client gets it as a response with this status and text; it is not a
 // rejection by the load balancer, and the same request would fail again.
 type RequestError struct {
 	Status int    // HTTP status of the response
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -12,7 +12,7 @@
 type Exchange struct {
 	TraceID    string          // the client's identifier of the request
 	Request    balance.Request // the event for the balancer; ID is set by the event loop, Remaining counts from ReceivedAt
-	Message    *Message        // what is sent to a server
+	Message    *Message        // what is sent to an endpoint
 	ReceivedAt time.Time       // when its last byte was read; of an Upload, when its first part was
 	Responses  chan *Response  // receives the final response; buffered for one
 	Settings   *Settings       // the settings in force when it was read
@@ -25,7 +25,7 @@
 	Body      []byte    // empty if there is a Download
 	CloseConn bool      // the client's connection is closed after it
 	Download  *Download // the body of a long response; nil: Body is complete
-	// Abort closes the connection without a response: its client has gone, which the client side may never notice, as
-	// net/http stops watching a connection when a byte follows the request.
+	// Abort closes the connection without a response, because its client has gone. The client side cannot rely on noticing
+	// that itself: net/http stops watching a connection when a byte follows the request.
 	Abort bool
 }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -6,26 +6,10 @@
 	"io"
 	"net/http"
 	"net/url"
-	"strconv"
-	"strings"
 	"time"
-
-	"cindersaddle/balance"
-)
-
-// ExpiryHeader is the request header with the time that remains until the sender stops waiting; see ParseExpiry.
-const ExpiryHeader = "X-Expires-In"
-
-// Units of the value of ExpiryHeader.
-const (
-	expiryMilliseconds = "m"
-	expiryMicroseconds = "u"
 )
 
-// microsecondsPerMillisecond converts between the two units.
-const microsecondsPerMillisecond = 1000
-
-// Message is the part of a client's request that is sent to a server. It does not change once the event loop has it; several
+// Message is the part of a client's request that is sent to an endpoint. It does not change once the event loop has it; several
 // attempts may read it together.
 type Message struct {
 	Method     string
@@ -52,7 +36,7 @@
 }
 
 // NewRequest returns the message as a request with the given body, whose length in bytes is -1 if it is unknown. The
-// remaining time goes to the server in ExpiryHeader, as one microsecond at least.
+// remaining time goes to the endpoint in ExpiryHeader, as one microsecond at least.
 func (m *Message) NewRequest(remaining time.Duration, body io.ReadCloser, length int64) *http.Request {
 	req := &http.Request{
 		Method: m.Method,
@@ -72,28 +56,3 @@
 	}
 	return req
 }
-
-func formatExpiry(remaining time.Duration) string {
-	return strconv.FormatInt(max(1, remaining.Microseconds()), 10) + expiryMicroseconds
-}
-
-// ParseExpiry parses a value of ExpiryHeader, "480m" (milliseconds) or "480000u" (microseconds), and returns it in
-// milliseconds. limit is the upper bound, and the result for an empty text. The error is a RequestError.
-func ParseExpiry(text string, limit balance.Milliseconds) (balance.Milliseconds, error) {
-	if text == "" {
-		return limit, nil
-	}
-	number, unit := text[:len(text)-1], text[len(text)-1:]
-	value, err := strconv.ParseFloat(number, 64)
-	if err != nil || strings.Trim(number, "0123456789.") != "" { // no sign, exponent, infinity or NaN
-		return 0, BadRequestf("%s %q is no time", ExpiryHeader, text)
-	}
-	switch unit {
-	case expiryMilliseconds:
-	case expiryMicroseconds:
-		value /= microsecondsPerMillisecond
-	default:
-		return 0, BadRequestf("%s %q has no unit m or u", ExpiryHeader, text)
-	}
-	return min(value, limit), nil
-}
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -6,7 +6,7 @@
 	"cindersaddle/internal/metrics"
 )
 
-// noIndex marks a name that has no index.
+// noIndex stands for the index of a name that earlier settings did not have.
 const noIndex = -1
 
 // Settings are the part of the configuration that a request is read and handled under. They do not change: a new
@@ -61,13 +61,16 @@
 	if tenant, ok := s.TenantIndex[earlier.tenantName(req.Tenant)]; ok {
 		req.Tenant = tenant
 	} else {
-		req.Tenant = len(s.TenantNames)
+		req.Tenant = s.noTenant()
 	}
 }
 
+// noTenant returns the index of requests without a tenant, which the balancer counts after the last tenant.
+func (s *Settings) noTenant() int { return len(s.TenantNames) }
+
 // tenantName returns the name of a tenant, or an empty text for a request without a tenant.
 func (s *Settings) tenantName(index int) string {
-	if index < len(s.TenantNames) {
+	if index < s.noTenant() {
 		return s.TenantNames[index]
 	}
 	return ""
--- a/internal/exchange/upload_test.go
+++ b/internal/exchange/upload_test.go
@@ -45,3 +45,25 @@
 		t.Error("read after release succeeded")
 	}
 }
+
+// The time in which no attempt reads a body counts as time since its last byte, which may have arrived then; the time in
+// which an attempt waits for the client does not.
+func TestPausesCountAsTimeSinceLastByte(t *testing.T) {
+	const pause = time.Minute
+	upload := &Upload{}
+	upload.ResumeReading()
+	if got := upload.SinceLastByte(); got != 0 {
+		t.Errorf("%v since the last byte while somebody reads, want 0", got)
+	}
+	upload.PauseReading(time.Now().Add(-pause))
+	upload.ResumeReading()
+	if got := upload.SinceLastByte(); got < pause {
+		t.Errorf("%v since the last byte after a pause of %v, want as much at least", got, pause)
+	}
+	upload.MarkComplete(time.Now().Add(-pause))
+	upload.PauseReading(time.Now().Add(-pause))
+	upload.ResumeReading() // all of the body was read: nothing arrives any more
+	if got := upload.SinceLastByte(); got < 2*pause || got >= 3*pause {
+		t.Errorf("%v since the last byte, want the pause and the time since it was read, %v", got, 2*pause)
+	}
+}
