--- a/internal/downstream/abort_test.go
+++ b/internal/downstream/abort_test.go
@@ -41,7 +41,7 @@
 	failures := &flagWriter{}
 	server := NewServer(state, abortingHandler{}, conns, 0, nil).HTTPServer(slog.New(slog.NewTextHandler(failures, nil)))
 	inner := sidecartest.Listen(t)
-	go server.Serve(NewListener(inner, conns, upstream.NewPool(time.Second, time.Second, 0, 10)))
+	go server.Serve(NewListener(inner, conns, upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 10})))
 	t.Cleanup(func() { server.Close() })
 	client, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -52,7 +52,7 @@
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			inner := sidecartest.Listen(t)
-			listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(time.Second, time.Second, 0, 38))
+			listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
 			failFirst(t, fault.Accept, 3, errno)
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })}
 			ended := make(chan error, 1)
@@ -77,7 +77,7 @@
 // TestBrokenListenerEndsAccept checks that a listener which cannot be used any more is not called for ever.
 func TestBrokenListenerEndsAccept(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT} {
-		listener := NewListener(sidecartest.Listen(t), NewConnTracker(100), upstream.NewPool(time.Second, time.Second, 0, 38))
+		listener := NewListener(sidecartest.Listen(t), NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
 		failFirst(t, fault.Accept, 1, errno)
 		if _, err := listener.Accept(); !errors.Is(err, errno) {
 			t.Errorf("Accept returns %v, want %v", err, errno)
@@ -101,7 +101,7 @@
 func drainWithErrors(t *testing.T, call fault.Call, errno syscall.Errno) {
 	const waiting = 5
 	inner := sidecartest.Listen(t)
-	listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(time.Second, time.Second, 0, 38))
+	listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
 	dialQueued(t, inner, waiting)
 	go listener.Drain(t.Context())
 	sidecartest.WaitFor(t, "the drain begins", listener.draining.Load)
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -15,7 +15,7 @@
 func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	inner := sidecartest.Listen(t)
 	conns := NewConnTracker(100)
-	listener := NewListener(inner, conns, upstream.NewPool(time.Second, time.Second, 0, 38))
+	listener := NewListener(inner, conns, upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
 	const queued = 20
 	dialQueued(t, inner, queued)
 	go listener.Drain(t.Context())
@@ -41,7 +41,7 @@
 func TestDrainWaitsForQueuedConnections(t *testing.T) {
 	const waiting = 3
 	inner := sidecartest.Listen(t)
-	listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(time.Second, time.Second, 0, 38))
+	listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
 	dialQueued(t, inner, waiting)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -23,7 +23,7 @@
 // newTestUpstream returns a client whose limits no test reaches.
 func newTestUpstream(t *testing.T) *upstream.Client {
 	t.Helper()
-	pool := upstream.NewPool(sidecartest.Timeout, sidecartest.Timeout, 0, 500)
+	pool := upstream.NewPool(upstream.PoolConfig{ConnectTimeout: sidecartest.Timeout, IdleTimeout: sidecartest.Timeout, MaxConns: 500})
 	t.Cleanup(pool.CloseAll)
 	return upstream.NewClient(pool, nil, "/alive", &metrics.Metrics{})
 }
@@ -198,7 +198,7 @@
 func TestMemoryOfManyEndpoints(t *testing.T) {
 	const endpointCount, maxBytes = 400, 4 << 20
 	l := newTestLoop(t)
-	l.upstreamClient = upstream.NewClient(upstream.NewPool(time.Second, time.Minute, 0, 116), nil, "", l.metrics)
+	l.upstreamClient = upstream.NewClient(upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116}), nil, "", l.metrics)
 	heapBytes := func() uint64 {
 		var stats runtime.MemStats
 		runtime.GC()
--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -199,7 +199,7 @@
 	cfg.KnownEndpoints.Complete = c.knownList
 
 	l := New(ctx, cfg, &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.DiscardHandler))
-	client := upstream.NewClient(upstream.NewPool(time.Second, time.Minute, 0, 116), nil, "", l.metrics)
+	client := upstream.NewClient(upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116}), nil, "", l.metrics)
 	l.Attach(client, discovery.NewWatcher(cfg, l))
 	l.watcher.Dial = agent.dial
 	var running sync.WaitGroup
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -178,8 +178,11 @@
 // newPool returns the pool of connections to servers, of which applyLimits sets the limit. idleTime is how long it keeps an
 // idle connection; 0: the default.
 func newPool(cfg *config.Config, idleTime time.Duration) *upstream.Pool {
-	connectTimeout := cmp.Or(timing.Milliseconds(cfg.Balance.ConnectTimeout), defaultConnectTimeout)
-	return upstream.NewPool(connectTimeout, cmp.Or(idleTime, defaultConnIdleTime), cfg.ConnReuseDelay, 0)
+	return upstream.NewPool(upstream.PoolConfig{
+		ConnectTimeout: cmp.Or(timing.Milliseconds(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
+		IdleTimeout:    cmp.Or(idleTime, defaultConnIdleTime),
+		ReuseDelay:     cfg.ConnReuseDelay,
+	})
 }
 
 // checkPath returns the path of health checks.
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -210,7 +210,7 @@
 func drain(t *testing.T, listener net.Listener, shared bool) {
 	t.Helper()
 	tracker := downstream.NewConnTracker(10)
-	clientListener := downstream.NewListener(listener, tracker, upstream.NewPool(time.Second, time.Second, 0, 38))
+	clientListener := downstream.NewListener(listener, tracker, upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
 	clientListener.Shared.Store(shared)
 	go clientListener.Drain(t.Context())
 	for {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -41,7 +41,7 @@
 
 // Observer follows an attempt. Its methods are called on the goroutines of the attempt, and must not block for long.
 type Observer interface {
-	// UploadComplete is called when the last byte of a streamed request body was written to the server.
+	// UploadComplete is called when the last byte of a streamed request body was written to the endpoint.
 	UploadComplete(*Attempt)
 	// ResponseStarted is called when the head of a successful response has come, but not its body.
 	ResponseStarted(*Attempt, time.Time)
@@ -52,12 +52,15 @@
 // obsolete reports whether nobody waits for the attempt any more: nothing is sent for it then.
 func (a *Attempt) obsolete() bool { return a.RequestDone.Load() || a.Context.Err() != nil }
 
+// expired reports whether the deadline of the attempt has passed.
+func (a *Attempt) expired() bool { return !time.Now().Before(a.Deadline) }
+
 // mustNotSend reports whether the attempt must end before its first byte is sent.
-func (a *Attempt) mustNotSend() bool {
-	return a.Endpoint.Closed.Load() || a.obsolete() || !time.Now().Before(a.Deadline)
-}
+func (a *Attempt) mustNotSend() bool { return a.Endpoint.Closed.Load() || a.obsolete() || a.expired() }
 
-// setReadDeadline sets the deadline of the response. An attempt that was cancelled meanwhile keeps a past one.
+// setReadDeadline sets the deadline of the response. It guards against a cancellation that is lost because a new deadline
+// replaces the past one that the cancellation has set, so that the attempt would go on until its deadline: a cancellation
+// before the check is found by it, and one after the check sets its past deadline last.
 func (a *Attempt) setReadDeadline(conn net.Conn, deadline time.Time) {
 	conn.SetReadDeadline(deadline)
 	if a.Context.Err() != nil {
@@ -65,6 +68,7 @@
 	}
 }
 
+// earlier returns the earlier one of two points in time.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -9,12 +9,12 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestObsoleteAttemptSendsNothing checks that nothing is sent if the server drains, the request ends or its client
+// TestObsoleteAttemptSendsNothing checks that nothing is sent if the endpoint begins to drain, the request ends or its client
 // leaves before the connection is ready: the outcome is that the attempt was not made.
 func TestObsoleteAttemptSendsNothing(t *testing.T) {
 	for name, late := range map[string]func(*Attempt){
 		"draining":          func(attempt *Attempt) { attempt.Endpoint.Closed.Store(true) },
-		"request answered":  func(attempt *Attempt) { attempt.RequestDone.Store(true) },
+		"request done":      func(attempt *Attempt) { attempt.RequestDone.Store(true) },
 		"attempt cancelled": func(attempt *Attempt) { attempt.Cancel() },
 		"client gone":       func(attempt *Attempt) { attempt.Message.ClientGone = func() bool { return true } },
 		"past deadline":     func(attempt *Attempt) { attempt.Deadline = time.Now() },
@@ -34,14 +34,14 @@
 	}
 }
 
-// TestRefusedConnectionIsConnectFailed checks the outcome of an attempt at an address where nothing listens.
-func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+// TestNoListenerIsConnectFailed checks the outcome of an attempt at an address where nothing listens.
+func TestNoListenerIsConnectFailed(t *testing.T) {
 	ln := sidecartest.Listen(t)
 	ln.Close()
 	expectOutcome(t, newTestClient(t, 500), newAttempt(newEndpoint(ln.Addr().String()), sidecartest.Timeout), balance.ConnectFailed)
 }
 
-// TestEndpointMovesWhileConnecting checks that a request goes to the new address of a server that moves while a connection to the
+// TestEndpointMovesWhileConnecting checks that a request goes to the new address of an endpoint that moves while a connection to the
 // old address is being opened.
 func TestEndpointMovesWhileConnecting(t *testing.T) {
 	old := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "old"))
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -11,7 +11,7 @@
 )
 
 // connect opens a connection until a deadline.
-func (p *Pool) connect(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*serverConn, error) {
+func (p *Pool) connect(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*endpointConn, error) {
 	if err := p.reserve(); err != nil {
 		return nil, fmt.Errorf("connect to endpoint %s: %w", endpoint.Name, err)
 	}
@@ -28,7 +28,8 @@
 	return nil, &connectError{Endpoint: endpoint.Name, Address: *address, Err: err}
 }
 
-func (p *Pool) dial(ctx context.Context, endpoint *Endpoint, address *string, deadline time.Time) (*serverConn, error) {
+// dial opens a connection to an address that the endpoint has, or had a moment ago.
+func (p *Pool) dial(ctx context.Context, endpoint *Endpoint, address *string, deadline time.Time) (*endpointConn, error) {
 	dialer := net.Dialer{Timeout: p.connectTimeout, Deadline: deadline, KeepAlive: -1}
 	if err := fault.Injected(fault.Connect); err != nil {
 		return nil, err
@@ -40,5 +41,5 @@
 	if p.AfterDial != nil {
 		p.AfterDial()
 	}
-	return newServerConn(conn, endpoint, address), nil
+	return newEndpointConn(conn, endpoint, address), nil
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -7,20 +7,20 @@
 	"cindersaddle/internal/membership"
 )
 
-// Endpoint is one server as this package sees it. The event loop creates and changes it; attempts read only the atomic
-// fields and Name.
+// Endpoint is where attempts and health checks are sent to. The event loop creates and changes it; attempts read only the
+// atomic fields and Name.
 type Endpoint struct {
 	ID   balance.EndpointID
-	Name string // the member's ID; does not change
+	Name string // its ID in the endpoint list; does not change
 
 	// The fields below are the event loop's.
 
 	StartedAt balance.Milliseconds // when it last started, on the loop's clock; 0: long ago
 	Member    membership.Member    // as last listed
 
-	// Address is replaced by another pointer with each new address and each restart of the server: connections with
+	// Address is replaced by another pointer with each new address and each restart of the endpoint: connections with
 	// an earlier pointer are stale.
 	Address atomic.Pointer[string]
-	// Closed is set while the server drains or is gone: nothing new may be sent to it.
+	// Closed is set while it is draining or gone: nothing new may be sent to it.
 	Closed atomic.Bool
 }
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// errNoSocket says that no connection was tried because this side has no socket for it. It is wrapped by connLimitError
-// and noSocketError.
+// errNoSocket means that no connection was attempted because this side has no socket for it. connLimitError and
+// noSocketError wrap it.
 var errNoSocket = errors.New("no socket available")
 
 // connectError reports that no connection to an endpoint was opened.
--- a/internal/upstream/evict.go
+++ b/internal/upstream/evict.go
@@ -19,7 +19,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			p.closeIdleWhere(func(conn *serverConn) bool { return now.Sub(conn.idleSince) >= p.idleTimeout })
+			p.closeIdleWhere(func(conn *endpointConn) bool { return now.Sub(conn.idleSince) >= p.idleTimeout })
 		case <-ctx.Done():
 			return
 		}
@@ -50,16 +50,16 @@
 
 // CloseIdle closes the idle connections to an endpoint.
 func (p *Pool) CloseIdle(endpoint *Endpoint) {
-	p.closeIdleWhere(func(conn *serverConn) bool { return conn.endpoint == endpoint })
+	p.closeIdleWhere(func(conn *endpointConn) bool { return conn.endpoint == endpoint })
 }
 
 // CloseAll closes all idle connections.
 func (p *Pool) CloseAll() {
-	p.closeIdleWhere(func(*serverConn) bool { return true })
+	p.closeIdleWhere(func(*endpointConn) bool { return true })
 }
 
 // closeIdleWhere closes the idle connections that match.
-func (p *Pool) closeIdleWhere(match func(*serverConn) bool) {
+func (p *Pool) closeIdleWhere(match func(*endpointConn) bool) {
 	p.mu.Lock()
 	removed := p.idle.takeWhere(match)
 	p.mu.Unlock()
--- /dev/null
+++ b/internal/upstream/exchange.go
@@ -0,0 +1,105 @@
+package upstream
+
+import (
+	"context"
+	"time"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/http1"
+)
+
+// exchangeEnd is how an exchange of a request and a response ended.
+type exchangeEnd struct {
+	result   Result
+	reusable bool // the connection may carry another request
+}
+
+// failedExchange is the end of an exchange without a complete response. Its connection must be closed.
+func failedExchange(outcome balance.Result, err error) exchangeEnd {
+	return exchangeEnd{result: Result{Outcome: outcome, Err: err}}
+}
+
+// interruptible runs an exchange until a deadline. The end of ctx interrupts it: everything that reads from or writes to the
+// connection returns with an error, and the connection is not used again.
+func interruptible(ctx context.Context, conn *endpointConn, deadline time.Time, exchange func() exchangeEnd) exchangeEnd {
+	conn.SetDeadline(deadline)
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
+	end := exchange()
+	interrupted := !stop()
+	end.reusable = end.reusable && !interrupted
+	return end
+}
+
+// exchange writes the request of an attempt and reads its response.
+func (c *Client) exchange(attempt *Attempt, conn *endpointConn) exchangeEnd {
+	if attempt.Message.Upload != nil {
+		return c.exchangeUpload(attempt, conn)
+	}
+	return c.exchangeBuffered(attempt, conn)
+}
+
+// exchangeBuffered exchanges a request whose body is in memory.
+func (c *Client) exchangeBuffered(attempt *Attempt, conn *endpointConn) exchangeEnd {
+	request, err := attempt.Message.Encode(attempt.Deadline)
+	if err != nil {
+		return failedExchange(balance.NotAttempted, err)
+	}
+	// One write, so that the number of bytes that the kernel accepted shows whether the last byte was sent.
+	if written, err := conn.Write(request); written < len(request) {
+		return failedExchange(attempt.writeOutcome(err), err)
+	}
+	c.metrics.Attempts.Add(1)
+	response, err := conn.reader.Next(attempt.Message.Method, deadlineObserver{attempt, conn})
+	if err != nil {
+		return failedExchange(attempt.readOutcome(err), err)
+	}
+	return c.conclude(attempt, conn, response)
+}
+
+// exchangeUpload writes a request while its body is still coming from the client. The response may come meanwhile.
+func (c *Client) exchangeUpload(attempt *Attempt, conn *endpointConn) exchangeEnd {
+	upload := newUploadWriter(attempt.Message.Upload, conn)
+	request := attempt.Message.NewRequest(attempt.TimeAfterUpload, upload.source, upload.source.Length)
+	go upload.run(request, func() { c.uploadComplete(attempt, conn) })
+
+	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt})
+	var end exchangeEnd
+	if err == nil {
+		end = c.conclude(attempt, conn, response)
+	}
+	complete := upload.abandon()
+	if complete {
+		<-upload.done // it still sets deadlines of the connection and reports that the last byte was written
+	}
+	if err != nil {
+		return exchangeEnd{result: upload.failure(attempt, complete, err)}
+	}
+	end.reusable = end.reusable && complete
+	return end
+}
+
+// uploadComplete reports that the last byte of a streamed request was written. From now on the response is due.
+func (c *Client) uploadComplete(attempt *Attempt, conn *endpointConn) {
+	c.metrics.Attempts.Add(1)
+	due := time.Now().Add(attempt.TimeAfterUpload)
+	attempt.setReadDeadline(conn, earlier(attempt.Deadline, due))
+	attempt.Observer.UploadComplete(attempt)
+}
+
+// conclude returns the end of an exchange with a response. A streamed response has gone to the client when it returns.
+func (c *Client) conclude(attempt *Attempt, conn *endpointConn, response http1.Response) exchangeEnd {
+	result := Result{Outcome: statusOutcome(response.Head), LoadReport: loadReportFrom(response.Head, c.loadFields)}
+	if result.Outcome != balance.OK {
+		return exchangeEnd{result, !response.Streaming && conn.reusableAfter(response)}
+	}
+	response.Head.Header.Del(LoadReportHeader)
+	http1.RemoveHopHeaders(response.Head.Header)
+	if !response.Streaming {
+		result.Response = forClient(response)
+		return exchangeEnd{result, conn.reusableAfter(response)}
+	}
+	err := stream(attempt, conn, response)
+	result.Outcome = attempt.streamOutcome(err)
+	result.Err = err
+	return exchangeEnd{result, err == nil && conn.reusableAfter(response)}
+}
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestConnectErrors checks which errors of connect count against the server, and that none leaves a connection counted.
+// TestConnectErrors checks which errors of connect count against the endpoint, and that none leaves a connection counted.
 func TestConnectErrors(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	for errno, want := range map[syscall.Errno]balance.Result{
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net/http"
-	"os"
 	"time"
 
 	"cindersaddle/balance"
@@ -21,45 +19,25 @@
 	deadline := time.Now().Add(c.pool.connectTimeout + healthCheckSlack)
 	conn, err := c.pool.get(ctx, endpoint, deadline)
 	if err != nil {
-		return Result{Outcome: healthConnectOutcome(ctx, err)}
+		return Result{Outcome: connectOutcome(ctx, err)}
 	}
-	if endpoint.Closed.Load() { // the server began to drain while the connection was opened
+	if endpoint.Closed.Load() { // it began to drain while the connection was opened
 		c.pool.put(conn)
 		return Result{Outcome: balance.NotAttempted}
 	}
-	end := c.exchangeHealthCheck(ctx, conn, deadline)
+	end := interruptible(ctx, conn, deadline, func() exchangeEnd { return c.requestHealth(conn) })
 	c.pool.giveBack(conn, end.reusable)
 	return end.result
 }
 
-// healthConnectOutcome tells a failure of the server from one of this side.
-func healthConnectOutcome(ctx context.Context, err error) balance.Result {
-	if errors.Is(err, errNoSocket) || ctx.Err() != nil {
-		return balance.NotAttempted
-	}
-	return balance.ConnectFailed
-}
-
-// exchangeHealthCheck sends the request of a health check and reads its response until a deadline.
-func (c *Client) exchangeHealthCheck(ctx context.Context, conn *serverConn, deadline time.Time) exchangeEnd {
-	conn.SetDeadline(deadline)
-	stop := interruptWhenDone(ctx, conn)
-	end := c.requestHealth(conn)
-	interrupted := !stop()
-	end.reusable = end.reusable && !interrupted
-	return end
-}
-
-func (c *Client) requestHealth(conn *serverConn) exchangeEnd {
+// requestHealth sends the request of a health check and reads its response.
+func (c *Client) requestHealth(conn *endpointConn) exchangeEnd {
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.checkPath, *conn.address); err != nil {
 		return failedExchange(balance.ConnectFailed, err)
 	}
 	response, err := conn.reader.Next(http.MethodGet, http1.IgnoreProgress{})
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return failedExchange(balance.TimedOut, err)
-	}
 	if err != nil {
-		return failedExchange(balance.ConnReset, err)
+		return failedExchange(readOutcome(err), err)
 	}
 	return exchangeEnd{c.healthResult(response), conn.reusableAfter(response)}
 }
--- a/internal/upstream/health_test.go
+++ b/internal/upstream/health_test.go
@@ -8,7 +8,7 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestHealthCheck checks the path of a health check, and its results for a server that is healthy and one that is not.
+// TestHealthCheck checks the path of a health check, and its results for an endpoint that is healthy and one that is not.
 func TestHealthCheck(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "TEXT util=0.5, qps=12"), sidecartest.Respond(503, ""))
 	client := newTestClient(t, 500)
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestDrainWhileConnectingPreventsHealthCheck checks that a server gets no health check if it begins to drain while the connection
+// TestDrainWhileConnectingPreventsHealthCheck checks that an endpoint gets no health check if it begins to drain while the connection
 // for it is being opened.
 func TestDrainWhileConnectingPreventsHealthCheck(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -15,7 +15,7 @@
 // newTestClient returns a client with a pool of at most maxConns connections.
 func newTestClient(t *testing.T, maxConns int) *Client {
 	t.Helper()
-	pool := NewPool(sidecartest.Timeout, sidecartest.Timeout, 0, maxConns)
+	pool := NewPool(PoolConfig{ConnectTimeout: sidecartest.Timeout, IdleTimeout: sidecartest.Timeout, MaxConns: maxConns})
 	t.Cleanup(pool.CloseAll)
 	return &Client{pool: pool, loadFields: []string{"busy", "rate"}, checkPath: "/metrics/load", metrics: &metrics.Metrics{}}
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -7,18 +7,18 @@
 
 // idleConns holds the idle connections to each endpoint, the most recently used last. No list is empty. Pool.mu guards
 // it.
-type idleConns map[*Endpoint][]*serverConn
+type idleConns map[*Endpoint][]*endpointConn
 
 // add adds a connection that was just used.
-func (i idleConns) add(conn *serverConn) {
+func (i idleConns) add(conn *endpointConn) {
 	i[conn.endpoint] = append(i[conn.endpoint], conn)
 }
 
-// takeLatest removes and returns the most recently used connection that has been idle for restTime, or nil.
-func (i idleConns) takeLatest(endpoint *Endpoint, restTime time.Duration) *serverConn {
+// takeLatest removes and returns the most recently used connection that has been idle for reuseDelay, or nil.
+func (i idleConns) takeLatest(endpoint *Endpoint, reuseDelay time.Duration) *endpointConn {
 	conns := i[endpoint]
 	for index, conn := range slices.Backward(conns) {
-		if time.Since(conn.idleSince) >= restTime {
+		if time.Since(conn.idleSince) >= reuseDelay {
 			i.set(endpoint, slices.Delete(conns, index, index+1))
 			return conn
 		}
@@ -27,8 +27,8 @@
 }
 
 // takeOldest removes and returns the connection that has been idle for longest, or nil.
-func (i idleConns) takeOldest() *serverConn {
-	var oldest *serverConn
+func (i idleConns) takeOldest() *endpointConn {
+	var oldest *endpointConn
 	for _, conns := range i {
 		if oldest == nil || conns[0].idleSince.Before(oldest.idleSince) {
 			oldest = conns[0]
@@ -41,8 +41,8 @@
 }
 
 // takeWhere removes and returns the connections that match.
-func (i idleConns) takeWhere(match func(*serverConn) bool) []*serverConn {
-	var removed []*serverConn
+func (i idleConns) takeWhere(match func(*endpointConn) bool) []*endpointConn {
+	var removed []*endpointConn
 	for endpoint, conns := range i {
 		remaining := conns[:0]
 		for _, conn := range conns {
@@ -59,7 +59,7 @@
 }
 
 // set replaces the connections to an endpoint.
-func (i idleConns) set(endpoint *Endpoint, conns []*serverConn) {
+func (i idleConns) set(endpoint *Endpoint, conns []*endpointConn) {
 	if len(conns) == 0 {
 		delete(i, endpoint)
 	} else {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// LoadReportHeader is the header in which a server adds a load report to a response. It does not go to the client.
+// LoadReportHeader is the header in which an endpoint adds a load report to a response. It does not go to the client.
 const LoadReportHeader = "Endpoint-Load-Metrics"
 
 // loadReportPrefix starts a load report and names its format.
 const loadReportPrefix = "TEXT "
 
-// maxLoadValue is the largest figure of a load report: no share, rate or count of one server is larger.
+// maxLoadValue is the largest figure of a load report: no share, rate or count of one endpoint is larger.
 const maxLoadValue = 1e6
 
-// loadFieldAliases maps names that servers may use in load reports to those in the settings.
+// loadFieldAliases maps names that endpoints may use in load reports to those in the settings.
 var loadFieldAliases = map[string]string{
 	"inflight":   "rif",
 	"queue":      "q",
--- /dev/null
+++ b/internal/upstream/outcome.go
@@ -0,0 +1,84 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"os"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/exchange"
+)
+
+// neverRanHeader is neverRan in a response with status 503 or 504 to a request that the endpoint did not execute.
+const (
+	neverRanHeader = "X-Never-Ran"
+	neverRan       = "1"
+)
+
+// connectOutcome is the outcome of a health check that got no connection. A failure of this side is NotAttempted, which
+// does not count against the endpoint.
+func connectOutcome(ctx context.Context, err error) balance.Result {
+	if ctx.Err() != nil || errors.Is(err, errNoSocket) {
+		return balance.NotAttempted
+	}
+	return balance.ConnectFailed
+}
+
+// connectOutcome is the outcome of an attempt that got no connection. One whose time ended meanwhile says nothing of the
+// endpoint, which may have got less time than the timeout of connections.
+func (a *Attempt) connectOutcome(err error) balance.Result {
+	if a.expired() {
+		return balance.NotAttempted
+	}
+	return connectOutcome(a.Context, err)
+}
+
+// writeOutcome is the outcome of an attempt whose request could not be written completely, so that it was not executed.
+func (a *Attempt) writeOutcome(err error) balance.Result {
+	if a.Context.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		return balance.NotAttempted
+	}
+	return balance.ConnectFailed
+}
+
+// readOutcome is the outcome of an attempt whose request was written completely, but whose response is incomplete: the
+// request may have been executed.
+func (a *Attempt) readOutcome(err error) balance.Result {
+	if a.Context.Err() != nil {
+		return balance.Cancelled
+	}
+	return readOutcome(err)
+}
+
+// readOutcome is the outcome that an error from reading a response stands for.
+func readOutcome(err error) balance.Result {
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return balance.TimedOut
+	}
+	return balance.ConnReset
+}
+
+// streamOutcome is the outcome of an attempt whose response was streamed until err; nil: completely.
+func (a *Attempt) streamOutcome(err error) balance.Result {
+	switch {
+	case errors.Is(err, exchange.ErrClientStopped) || a.Context.Err() != nil:
+		return balance.Cancelled
+	case err != nil:
+		return balance.ConnReset
+	}
+	return balance.OK
+}
+
+// statusOutcome is the outcome that the status of a response stands for.
+func statusOutcome(response *http.Response) balance.Result {
+	switch response.StatusCode {
+	case http.StatusOK:
+		return balance.OK
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if response.Header.Get(neverRanHeader) == neverRan {
+			return balance.Rejected
+		}
+	}
+	return balance.ServerError
+}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -6,13 +6,24 @@
 	"time"
 )
 
-// Pool opens connections to endpoints up to a limit and keeps idle ones for further use. All methods may be called from
+// PoolConfig configures a Pool.
+type PoolConfig struct {
+	ConnectTimeout time.Duration // how long opening a connection may take
+	IdleTimeout    time.Duration // when Run closes an idle connection
+	// ReuseDelay is how long a connection must have been idle before it is used again. It guards against a client that gets
+	// the response to another request: a stray response that an endpoint sends after the complete one arrives in that time,
+	// and a connection on which bytes wait is not used again.
+	ReuseDelay time.Duration
+	MaxConns   int // limit of the connections in use, idle and being opened
+}
+
+// Pool opens connections to endpoints up to a limit and caches idle ones for further use. All methods may be called from
 // any goroutine.
 type Pool struct {
 	connectTimeout time.Duration
-	idleTimeout    time.Duration // when an idle connection is closed
-	restTime       time.Duration // how long a connection must have been idle before it is used again
-	AfterDial      func()        // for tests: called when a connection was opened; may be nil
+	idleTimeout    time.Duration
+	reuseDelay     time.Duration
+	AfterDial      func() // for tests: called when a connection was opened; may be nil
 
 	mu       sync.Mutex
 	maxConns int       // limit of open
@@ -20,21 +31,20 @@
 	idle     idleConns // the idle ones
 }
 
-// NewPool returns an empty pool of at most maxConns connections. A connection is used again once it was idle for restTime:
-// by then a stray response would have come. Run closes it after idleTimeout.
-func NewPool(connectTimeout, idleTimeout, restTime time.Duration, maxConns int) *Pool {
+// NewPool returns an empty pool.
+func NewPool(config PoolConfig) *Pool {
 	return &Pool{
-		connectTimeout: connectTimeout,
-		idleTimeout:    idleTimeout,
-		restTime:       restTime,
-		maxConns:       maxConns,
+		connectTimeout: config.ConnectTimeout,
+		idleTimeout:    config.IdleTimeout,
+		reuseDelay:     config.ReuseDelay,
+		maxConns:       config.MaxConns,
 		idle:           idleConns{},
 	}
 }
 
-// get returns an idle connection that is still open, or a new one. An error that wraps errNoSocket is
-// none of the endpoint's.
-func (p *Pool) get(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*serverConn, error) {
+// get returns an idle connection that is still open, or a new one. Its errors are connLimitError and connectError; one that
+// wraps errNoSocket says nothing of the endpoint.
+func (p *Pool) get(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*endpointConn, error) {
 	if conn := p.takeHealthy(endpoint); conn != nil {
 		return conn, nil
 	}
@@ -43,14 +53,15 @@
 		if err != nil || !conn.stale() {
 			return conn, err
 		}
-		p.closeConn(conn) // the server moved or restarted meanwhile; nothing was sent yet
+		p.closeConn(conn) // it moved or restarted meanwhile; nothing was sent yet
 	}
 }
 
-// takeHealthy takes an idle connection and closes those found to be dead; nil: there is none. The server may have
-// closed a connection, or died, while it was idle. A request written to it would end as a reset, which does not show
-// whether the request has run; a new connection does.
-func (p *Pool) takeHealthy(endpoint *Endpoint) *serverConn {
+// takeHealthy takes an idle connection and closes those found to be dead; nil: there is none. It guards against a request
+// that is written to a connection which the endpoint has closed, or lost in a crash, while it was idle: the attempt would
+// end as a reset, which does not show whether the request was executed, and might not be retried. The kernel knows of the
+// close before the request is written.
+func (p *Pool) takeHealthy(endpoint *Endpoint) *endpointConn {
 	for {
 		conn := p.takeIdle(endpoint)
 		if conn == nil || !conn.stale() && conn.healthy() {
@@ -60,15 +71,15 @@
 	}
 }
 
-// takeIdle takes the most recently used connection that has been idle for restTime; nil: there is none.
-func (p *Pool) takeIdle(endpoint *Endpoint) *serverConn {
+// takeIdle takes the most recently used connection that has been idle for reuseDelay; nil: there is none.
+func (p *Pool) takeIdle(endpoint *Endpoint) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.idle.takeLatest(endpoint, p.restTime)
+	return p.idle.takeLatest(endpoint, p.reuseDelay)
 }
 
 // giveBack ends the use of a connection.
-func (p *Pool) giveBack(conn *serverConn, reusable bool) {
+func (p *Pool) giveBack(conn *endpointConn, reusable bool) {
 	if reusable {
 		p.put(conn)
 	} else {
@@ -77,7 +88,7 @@
 }
 
 // put makes a connection idle, or closes it if its endpoint has changed.
-func (p *Pool) put(conn *serverConn) {
+func (p *Pool) put(conn *endpointConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
 	if !p.addIdle(conn) {
@@ -87,7 +98,7 @@
 
 // addIdle adds a connection to the idle ones unless its endpoint is closed or has changed. It checks that under the
 // lock, which CloseIdle takes after such a change: the connection is either rejected here or closed there.
-func (p *Pool) addIdle(conn *serverConn) bool {
+func (p *Pool) addIdle(conn *endpointConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if conn.endpoint.Closed.Load() || conn.stale() {
@@ -97,7 +108,8 @@
 	return true
 }
 
-func (p *Pool) closeConn(conn *serverConn) {
+// closeConn closes a connection, which no longer counts.
+func (p *Pool) closeConn(conn *endpointConn) {
 	conn.Close()
 	p.release()
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestClosedIdleConnectionNotReused checks that a request is not written to a connection that the server has closed: it would
-// end as a reset, which does not show whether the request has run.
+// end as a reset, which does not show whether the request was executed.
 func TestClosedIdleConnectionNotReused(t *testing.T) {
 	ending := sidecartest.NewScriptedServer(t, func(c net.Conn) bool { sidecartest.Respond(200, "")(c); return false })
 	client := newTestClient(t, 500)
@@ -32,12 +32,13 @@
 	}
 }
 
-// TestIdleConnectionRestsBeforeReuse checks that a connection is not used again before its rest time. A second copy of a response may
-// come in a packet of its own after the connection was found to have nothing to read: it would answer the next request.
-func TestIdleConnectionRestsBeforeReuse(t *testing.T) {
+// TestIdleConnectionIsReusedAfterDelay checks that a connection is not used again before the reuse delay. A second copy of a
+// response may come in a packet of its own after the connection was found to have nothing to read: the client of the next
+// request would get it.
+func TestIdleConnectionIsReusedAfterDelay(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 	client := newTestClient(t, 500)
-	client.pool.restTime = time.Hour
+	client.pool.reuseDelay = time.Hour
 	endpoint := newEndpoint(server.Addr)
 	expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
 	if conn := client.pool.takeIdle(endpoint); conn != nil {
@@ -45,14 +46,14 @@
 	}
 	client.pool.idle[endpoint][0].idleSince = time.Now().Add(-2 * time.Hour)
 	if conn := client.pool.takeIdle(endpoint); conn == nil {
-		t.Error("the connection is not used again after its rest time")
+		t.Error("the connection is not used again after the reuse delay")
 	} else {
 		client.pool.put(conn)
 	}
 }
 
 // TestPoolLimitEvictsIdleConnection checks that the pool at its limit closes an idle connection before it rejects a new one, and
-// that a lack of sockets does not count against the server.
+// that a lack of sockets does not count against the endpoint.
 func TestPoolLimitEvictsIdleConnection(t *testing.T) {
 	first := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 	second := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
@@ -101,8 +102,8 @@
 	return nil, net.ErrClosed
 }
 
-// TestAcceptRetriesWithoutDescriptors checks that a lack of descriptors does not end the listener, and that an idle connection to a
-// server is closed for it. net/http would pause for long.
+// TestAcceptRetriesWithoutDescriptors checks that a lack of descriptors does not end the listener, and that an idle connection to an
+// endpoint is closed for it. net/http would pause for long.
 func TestAcceptRetriesWithoutDescriptors(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 	client := newTestClient(t, 500)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -18,7 +18,7 @@
 }
 
 // forStreaming returns a response as it goes to the client, with a body that is read from the connection.
-func forStreaming(response http1.Response, attempt *Attempt, conn *serverConn) *exchange.Response {
+func forStreaming(response http1.Response, attempt *Attempt, conn *endpointConn) *exchange.Response {
 	download := &exchange.Download{
 		FirstBytes:     response.Body,
 		Body:           response.Head.Body,
@@ -31,7 +31,7 @@
 }
 
 // stream lets the client read the response from the connection, and returns how that ended.
-func stream(attempt *Attempt, conn *serverConn, response http1.Response) error {
+func stream(attempt *Attempt, conn *endpointConn, response http1.Response) error {
 	streamed := forStreaming(response, attempt, conn)
 	attempt.Observer.StreamStarted(attempt, streamed, time.Now())
 	select {
@@ -60,7 +60,7 @@
 // deadlineObserver follows a response to a complete request.
 type deadlineObserver struct {
 	*Attempt
-	conn *serverConn
+	conn *endpointConn
 }
 
 // ResponseStarted implements http1.ResponseObserver.
@@ -73,7 +73,7 @@
 
 // ShortenedDeadlineExpired implements http1.ResponseObserver.
 func (o deadlineObserver) ShortenedDeadlineExpired() bool {
-	return !o.obsolete() && time.Now().Before(o.Deadline)
+	return !o.obsolete() && !o.expired()
 }
 
 // RestoreDeadline implements http1.ResponseObserver.
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -12,7 +12,7 @@
 	"cindersaddle/internal/exchange"
 )
 
-// earlyResponseGrace is how long the response of a server that stopped reading the request may take.
+// earlyResponseGrace is how long the response of an endpoint that stopped reading the request may take.
 const earlyResponseGrace = 100 * time.Millisecond
 
 // uploadWriter writes a request whose body is still coming from the client, on a goroutine of its own, while another
@@ -21,19 +21,19 @@
 // check whether the upload was abandoned.
 type uploadWriter struct {
 	source *exchange.UploadReader
-	conn   *serverConn
+	conn   *endpointConn
 	done   chan struct{} // closed when the goroutine ends
 	err    error         // why the request is incomplete; to be read once done is closed
 
 	abandoned atomic.Bool // nothing more is written
 
-	mu            sync.Mutex // locked during each write to the server; guards the fields below
+	mu            sync.Mutex // locked during each write to the endpoint; guards the fields below
 	buffer        []byte     // reused; starts with the byte withheld by the previous Write
 	withholdsByte bool       // the last byte of buffer is not written yet
 	complete      bool       // the last byte of the request was written
 }
 
-func newUploadWriter(upload *exchange.Upload, conn *serverConn) *uploadWriter {
+func newUploadWriter(upload *exchange.Upload, conn *endpointConn) *uploadWriter {
 	return &uploadWriter{
 		source: exchange.NewUploadReader(upload),
 		conn:   conn,
@@ -53,7 +53,7 @@
 		return
 	}
 	w.err = fmt.Errorf("write request to endpoint %s: %w", w.conn.endpoint.Name, err)
-	// The response may have come already, and say why the server stopped reading.
+	// The response may have come already, and say why the endpoint stopped reading.
 	w.conn.SetReadDeadline(time.Now().Add(earlyResponseGrace))
 }
 
@@ -85,7 +85,7 @@
 	return err
 }
 
-// writeLocked writes to the server, which may take StallTimeout for each write. The caller holds mu.
+// writeLocked writes to the endpoint, which may take StallTimeout for each write. The caller holds mu.
 func (w *uploadWriter) writeLocked(p []byte) error {
 	w.conn.SetWriteDeadline(time.Now().Add(exchange.StallTimeout))
 	if w.abandoned.Load() { // checked after the deadline is set: abandon stores the flag before it ends the deadline
@@ -108,7 +108,7 @@
 // failure returns the result of an attempt whose response could not be read. The upload was abandoned.
 func (w *uploadWriter) failure(attempt *Attempt, complete bool, err error) Result {
 	if complete {
-		return Result{Outcome: attempt.brokenOutcome(err), Err: err}
+		return Result{Outcome: attempt.readOutcome(err), Err: err}
 	}
 	if attempt.Context.Err() != nil {
 		return Result{Outcome: balance.Cancelled}
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -60,7 +60,7 @@
 	}
 	conn := wrap(tcp.(*net.TCPConn))
 	client.pool.open++
-	client.pool.put(&serverConn{Conn: conn, reader: http1.NewResponseReader(conn), endpoint: endpoint, address: endpoint.Address.Load()})
+	client.pool.put(&endpointConn{Conn: conn, reader: http1.NewResponseReader(conn), endpoint: endpoint, address: endpoint.Address.Load()})
 	attempt := newAttempt(endpoint, sidecartest.Timeout)
 	attempt.TimeAfterUpload = sidecartest.Timeout
 	text := strings.Repeat("a", 4*http1.MaxBufferedBody) + "Z"
@@ -71,7 +71,7 @@
 }
 
 // TestCancelDuringLastByteOfUpload checks an attempt that is abandoned while the last byte of its body is being written: the
-// request has not run only if that byte was not sent, and will not be.
+// request was certainly not executed only if that byte was not sent, and will not be.
 func TestCancelDuringLastByteOfUpload(t *testing.T) {
 	reset := func(c net.Conn) bool { c.(*net.TCPConn).SetLinger(0); return false }
 	for name, test := range map[string]struct {
