--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -178,17 +178,8 @@
 // newTrackedConn returns a connection of a tracker, and the client's side of it.
 func newTrackedConn(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
-	ln := sidecartest.Listen(t)
-	client, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { client.Close() })
-	accepted, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	conn := NewConnTracker(10).Add(accepted.(*net.TCPConn))
+	client, accepted := sidecartest.ConnPair(t)
+	conn := NewConnTracker(10).Add(accepted)
 	t.Cleanup(func() { conn.Close() })
 	return conn, client
 }
--- /dev/null
+++ b/internal/sidecartest/conn.go
@@ -0,0 +1,23 @@
+package sidecartest
+
+import (
+	"net"
+	"testing"
+)
+
+// ConnPair opens a connection through a listener of its own. It returns the client's side, which is closed at the end of the
+// test, and the accepted one.
+func ConnPair(t *testing.T) (client net.Conn, accepted *net.TCPConn) {
+	t.Helper()
+	listener := Listen(t)
+	client, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatalf("connect: %v", err)
+	}
+	t.Cleanup(func() { client.Close() })
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatalf("accept: %v", err)
+	}
+	return client, conn.(*net.TCPConn)
+}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -49,6 +49,9 @@
 	StreamStarted(*Attempt, *exchange.Response, time.Time)
 }
 
+// responseStarted notifies the observer that the head of a successful response has come.
+func (a *Attempt) responseStarted() { a.Observer.ResponseStarted(a, time.Now()) }
+
 // obsolete reports whether nobody waits for the attempt any more: nothing is sent for it then.
 func (a *Attempt) obsolete() bool { return a.RequestDone.Load() || a.Context.Err() != nil }
 
--- a/internal/upstream/client_gone_test.go
+++ b/internal/upstream/client_gone_test.go
@@ -77,17 +77,8 @@
 // acceptedConn returns both ends of a connection of a client, from which nobody reads.
 func acceptedConn(t *testing.T) (far net.Conn, conn *downstream.Conn) {
 	t.Helper()
-	listener := sidecartest.Listen(t)
-	far, err := net.Dial("tcp", listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { far.Close() })
-	near, err := listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	conn = downstream.NewConnTracker(1).Add(near.(*net.TCPConn))
+	far, near := sidecartest.ConnPair(t)
+	conn = downstream.NewConnTracker(1).Add(near)
 	t.Cleanup(func() { conn.Close() })
 	return far, conn
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -44,7 +44,8 @@
 	if err != nil {
 		return failedExchange(balance.NotAttempted, err)
 	}
-	// One write, so that the number of bytes that the kernel accepted shows whether the last byte was sent.
+	// Guards against a retry of a request that was executed: with one write, the number of bytes that the kernel accepted
+	// shows whether the last byte was sent.
 	if written, err := conn.Write(request); written < len(request) {
 		return failedExchange(attempt.writeOutcome(err), err)
 	}
@@ -62,7 +63,7 @@
 	request := attempt.Message.NewRequest(attempt.TimeAfterUpload, upload.source, upload.source.Length)
 	go upload.run(request, func() { c.uploadComplete(attempt, conn) })
 
-	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt})
+	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt: attempt})
 	var end exchangeEnd
 	if err == nil {
 		end = c.conclude(attempt, conn, response)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -37,44 +37,38 @@
 	select {
 	case err := <-streamed.Download.Done:
 		return err
-	case <-attempt.LoopDone: // the response may never be read
+	case <-attempt.LoopDone: // nobody may read the response any more
 		return exchange.ErrClientStopped
 	}
 }
 
 // uploadObserver follows a response while the request body may still be on its way: it has no deadline to change.
-type uploadObserver struct{ *Attempt }
+type uploadObserver struct {
+	http1.IgnoreProgress
+	attempt *Attempt
+}
 
 // ResponseStarted implements http1.ResponseObserver.
-func (o uploadObserver) ResponseStarted() { o.Observer.ResponseStarted(o.Attempt, time.Now()) }
-
-// ShortenDeadline implements http1.ResponseObserver.
-func (uploadObserver) ShortenDeadline() {}
-
-// ShortenedDeadlineExpired implements http1.ResponseObserver.
-func (uploadObserver) ShortenedDeadlineExpired() bool { return false }
-
-// RestoreDeadline implements http1.ResponseObserver.
-func (uploadObserver) RestoreDeadline() {}
+func (o uploadObserver) ResponseStarted() { o.attempt.responseStarted() }
 
 // deadlineObserver follows a response to a complete request.
 type deadlineObserver struct {
-	*Attempt
-	conn *endpointConn
+	attempt *Attempt
+	conn    *endpointConn
 }
 
 // ResponseStarted implements http1.ResponseObserver.
-func (o deadlineObserver) ResponseStarted() { o.Observer.ResponseStarted(o.Attempt, time.Now()) }
+func (o deadlineObserver) ResponseStarted() { o.attempt.responseStarted() }
 
 // ShortenDeadline implements http1.ResponseObserver.
 func (o deadlineObserver) ShortenDeadline() {
-	o.setReadDeadline(o.conn, earlier(o.Deadline, time.Now().Add(unknownLengthGrace)))
+	o.attempt.setReadDeadline(o.conn, earlier(o.attempt.Deadline, time.Now().Add(unknownLengthGrace)))
 }
 
 // ShortenedDeadlineExpired implements http1.ResponseObserver.
 func (o deadlineObserver) ShortenedDeadlineExpired() bool {
-	return !o.obsolete() && !o.expired()
+	return !o.attempt.obsolete() && !o.attempt.expired()
 }
 
 // RestoreDeadline implements http1.ResponseObserver.
-func (o deadlineObserver) RestoreDeadline() { o.setReadDeadline(o.conn, o.Deadline) }
+func (o deadlineObserver) RestoreDeadline() { o.attempt.setReadDeadline(o.conn, o.attempt.Deadline) }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -16,9 +16,12 @@
 const earlyResponseGrace = 100 * time.Millisecond
 
 // uploadWriter writes a request whose body is still coming from the client, on a goroutine of its own, while another
-// one reads the response. It withholds the last byte until all others are written and the client still waits for the
-// response: only the write of that byte makes the request complete, and under the mutex this write is atomic with the
-// check whether the upload was abandoned.
+// one reads the response.
+//
+// It guards against a request that is executed twice, because an attempt that was abandoned counts as never executed while
+// its last byte still leaves. An endpoint executes a request only when its last byte has come; the writer withholds that
+// byte until all others are written and the client still waits for the response, and writes it under the mutex, in one step
+// with the check whether the upload was abandoned.
 type uploadWriter struct {
 	source *exchange.UploadReader
 	conn   *endpointConn
@@ -33,6 +36,7 @@
 	complete      bool       // the last byte of the request was written
 }
 
+// newUploadWriter returns a writer of an upload from its first byte.
 func newUploadWriter(upload *exchange.Upload, conn *endpointConn) *uploadWriter {
 	return &uploadWriter{
 		source: exchange.NewUploadReader(upload),
@@ -119,7 +123,7 @@
 		if errors.As(w.err, &clientError) {
 			return Result{Outcome: balance.NotAttempted, UploadError: clientError, Err: w.err}
 		}
-	case <-time.After(earlyResponseGrace): // it waits for the client, and ends when more of the body comes
+	case <-time.After(earlyResponseGrace): // the writer waits for the client, and ends when more of the body comes
 	}
 	return Result{Outcome: balance.ConnectFailed, Err: err}
 }
