--- a/internal/downstream/abort_test.go
+++ b/internal/downstream/abort_test.go
@@ -11,7 +11,6 @@
 	"cindersaddle/internal/exchange"
 	"cindersaddle/internal/metrics"
 	"cindersaddle/internal/sidecartest"
-	"cindersaddle/internal/upstream"
 )
 
 // abortingHandler aborts every request.
@@ -41,7 +40,7 @@
 	failures := &flagWriter{}
 	server := NewServer(state, abortingHandler{}, conns, 0, nil).HTTPServer(slog.New(slog.NewTextHandler(failures, nil)))
 	inner := sidecartest.Listen(t)
-	go server.Serve(NewListener(inner, conns, upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 10})))
+	go server.Serve(NewListener(inner, conns, noEvictor{}))
 	t.Cleanup(func() { server.Close() })
 	client, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -9,8 +9,8 @@
 	"cindersaddle/internal/http1"
 )
 
-// A body may take bodyGrace and the time that its bytes take at bodyRate. Clients send at least 64 kB a second; one
-// that stalls must get an error or a close within 3 s of connecting.
+// A body may take bodyGrace and the time that its bytes take at bodyRate. Clients send 64 kB a second at least; one that
+// stalls must get an error or a close within 3 s of connecting.
 const (
 	bodyGrace = 700 * time.Millisecond
 	bodyRate  = 48 << 10 // bytes a second
@@ -71,6 +71,7 @@
 	setDeadline    func(time.Time) error
 }
 
+// Read implements io.Reader.
 func (r *pacedReader) Read(buffer []byte) (int, error) {
 	n, err := r.source.Read(buffer)
 	r.bytesRead += int64(n)
--- /dev/null
+++ b/internal/downstream/conn_await.go
@@ -0,0 +1,81 @@
+package downstream
+
+import (
+	"errors"
+
+	"cindersaddle/internal/exchange"
+	"cindersaddle/internal/socket"
+)
+
+var (
+	// ErrSurplus means that bytes arrived after a request that awaits its response. Clients read its text.
+	ErrSurplus = errors.New("more than the request that was announced")
+	// ErrClientGone means that the client closed or reset its connection.
+	ErrClientGone = errors.New("client closed its connection")
+)
+
+// AwaitResponse records that the request with this number is complete and awaits its response. Later bytes are surplus:
+// a client sends one request at a time, so they mean that the length of the request is wrong or that it hides another one.
+//
+// AwaitResponse returns exchange.ErrAbandoned if the response has been decided already, ErrSurplus if bytes have
+// arrived after the request, and ErrClientGone if the client has closed its connection. Any goroutine may call it.
+func (c *Conn) AwaitResponse(number int64) error {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if c.responsesDecided >= number {
+		return exchange.ErrAbandoned
+	}
+	state := socket.Peek(c.TCPConn)
+	if c.surplusAfter(number) || state == socket.Readable {
+		return ErrSurplus
+	}
+	if state == socket.Closed {
+		return ErrClientGone
+	}
+	c.awaitingResponse = true
+	return nil
+}
+
+// decideResponse records that the response to the current request is about to be written. From now on, bytes belong to
+// the next request. It reports whether bytes have arrived after the current one: the connection has to end with the
+// response then. Only the serving goroutine may call it.
+func (c *Conn) decideResponse() (surplus bool) {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	c.awaitingResponse = false
+	c.responsesDecided = c.requests
+	return c.surplusAfter(c.requests) || socket.Peek(c.TCPConn) == socket.Readable
+}
+
+// surplusAfter reports whether bytes were read after the request with this number. The caller holds readMu.
+func (c *Conn) surplusAfter(number int64) bool {
+	return c.surplusBytes > 0 || c.scanner.Started.Load() > number
+}
+
+// finishResponse records that a response was written completely.
+func (c *Conn) finishResponse() {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	c.responsesFinished++
+}
+
+// ClientGone reports whether the client has closed or reset its connection. If a request awaits its response, it
+// discards the bytes that follow the request, because the end of the stream comes after them. Any goroutine may call
+// it, at the same time as Read.
+func (c *Conn) ClientGone() bool {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	state := socket.Peek(c.TCPConn)
+	if state != socket.Readable || !c.awaitingResponse {
+		return state == socket.Closed
+	}
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return true
+	}
+	var endOfStream error
+	err = raw.Control(func(fd uintptr) {
+		_, endOfStream = c.discardSurplus(int(fd))
+	})
+	return err != nil || endOfStream != nil && !socket.Transient(endOfStream)
+}
--- /dev/null
+++ b/internal/downstream/evict.go
@@ -0,0 +1,79 @@
+package downstream
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// MinIdleBeforeClose is how long a connection without a request must exist before it may be closed. It is closed
+	// earlier only if a new connection could not be admitted otherwise.
+	MinIdleBeforeClose = 2 * time.Second
+	// maxVictimChecks bounds the system calls of one search for a connection to evict, for each group of candidates.
+	maxVictimChecks = 32
+)
+
+// Evict closes the connection whose loss does the least harm, and reports whether there was one to close.
+func (t *ConnTracker) Evict() bool {
+	t.mu.Lock()
+	victim := t.chooseVictim(time.Now())
+	t.mu.Unlock()
+	if victim == nil {
+		return false
+	}
+	victim.closeFor(reasonEvicted)
+	return true
+}
+
+// SetLimit changes the number of connections that may be open. It evicts those beyond the limit, except connections
+// with complete requests.
+func (t *ConnTracker) SetLimit(maxConns int) {
+	t.mu.Lock()
+	t.maxConns = maxConns
+	excess := t.open - maxConns
+	t.mu.Unlock()
+	for excess > 0 && t.Evict() {
+		excess--
+	}
+}
+
+// chooseVictim returns the connection whose loss does the least harm, or nil if all have complete requests. In this order:
+//  1. one that has been silent without a complete request for MinIdleBeforeClose;
+//  2. one between two requests, as its client can connect again;
+//  3. the one that has been silent for longest without a complete request: a client that writes slowly goes on writing,
+//     while one that never finishes its request stalls at some point.
+//
+// The victim leaves its queue, and the caller has to close it. The caller holds mu.
+func (t *ConnTracker) chooseVictim(now time.Time) *Conn {
+	overdue, recent := splitBySilence(t.queues.stalled(), now)
+	idle := connsOf(&t.queues.idle)
+	for _, candidates := range [][]*Conn{overdue, idle, recent} {
+		if victim := firstClosable(candidates); victim != nil {
+			t.queues.remove(victim)
+			return victim
+		}
+	}
+	return nil
+}
+
+// splitBySilence splits connections, of which the one that has been silent for longest is the first, into those that
+// have been silent for MinIdleBeforeClose and the others.
+func splitBySilence(conns []*Conn, now time.Time) (overdue, recent []*Conn) {
+	isRecent := func(conn *Conn) bool { return now.Sub(conn.lastActivity()) < MinIdleBeforeClose }
+	firstRecent := slices.IndexFunc(conns, isRecent)
+	if firstRecent < 0 {
+		return conns, nil
+	}
+	return conns[:firstRecent], conns[firstRecent:]
+}
+
+// firstClosable marks the first of the candidates that may be closed as closing and returns it, or returns nil. It
+// examines at most maxVictimChecks of them.
+func firstClosable(candidates []*Conn) *Conn {
+	for _, conn := range candidates[:min(len(candidates), maxVictimChecks)] {
+		if conn.markClosingWithoutRequest() {
+			return conn
+		}
+	}
+	return nil
+}
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -5,7 +5,6 @@
 import (
 	"errors"
 	"io"
-	"net"
 	"net/http"
 	"sync/atomic"
 	"syscall"
@@ -15,7 +14,6 @@
 	"cindersaddle/internal/fault"
 	"cindersaddle/internal/sidecartest"
 	"cindersaddle/internal/socket"
-	"cindersaddle/internal/upstream"
 )
 
 // failFirst makes the first count calls of a kind fail with an error, until the end of the test.
@@ -52,7 +50,7 @@
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			inner := sidecartest.Listen(t)
-			listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
+			listener := newTestListener(inner)
 			failFirst(t, fault.Accept, 3, errno)
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })}
 			ended := make(chan error, 1)
@@ -77,7 +75,7 @@
 // TestBrokenListenerEndsAccept checks that a listener which cannot be used any more is not called for ever.
 func TestBrokenListenerEndsAccept(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT} {
-		listener := NewListener(sidecartest.Listen(t), NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
+		listener := newTestListener(sidecartest.Listen(t))
 		failFirst(t, fault.Accept, 1, errno)
 		if _, err := listener.Accept(); !errors.Is(err, errno) {
 			t.Errorf("Accept returns %v, want %v", err, errno)
@@ -101,7 +99,7 @@
 func drainWithErrors(t *testing.T, call fault.Call, errno syscall.Errno) {
 	const waiting = 5
 	inner := sidecartest.Listen(t)
-	listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
+	listener := newTestListener(inner)
 	dialQueued(t, inner, waiting)
 	go listener.Drain(t.Context())
 	sidecartest.WaitFor(t, "the drain begins", listener.draining.Load)
@@ -139,7 +137,7 @@
 	}
 }
 
-// TestFailedPeekClosesNoConnection checks that a connection of which the kernel does not tell whether bytes wait is kept.
+// TestFailedPeekClosesNoConnection checks that a connection of which the kernel does not report whether bytes wait stays open.
 func TestFailedPeekClosesNoConnection(t *testing.T) {
 	conn, _ := newTrackedConn(t)
 	failFirst(t, fault.Peek, 1, syscall.ENOMEM)
@@ -174,12 +172,3 @@
 		t.Errorf("the client read %q, %v", written, err)
 	}
 }
-
-// newTrackedConn returns a connection of a tracker, and the client's side of it.
-func newTrackedConn(t *testing.T) (*Conn, net.Conn) {
-	t.Helper()
-	client, accepted := sidecartest.ConnPair(t)
-	conn := NewConnTracker(10).Add(accepted)
-	t.Cleanup(func() { conn.Close() })
-	return conn, client
-}
--- /dev/null
+++ b/internal/downstream/helpers_test.go
@@ -0,0 +1,39 @@
+package downstream
+
+import (
+	"net"
+	"testing"
+
+	"cindersaddle/internal/sidecartest"
+)
+
+// noEvictor is an Evictor without connections.
+type noEvictor struct{}
+
+func (noEvictor) Evict() bool { return false }
+
+// newTestListener returns a listener with a tracker of its own, which has no upstream connections to evict.
+func newTestListener(inner net.Listener) *Listener {
+	return NewListener(inner, NewConnTracker(100), noEvictor{})
+}
+
+// dialQueued opens connections that wait in the queue of a listener.
+func dialQueued(t *testing.T, listener net.Listener, count int) {
+	t.Helper()
+	for range count {
+		conn, err := net.Dial("tcp", listener.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { conn.Close() })
+	}
+}
+
+// newTrackedConn returns a connection of a tracker, and the client's side of it.
+func newTrackedConn(t *testing.T) (*Conn, net.Conn) {
+	t.Helper()
+	client, accepted := sidecartest.ConnPair(t)
+	conn := NewConnTracker(10).Add(accepted)
+	t.Cleanup(func() { conn.Close() })
+	return conn, client
+}
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -45,12 +45,13 @@
 	Evict() bool
 }
 
-// Listener accepts the connections of the application. Accept fails only if the listener cannot be used any more: its
-// failure ends the process. When no descriptor is available, it evicts another connection, or waits for a moment only, as
-// clients consider a connection in the listen queue accepted; any other error is that of one connection, or passes.
+// Listener accepts the connections of clients. It guards against a process that stops serving after an error that passes:
+// net/http ends serving with the first error of Accept. Accept fails only if the listener cannot be used any more. When no
+// descriptor is available, it evicts another connection, or pauses for acceptPause, as clients consider a connection in the
+// listen queue accepted; any other error is that of one connection, or passes.
 //
-// Drain accepts the connections that wait in the listen queue before the listener is closed; the kernel would reset
-// them otherwise. Accept must be called by one goroutine only, the other methods by any.
+// Drain accepts the connections that wait in the listen queue before the listener is closed. Accept must be called by one
+// goroutine only, the other methods by any.
 type Listener struct {
 	net.Listener
 	conns    *ConnTracker
@@ -116,22 +117,6 @@
 	return err
 }
 
-// Drain makes Accept return the connections that wait in the listen queue, and then net.ErrClosed. It returns when the
-// listener is closed, or when ctx ends.
-func (l *Listener) Drain(ctx context.Context) {
-	if !l.draining.Load() {
-		l.drainEnd = ctx
-		l.draining.Store(true)
-	}
-	if ln, ok := l.Listener.(*net.TCPListener); ok {
-		ln.SetDeadline(time.Unix(1, 0)) // interrupts Accept
-	}
-	select {
-	case <-l.closed:
-	case <-ctx.Done():
-	}
-}
-
 // freeDescriptor evicts a connection, or waits for acceptPause if there is none to evict.
 func (l *Listener) freeDescriptor() {
 	if l.upstream.Evict() || l.conns.Evict() {
@@ -159,72 +144,10 @@
 	return conn, nil
 }
 
+// accept returns the next connection of the listener, and fails as the fault plan of a test says.
 func (l *Listener) accept() (net.Conn, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return nil, err
 	}
 	return l.Listener.Accept()
 }
-
-// drainQueue accepts all connections from the listen queue and closes the listener.
-func (l *Listener) drainQueue(ln *net.TCPListener) {
-	l.queueDrained = true
-	defer ln.Close()
-	socket.Control(ln, func(fd uintptr) { l.acceptPending(int(fd)) })
-}
-
-// acceptPending accepts connections until the listen queue is empty, and stops listening at that moment. An error other than
-// an empty queue or a broken listener leaves connections in the queue, which would be reset.
-func (l *Listener) acceptPending(listenerFD int) {
-	for {
-		fd, err := acceptDescriptor(listenerFD)
-		if err == nil {
-			l.addDrained(fd)
-			continue
-		}
-		if err == syscall.EINTR {
-			continue
-		}
-		if err == syscall.EAGAIN || socket.ListenerBroken(err) || l.drainEnd.Err() != nil {
-			break
-		}
-		l.recover(err)
-	}
-	if !l.Shared.Load() { // a shutdown would end the listening of the other process too
-		syscall.Shutdown(listenerFD, syscall.SHUT_RD)
-	}
-}
-
-func acceptDescriptor(listenerFD int) (int, error) {
-	if err := fault.Injected(fault.Accept); err != nil {
-		return 0, err
-	}
-	fd, _, err := syscall.Accept4(listenerFD, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-	return fd, err
-}
-
-// addDrained adds the connection of a descriptor to those that Accept returns. Its client considers it accepted: while no
-// descriptor is available for its duplicate, another connection is evicted.
-func (l *Listener) addDrained(fd int) {
-	file := os.NewFile(uintptr(fd), "accepted")
-	defer file.Close()
-	for {
-		conn, err := connOfFile(file)
-		if err == nil {
-			l.drained = append(l.drained, conn)
-			return
-		}
-		l.recover(err)
-		if !socket.Exhausted(err) || l.drainEnd.Err() != nil {
-			return
-		}
-	}
-}
-
-// connOfFile returns the connection of a file, with a descriptor of its own.
-func connOfFile(file *os.File) (net.Conn, error) {
-	if err := fault.Injected(fault.Duplicate); err != nil {
-		return nil, err
-	}
-	return net.FileConn(file)
-}
--- /dev/null
+++ b/internal/downstream/listener_drain.go
@@ -0,0 +1,93 @@
+package downstream
+
+import (
+	"context"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"cindersaddle/internal/fault"
+	"cindersaddle/internal/socket"
+)
+
+// Drain makes Accept return the connections that wait in the listen queue, and then net.ErrClosed. It returns when the
+// listener is closed, or when ctx ends. It guards against clients whose connection is reset although they consider it
+// accepted, which is what the kernel does with the listen queue of a listener that is closed.
+func (l *Listener) Drain(ctx context.Context) {
+	if !l.draining.Load() {
+		l.drainEnd = ctx
+		l.draining.Store(true)
+	}
+	if ln, ok := l.Listener.(*net.TCPListener); ok {
+		ln.SetDeadline(time.Unix(1, 0)) // interrupts Accept
+	}
+	select {
+	case <-l.closed:
+	case <-ctx.Done():
+	}
+}
+
+// drainQueue accepts all connections from the listen queue and closes the listener.
+func (l *Listener) drainQueue(ln *net.TCPListener) {
+	l.queueDrained = true
+	defer ln.Close()
+	socket.Control(ln, func(fd uintptr) { l.acceptPending(int(fd)) })
+}
+
+// acceptPending accepts connections until the listen queue is empty, and stops listening at that moment. It goes on after
+// errors other than an empty queue or a broken listener, as they leave connections in the queue.
+func (l *Listener) acceptPending(listenerFD int) {
+	for {
+		fd, err := acceptDescriptor(listenerFD)
+		if err == nil {
+			l.addDrained(fd)
+			continue
+		}
+		if err == syscall.EINTR {
+			continue
+		}
+		if err == syscall.EAGAIN || socket.ListenerBroken(err) || l.drainEnd.Err() != nil {
+			break
+		}
+		l.recover(err)
+	}
+	if !l.Shared.Load() { // a shutdown would end the listening of the other process too
+		syscall.Shutdown(listenerFD, syscall.SHUT_RD)
+	}
+}
+
+// acceptDescriptor accepts a connection without waiting. The error is a syscall.Errno: EAGAIN if the queue is empty.
+func acceptDescriptor(listenerFD int) (int, error) {
+	if err := fault.Injected(fault.Accept); err != nil {
+		return 0, err
+	}
+	fd, _, err := syscall.Accept4(listenerFD, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+	return fd, err
+}
+
+// addDrained adds the connection of a descriptor to those that Accept returns. Its client considers it accepted: while no
+// descriptor is available for its duplicate, another connection is evicted.
+func (l *Listener) addDrained(fd int) {
+	file := os.NewFile(uintptr(fd), "accepted")
+	defer file.Close()
+	for {
+		conn, err := connOfFile(file)
+		if err == nil {
+			l.drained = append(l.drained, conn)
+			return
+		}
+		l.recover(err)
+		if !socket.Exhausted(err) || l.drainEnd.Err() != nil {
+			return
+		}
+	}
+}
+
+// connOfFile returns the connection of a file, with a descriptor of its own.
+func connOfFile(file *os.File) (net.Conn, error) {
+	if err := fault.Injected(fault.Duplicate); err != nil {
+		return nil, err
+	}
+	return net.FileConn(file)
+}
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -5,17 +5,14 @@
 	"errors"
 	"net"
 	"testing"
-	"time"
 
 	"cindersaddle/internal/sidecartest"
-	"cindersaddle/internal/upstream"
 )
 
 // Drain accepts the connections that wait in the listen queue, so that the kernel resets none, and closes the listener.
 func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	inner := sidecartest.Listen(t)
-	conns := NewConnTracker(100)
-	listener := NewListener(inner, conns, upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
+	listener := newTestListener(inner)
 	const queued = 20
 	dialQueued(t, inner, queued)
 	go listener.Drain(t.Context())
@@ -41,7 +38,7 @@
 func TestDrainWaitsForQueuedConnections(t *testing.T) {
 	const waiting = 3
 	inner := sidecartest.Listen(t)
-	listener := NewListener(inner, NewConnTracker(100), upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
+	listener := newTestListener(inner)
 	dialQueued(t, inner, waiting)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -63,15 +60,3 @@
 	}
 	listener.Drain(t.Context()) // returns, as all connections are tracked
 }
-
-// dialQueued opens connections that wait in the queue of a listener.
-func dialQueued(t *testing.T, listener net.Listener, count int) {
-	t.Helper()
-	for range count {
-		conn, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-	}
-}
--- a/internal/downstream/record.go
+++ b/internal/downstream/record.go
@@ -25,10 +25,10 @@
 // The reasons to close a connection while a request may be open on it.
 const (
 	reasonEvicted       closeReason = "evicted for a new connection"
-	reasonNotAdmitted   closeReason = "no room for a new connection"
+	reasonNotAdmitted   closeReason = "no capacity for a new connection"
 	reasonShutdownIdle  closeReason = "idle during the shutdown"
 	reasonShutdownLimit closeReason = "end of the shutdown"
-	reasonClientGone    closeReason = "the client had gone when the request was to be sent"
+	reasonClientGone    closeReason = "the client had left when the request was to be sent"
 	reasonContextDone   closeReason = "the request's context ended"
 	reasonProcessEnds   closeReason = "the process ends"
 	reasonStreamBroken  closeReason = "the streamed response broke off"
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
 
@@ -33,11 +31,11 @@
 
 // The paths that the server responds to.
 const (
-	apiPath   = "/api" // requests for the servers, with all paths below it
+	apiPath   = "/api" // requests for the endpoints, with all paths below it
 	readyPath = "/up"  // whether the sidecar is ready
 )
 
-// RequestHandler receives the requests of the application. Its methods are called by the goroutine that serves the
+// RequestHandler receives the requests of clients. Its methods are called by the goroutine that serves the
 // connection of the request.
 type RequestHandler interface {
 	// RequestArrived is called for each valid request. The handler sends the response to the Responses channel of the
@@ -47,7 +45,7 @@
 	ClientLeft(*exchange.Exchange)
 }
 
-// Server serves the requests of the application. Its methods may be called by any goroutine.
+// Server serves the requests of clients. Its methods may be called by any goroutine.
 type Server struct {
 	// Handler receives the valid requests. It must not be changed after the server has started.
 	Handler RequestHandler
@@ -87,8 +85,8 @@
 	}
 }
 
-// ServeHTTP implements http.Handler. It matches paths as they are written: http.ServeMux would answer some of them with
-// a redirect, which the application does not expect.
+// ServeHTTP implements http.Handler. It matches paths as they are written: http.ServeMux would respond to some of them with
+// a redirect, which clients do not follow.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := r.Context().Value(connKey{}).(*Conn)
 	conn.countRequest()
@@ -102,14 +100,11 @@
 	case path == readyPath && r.Method == http.MethodGet:
 		s.handleReady(w)
 	default:
-		rejectMalformed(w, &exchange.RequestError{Status: http.StatusNotFound, Text: "no such path"})
+		respondError(w, &exchange.RequestError{Status: http.StatusNotFound, Text: "no such path"})
 	}
 	conn.record.enter(phaseResponded) // a handler that aborts does not return
 }
 
-// closeAfterResponse makes net/http close the connection after the response.
-func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
-
 // handleReady responds whether the sidecar is ready for requests.
 func (s *Server) handleReady(w http.ResponseWriter) {
 	if !s.state.IsReady() {
@@ -118,102 +113,3 @@
 	}
 	io.WriteString(w, "ready\n")
 }
-
-// rejectMalformed responds to an invalid request with the text of err, and closes the connection: the bytes that follow
-// on it cannot be interpreted.
-func rejectMalformed(w http.ResponseWriter, err error) {
-	status := http.StatusBadRequest
-	var requestErr *exchange.RequestError
-	if errors.As(err, &requestErr) {
-		status = requestErr.Status
-	}
-	closeAfterResponse(w)
-	http.Error(w, err.Error(), status)
-}
-
-// handleAPI passes a request to the handler and waits for its response.
-func (s *Server) handleAPI(w http.ResponseWriter, r *http.Request, conn *Conn) {
-	request, err := s.parseRequest(w, r, conn)
-	if err == nil {
-		err = awaitIfComplete(request, conn)
-	}
-	if err != nil {
-		rejectMalformed(w, err)
-		return
-	}
-	if upload := request.Message.Upload; upload != nil {
-		defer conn.uploading.Store(false)
-		defer upload.Release()
-	}
-	conn.record.enter(phaseAwaiting)
-	s.Handler.RequestArrived(request)
-	select {
-	case response := <-request.Responses:
-		if response.Abort {
-			conn.record.explain(reasonClientGone, nil)
-			panic(http.ErrAbortHandler)
-		}
-		conn.record.enter(phaseResponding)
-		s.respond(w, r, conn, request.Message.Upload, response)
-	case <-r.Context().Done():
-		conn.record.explain(reasonContextDone, context.Cause(r.Context()))
-		s.Handler.ClientLeft(request)
-		// A return would send an empty 200, and a client that has closed only its sending side would accept it.
-		panic(http.ErrAbortHandler)
-	case <-s.done:
-		conn.record.explain(reasonProcessEnds, nil)
-		panic(http.ErrAbortHandler)
-	}
-}
-
-// awaitIfComplete records that a request awaits its response if its body has been read completely. A long body does so
-// itself at its end. It returns an error if bytes follow the request. That the client is gone is no error here: the
-// context of the request ends.
-func awaitIfComplete(request *exchange.Exchange, conn *Conn) error {
-	if request.Message.Upload != nil {
-		return nil
-	}
-	if err := conn.AwaitResponse(conn.requests); errors.Is(err, ErrSurplus) {
-		return exchange.BadRequestf("%v", err)
-	}
-	return nil
-}
-
-// respond writes a response. upload is the long body of the request, or nil.
-func (s *Server) respond(
-	w http.ResponseWriter, r *http.Request, conn *Conn, upload *exchange.Upload, response *exchange.Response,
-) {
-	// This is decided when the response is ready, not when the request arrives: many requests wait when a shutdown begins.
-	if s.mustClose(conn, upload, response) {
-		closeAfterResponse(w)
-	}
-	if response.Download != nil {
-		streamResponse(w, r, conn, response)
-		return
-	}
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	writeResponse(w, response)
-}
-
-// mustClose records that the response is about to be written, and reports whether the connection has to end with it.
-func (s *Server) mustClose(conn *Conn, upload *exchange.Upload, response *exchange.Response) bool {
-	surplus := conn.decideResponse()
-	uploadIncomplete := upload != nil && !upload.Complete.Load()
-	return response.CloseConn ||
-		s.state.ShuttingDown.Load() ||
-		conn.scanner.Chunked ||
-		uploadIncomplete ||
-		surplus ||
-		conn.tracker.crowded()
-}
-
-// writeResponse writes a response whose body is in memory.
-func writeResponse(w http.ResponseWriter, response *exchange.Response) {
-	header := w.Header()
-	for name, values := range response.Header {
-		header[name] = values
-	}
-	header.Set("Content-Length", strconv.Itoa(len(response.Body)))
-	w.WriteHeader(response.Status)
-	w.Write(response.Body)
-}
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -15,7 +15,7 @@
 	maxStreamDrain = time.Minute
 )
 
-// Shutdown accepts connections for another acceptFor, and then those that wait in the listen queue, answers all
+// Shutdown accepts connections for another acceptFor, and then those that wait in the listen queue, responds to all
 // requests that have arrived, and closes the server. When ctx ends, it closes the connections without a complete
 // request, and waits for the responses that are still being written. It returns the error of http.Server.Close.
 func (s *Server) Shutdown(ctx context.Context, server *http.Server, listener *Listener, acceptFor time.Duration) error {
@@ -24,9 +24,9 @@
 	return s.closeIdleUntilNone(ctx, server)
 }
 
-// ShutdownAfterUpgrade leaves new connections to the process that replaces this one, and otherwise does what Shutdown
-// does. Clients go on using their connections for a while; each connection ends with its next response, because closing
-// all at once would lose requests that are on their way.
+// ShutdownAfterUpgrade leaves new connections to the successor, and otherwise does what Shutdown does. It guards against
+// requests that are lost because their connection is closed while they are on their way, which clients see as a reset:
+// until ShutdownTimes.LateAfter it closes none, and each connection ends with its next response.
 func (s *Server) ShutdownAfterUpgrade(ctx context.Context, server *http.Server, listener *Listener) error {
 	listener.Shared.Store(true)
 	listener.Drain(ctx)
@@ -36,8 +36,9 @@
 	return s.closeIdleUntilNone(ctx, server)
 }
 
-// closeIdleUntilNone closes idle connections until no connection is open. http.Server.Shutdown would do that too, but
-// it considers a connection idle of which it has read a request whose head it has not parsed.
+// closeIdleUntilNone closes idle connections until no connection is open. It guards against the loss of a request that
+// http.Server.Shutdown would cause: that considers a connection idle of which it has read a request whose head it has not
+// parsed, while ConnTracker counts the bytes itself.
 func (s *Server) closeIdleUntilNone(ctx context.Context, server *http.Server) error {
 	for ctx.Err() == nil && !s.conns.empty() {
 		s.conns.closeIdle()
@@ -47,7 +48,7 @@
 }
 
 // drainStreams waits for the requests that are still open after the limit of the shutdown, which are those with long
-// responses. Closing their connections would lose them, so this process does that only if nothing else ends them.
+// responses. Closing their connections would break these off; it does that after maxStreamDrain only.
 func (s *Server) drainStreams(server *http.Server) error {
 	s.conns.closeWithoutRequest()
 	ctx, cancel := context.WithTimeout(context.Background(), maxStreamDrain)
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"io"
+	"maps"
 	"net/http"
 	"strconv"
 	"sync"
@@ -20,12 +21,14 @@
 	return &buffer
 }}
 
-// streamResponse writes a long response as fast as the client reads it, and flushes each part. If the response breaks
-// off, it panics with http.ErrAbortHandler, which closes the connection, so that the client can detect that the
-// response is incomplete.
+// streamResponse writes a long response as fast as the client reads it, and flushes each part.
+//
+// It guards against a client that takes a response which broke off for a complete one: it panics with http.ErrAbortHandler,
+// which closes the connection before the announced length or the last chunk. To HTTP/1.0 a body of unknown length ends with
+// the connection, which is reset therefore.
 func streamResponse(w http.ResponseWriter, r *http.Request, conn *Conn, response *exchange.Response) {
 	download := response.Download
-	stop := context.AfterFunc(r.Context(), download.Cancel) // releases the server at once if the client is gone
+	stop := context.AfterFunc(r.Context(), download.Cancel) // releases the endpoint at once if the client is gone
 	defer stop()
 	writeStreamHead(w, response)
 	err := copyDownload(w, download)
@@ -35,16 +38,15 @@
 	}
 	conn.record.explain(reasonStreamBroken, err)
 	if download.Length < 0 && !r.ProtoAtLeast(1, 1) {
-		conn.SetLinger(0) // resets the connection: its regular end would mean that the response is complete
+		conn.SetLinger(0) // resets the connection when it is closed
 	}
 	panic(http.ErrAbortHandler)
 }
 
+// writeStreamHead writes the head of a long response. The client has exchange.StallTimeout to read it.
 func writeStreamHead(w http.ResponseWriter, response *exchange.Response) {
 	header := w.Header()
-	for name, values := range response.Header {
-		header[name] = values
-	}
+	maps.Copy(header, response.Header)
 	header.Del("Content-Length")
 	if length := response.Download.Length; length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -5,26 +5,19 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"slices"
 	"sync"
 	"time"
 
 	"cindersaddle/internal/timing"
 )
 
-const (
-	// MinIdleBeforeClose is how long a connection without a request must exist before it may be closed. It is closed
-	// earlier only if a new connection would have to be rejected otherwise.
-	MinIdleBeforeClose = 2 * time.Second
-	// idleDivisor bounds the connections that stay open for another request: one idleDivisor-th of the limit.
-	idleDivisor = 4
-	// maxVictimChecks bounds the system calls of one search for a connection to evict, for each group of candidates.
-	maxVictimChecks = 32
-)
+// idleDivisor bounds the connections that stay open for another request: one idleDivisor-th of the limit.
+const idleDivisor = 4
 
-// ConnTracker limits the number of open connections of the application. Without a limit, connections that stay open and
-// send nothing would use up all descriptors, and no other client would be served. Its methods may be called by any
-// goroutine.
+// ConnTracker limits the number of open connections of clients. It guards against connections that stay open and send
+// nothing: they would use up all descriptors, accept would fail, and no other client would be served. Below its limit
+// there are descriptors left, and at the limit a connection without a request is evicted for a new one. Its methods may be
+// called by any goroutine.
 type ConnTracker struct {
 	mu       sync.Mutex
 	maxConns int
@@ -90,18 +83,6 @@
 	return true
 }
 
-// SetLimit changes the number of connections that may be open. It evicts those beyond the limit, except connections
-// with complete requests.
-func (t *ConnTracker) SetLimit(maxConns int) {
-	t.mu.Lock()
-	t.maxConns = maxConns
-	excess := t.open - maxConns
-	t.mu.Unlock()
-	for excess > 0 && t.Evict() {
-		excess--
-	}
-}
-
 // closeWithoutRequest closes the connections without a complete request.
 func (t *ConnTracker) closeWithoutRequest() {
 	for _, conn := range t.all() {
@@ -138,67 +119,15 @@
 	return t.open == 0
 }
 
-// crowded reports whether so many connections wait for a request that no more may stay open after their response. The
-// application has a limited number of descriptors too: clients that send one request and keep their connections open
-// would use them up, and other clients could not connect.
+// crowded reports whether so many connections wait for a request that no more may stay open after their response. It guards
+// against clients that cannot connect because the application, which has a limited number of descriptors too, has used them
+// up for connections that carried one request each and are still open.
 func (t *ConnTracker) crowded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.queues.waiting() >= t.maxConns/idleDivisor
 }
 
-// Evict closes the connection whose loss does the least harm, and reports whether there was one to close.
-func (t *ConnTracker) Evict() bool {
-	t.mu.Lock()
-	victim := t.chooseVictim(time.Now())
-	t.mu.Unlock()
-	if victim == nil {
-		return false
-	}
-	victim.closeFor(reasonEvicted)
-	return true
-}
-
-// chooseVictim returns the connection whose loss does the least harm, or nil if all have complete requests. It prefers
-// one that has been silent without a complete request for MinIdleBeforeClose; then one between two requests, whose
-// client connects again; then the one that has been silent for longest without a complete request. Clients that never
-// finish a request stall at some point, while one that writes slowly goes on writing.
-//
-// The victim leaves its queue, and the caller has to close it. The caller holds mu.
-func (t *ConnTracker) chooseVictim(now time.Time) *Conn {
-	overdue, recent := splitBySilence(t.queues.stalled(), now)
-	idle := connsOf(&t.queues.idle)
-	for _, candidates := range [][]*Conn{overdue, idle, recent} {
-		if victim := firstClosable(candidates); victim != nil {
-			t.queues.remove(victim)
-			return victim
-		}
-	}
-	return nil
-}
-
-// splitBySilence splits connections, of which the one that has been silent for longest is the first, into those that
-// have been silent for MinIdleBeforeClose and the others.
-func splitBySilence(conns []*Conn, now time.Time) (overdue, recent []*Conn) {
-	isRecent := func(conn *Conn) bool { return now.Sub(conn.lastActivity()) < MinIdleBeforeClose }
-	firstRecent := slices.IndexFunc(conns, isRecent)
-	if firstRecent < 0 {
-		return conns, nil
-	}
-	return conns[:firstRecent], conns[firstRecent:]
-}
-
-// firstClosable marks the first of the candidates that may be closed as closing and returns it, or returns nil. It
-// examines at most maxVictimChecks of them.
-func firstClosable(candidates []*Conn) *Conn {
-	for _, conn := range candidates[:min(len(candidates), maxVictimChecks)] {
-		if conn.markClosingWithoutRequest() {
-			return conn
-		}
-	}
-	return nil
-}
-
 // trackState is the ConnState hook of http.Server. It moves connections between the queues.
 func (t *ConnTracker) trackState(netConn net.Conn, state http.ConnState) {
 	conn, ok := netConn.(*Conn)
--- a/internal/downstream/tracker_test.go
+++ b/internal/downstream/tracker_test.go
@@ -12,17 +12,10 @@
 
 // At the limit, a connection with an open request is not evicted: the new one is closed. An idle one is evicted.
 func TestTrackerKeepsConnectionsWithOpenRequests(t *testing.T) {
-	ln := sidecartest.Listen(t)
 	tracker := NewConnTracker(1)
 	add := func() *Conn {
-		if _, err := net.Dial("tcp", ln.Addr().String()); err != nil {
-			t.Fatal(err)
-		}
-		conn, err := ln.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return tracker.Add(conn.(*net.TCPConn))
+		_, accepted := sidecartest.ConnPair(t)
+		return tracker.Add(accepted)
 	}
 	first := add()
 	tracker.trackState(first, http.StateActive)
@@ -51,19 +44,11 @@
 		"Evict":               func(tracker *ConnTracker) { tracker.Evict(); tracker.Evict() },
 		"SetLimit":            func(tracker *ConnTracker) { tracker.SetLimit(0) },
 	} {
-		ln := sidecartest.Listen(t)
 		tracker := NewConnTracker(10)
 		add := func() (*Conn, net.Conn) {
-			client, err := net.Dial("tcp", ln.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			accepted, err := ln.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
-			conn := tracker.Add(accepted.(*net.TCPConn))
-			t.Cleanup(func() { client.Close(); conn.Close() })
+			client, accepted := sidecartest.ConnPair(t)
+			conn := tracker.Add(accepted)
+			t.Cleanup(func() { conn.Close() })
 			tracker.trackState(conn, http.StateIdle)
 			conn.responsesFinished = 0
 			conn.openedAt = time.Now().Add(-MinIdleBeforeClose)
@@ -77,9 +62,9 @@
 			t.Fatalf("%s: read %d bytes of the request: %v", name, n, err)
 		}
 		closeConns(tracker)
-		io.WriteString(conn, "answer")
+		io.WriteString(conn, "response")
 		conn.CloseWrite()
-		if got, err := io.ReadAll(client); err != nil || string(got) != "answer" {
+		if got, err := io.ReadAll(client); err != nil || string(got) != "response" {
 			t.Errorf("%s: client with a request read %q, error %v, want the response", name, got, err)
 		}
 		silentClient.SetReadDeadline(time.Now().Add(sidecartest.Timeout))
