--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -10,8 +10,12 @@
 	"cindersaddle/internal/socket"
 )
 
-// limitedListener limits the number of open connections: for a new one the oldest is closed. A complete request is
-// answered at once, so that the oldest connection is one without a complete request.
+// acceptPause is the time between two attempts to accept a connection.
+const acceptPause = 5 * time.Millisecond
+
+// limitedListener limits the number of open connections. It guards against connections that stay open and send nothing:
+// they would use up all descriptors, and a scrape or a readiness check could not connect. For a new connection the oldest
+// one is closed, which has no complete request, as complete ones get their response at once.
 type limitedListener struct {
 	net.Listener
 	maxConns int
@@ -20,10 +24,7 @@
 	open []*limitedConn // the oldest first
 }
 
-// acceptPause is the time between two tries to accept a connection.
-const acceptPause = 5 * time.Millisecond
-
-// Accept returns the next connection. When the process has no descriptors left it closes the oldest one and tries
+// Accept returns the next connection. When the process has no descriptors left it closes the oldest one and accepts
 // again. It fails only if the listener cannot be used any more: all other errors pass, or are those of one connection.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
@@ -39,6 +40,7 @@
 	}
 }
 
+// accept returns the next connection of the listener, and fails as the fault plan of a test says.
 func (l *limitedListener) accept() (net.Conn, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return nil, err
@@ -46,6 +48,7 @@
 	return l.Listener.Accept()
 }
 
+// add counts a connection, and closes the oldest one beyond the limit.
 func (l *limitedListener) add(conn net.Conn) net.Conn {
 	limited := &limitedConn{Conn: conn, listener: l}
 	l.mu.Lock()
@@ -58,6 +61,7 @@
 	return limited
 }
 
+// remove stops counting a connection.
 func (l *limitedListener) remove(conn *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
-// Package admin serves the second address of the sidecar: readiness and metrics.
+// Package admin serves the admin address of the sidecar: readiness and metrics.
 //
 // The server has its own HTTP server, connections and descriptors and makes no request of the event loop, so that it
-// answers however busy the clients' address is. Server.Serve runs in a goroutine of its caller; package net/http starts
+// responds however busy the clients' address is. Server.Serve runs in a goroutine of its caller; package net/http starts
 // one for each connection. The metrics and the readiness function belong to the caller and must be safe for concurrent
 // use.
 package admin
@@ -21,34 +21,36 @@
 )
 
 const (
-	// MaxConns is the number of connections at the second address; their descriptors are reserved.
+	// MaxConns is the number of connections at the admin address; their descriptors are reserved.
 	MaxConns = 16
-	// HeaderTimeout bounds the time for a request's header: a client that stalls is closed within 3 s.
+	// HeaderTimeout bounds the time for a request's header: a connection that stalls is closed within 3 s.
 	HeaderTimeout = 2 * time.Second
 
 	requestTimeout = 3 * time.Second // for reading a request, and again for writing the response
 	maxHeaderBytes = 4 << 10
 )
 
+// The paths of the admin address.
 const (
 	pathReady   = "/api/ready"
 	pathMetrics = "/api/telemetry"
-
-	metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
 )
 
-// Server answers the requests at the second address.
+// metricsContentType is the content type of the Prometheus text format.
+const metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
+
+// Server serves the requests at the admin address.
 type Server struct {
 	metrics *metrics.Metrics
 	ready   func() bool
 }
 
-// New returns a server of the metrics, and of whether the process is ready for clients.
+// New returns a server of the metrics, and of the readiness for clients that ready reports.
 func New(processMetrics *metrics.Metrics, ready func() bool) *Server {
 	return &Server{metrics: processMetrics, ready: ready}
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	handler := s.handler(r.URL.Path)
 	if handler == nil {
@@ -63,7 +65,7 @@
 	handler(w)
 }
 
-// handler returns what answers a GET request of the path, or nil for an unknown path.
+// handler returns the handler of GET requests for a path, or nil for an unknown path.
 func (s *Server) handler(path string) func(http.ResponseWriter) {
 	switch path {
 	case pathReady:
@@ -75,6 +77,7 @@
 	}
 }
 
+// writeReady responds with status 200 if the process is ready for clients, and 503 otherwise.
 func (s *Server) writeReady(w http.ResponseWriter) {
 	if !s.ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -83,6 +86,7 @@
 	io.WriteString(w, "ready\n")
 }
 
+// writeMetrics responds with all metrics.
 func (s *Server) writeMetrics(w http.ResponseWriter) {
 	var text bytes.Buffer
 	s.metrics.WriteText(&text)
@@ -106,6 +110,6 @@
 	defer stop()
 	err := server.Serve(&limitedListener{Listener: listener, maxConns: MaxConns})
 	if ctx.Err() == nil {
-		log.Error("second address", "error", fmt.Errorf("serve: %w", err))
+		log.Error("admin address", "error", fmt.Errorf("serve: %w", err))
 	}
 }
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -16,7 +16,7 @@
 var errMalformedChunk = errors.New("malformed chunk in the body of a response")
 
 // ChunkedReader decodes a chunked body and returns the bytes that have arrived. The decoder of net/http waits until it
-// can fill the caller's buffer, which would delay the bytes that a slow server has already sent.
+// can fill the caller's buffer, which would delay the bytes that a slow endpoint has already sent.
 //
 // The zero value with Source set is ready for use. A ChunkedReader is not safe for concurrent use.
 type ChunkedReader struct {
--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,6 +1,6 @@
 // Package http1 implements the parts of HTTP/1.1 message framing that net/http does not offer, or does not bound:
 // RequestScanner finds the boundaries of requests in the bytes of a client's connection, ResponseReader reads the
-// responses of a server within limits, ChunkedReader decodes a chunked body as it arrives, and RemoveHopHeaders drops
+// responses of an endpoint within limits, ChunkedReader decodes a chunked body as it arrives, and RemoveHopHeaders drops
 // the headers that concern a single connection.
 //
 // The package starts no goroutines. Each scanner and reader belongs to one connection and keeps the state of that
--- /dev/null
+++ b/internal/http1/framing.go
@@ -0,0 +1,72 @@
+package http1
+
+import (
+	"bytes"
+	"errors"
+	"net/http"
+)
+
+var errUnterminated = errors.New("response without Content-Length, Transfer-Encoding or Connection: close")
+
+// ignoreBody handles a response that does not say where its body ends. With status 200 it is an error; with another one
+// the head is sufficient, and the connection must not be used again.
+func ignoreBody(resp *http.Response) (*http.Response, error) {
+	if resp.StatusCode == http.StatusOK {
+		return nil, errUnterminated
+	}
+	resp.Close = true
+	resp.Body = http.NoBody
+	return resp, nil
+}
+
+// bodyIgnored reports whether ignoreBody removed the body of a response, or whether it has none and its connection ends.
+func bodyIgnored(resp *http.Response) bool {
+	return resp.Body == http.NoBody && resp.Close && resp.StatusCode != http.StatusOK
+}
+
+// bufferHoldsBody reports whether the complete body is in the buffer.
+func (r ResponseReader) bufferHoldsBody(resp *http.Response) bool {
+	if resp.ContentLength >= 0 {
+		return int64(r.Buffered()) >= resp.ContentLength
+	}
+	buffered, _ := r.Peek(r.Buffered())
+	return len(resp.TransferEncoding) > 0 && bytes.HasSuffix(buffered, []byte("0\r\n\r\n"))
+}
+
+// announcesClose reports whether the next head announces that the connection ends with its response. net/http does not
+// report it: it removes the header, and sets Close for every response without a length. A head that does not fit into the
+// buffer, which no known endpoint sends, counts as announcing nothing.
+func (r ResponseReader) announcesClose() bool {
+	for { // waits for no more than the end of the head, as nothing may follow it
+		head, _ := r.Peek(r.Buffered())
+		if end := bytes.Index(head, []byte("\n\r\n")); end >= 0 {
+			return hasCloseToken(head[:end])
+		}
+		if _, err := r.Peek(r.Buffered() + 1); err != nil {
+			return false
+		}
+	}
+}
+
+// unterminated reports whether a body extends to the end of the connection although the endpoint did not announce that it
+// would end the connection: reading such a body may never finish.
+func unterminated(resp *http.Response, closes bool) bool {
+	closes = closes || !resp.ProtoAtLeast(1, 1)
+	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !closes
+}
+
+// hasCloseToken reports whether a Connection header in head lists "close".
+func hasCloseToken(head []byte) bool {
+	for line := range bytes.Lines(head) {
+		name, value, _ := bytes.Cut(line, []byte(":"))
+		if !bytes.EqualFold(name, []byte("Connection")) {
+			continue
+		}
+		for token := range bytes.SplitSeq(value, []byte(",")) {
+			if bytes.EqualFold(bytes.TrimSpace(token), []byte("close")) {
+				return true
+			}
+		}
+	}
+	return false
+}
--- a/internal/http1/headers.go
+++ b/internal/http1/headers.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// hopHeaders concern a single connection and are not passed on.
+// hopHeaders concern a single connection and are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect",
--- a/internal/http1/request.go
+++ b/internal/http1/requestscanner.go
@@ -27,9 +27,10 @@
 
 // RequestScanner follows the bytes of one client connection and finds where each request begins and ends.
 //
-// It detects request smuggling that net/http hides: net/http ignores Content-Length if the request is chunked too, and
-// then reads as the next request what is body by the other length. The scanner reports such a request as an error and
-// withholds the end of its head, so that net/http answers 400 and closes the connection.
+// It guards against request smuggling: net/http ignores Content-Length if the request is chunked too, and then reads as the
+// next request what is body by the other length, so that an endpoint executes a request that no client has sent as such. The
+// scanner reports a request with two lengths as an error and withholds the end of its head, so that net/http responds with
+// 400 and closes the connection.
 //
 // The zero value is ready for use. Scan is called for each read of the connection, by one goroutine at a time. Other
 // goroutines may call Partial and read the atomic fields at any time, and the other fields only in synchronization with
@@ -118,10 +119,11 @@
 	if !s.inHead {
 		s.beginHead(now)
 	}
-	room := maxLinePrefix - len(s.line)
-	s.line = append(s.line, part[:min(len(part), room)]...)
+	remaining := maxLinePrefix - len(s.line)
+	s.line = append(s.line, part[:min(len(part), remaining)]...)
 }
 
+// beginHead starts a new request.
 func (s *RequestScanner) beginHead(now time.Time) {
 	s.inHead = true
 	s.firstLine = true
--- a/internal/http1/clock_test.go
+++ b/internal/http1/requestscanner_clock_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestScannerTimesAreMonotonic checks that the times of a request do not move when the wall clock is stepped.
+// The wall clock of a machine may be stepped while a request is read. Its times must not move, or a request would time out
+// at once or never.
 func TestScannerTimesAreMonotonic(t *testing.T) {
 	var scanner RequestScanner
 	now := time.Now()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging writes the log of the process. A line is handed to a goroutine that writes it: whoever logs, the event loop
-// above all, never waits for a terminal, a pipe or a disk. While these do not take lines, a bounded number waits, further ones
-// are dropped, and their number is logged later.
+// Package logging writes the log of the process. It guards against an event loop that stops, and with it all requests,
+// because a terminal, a pipe or a disk does not accept a log line: a line is handed to a goroutine that writes it, whoever logs
+// never waits. A bounded number of lines waits meanwhile; further ones are dropped, and their number is logged later.
 package logging
 
 import (
@@ -77,6 +77,7 @@
 	}
 }
 
+// writeWaiting writes the lines that wait.
 func (w *Writer) writeWaiting() {
 	for {
 		select {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -22,7 +22,7 @@
 	return w.text.Write(p)
 }
 
-// TestLoggingNeverWaits checks that logging goes on while nothing takes the lines, that those which wait are written later, and
+// TestLoggingNeverWaits checks that logging goes on while nothing accepts the lines, that those which wait are written later, and
 // that the others are counted.
 func TestLoggingNeverWaits(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
@@ -45,7 +45,7 @@
 	<-writer.done
 	text := out.text.String()
 	if written := strings.Count(text, "msg=line"); written < maxWaitingLines || written == lines {
-		t.Errorf("%d of %d lines written, want those that had room", written, lines)
+		t.Errorf("%d of %d lines written, want those that could wait", written, lines)
 	}
 	if !strings.Contains(text, "log lines dropped") {
 		t.Error("the dropped lines were not counted")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Package metrics counts what this process did since its start and renders the counts in the Prometheus text format.
 //
 // One Metrics is shared by the event loop, which counts, and the admin server, which reads. The package starts no
-// goroutines. Counters are atomic: a scrape must not delay a request, nor a busy event loop a scrape.
+// goroutines. Counters are atomic, so that neither a scrape delays a request nor a busy event loop a scrape.
 package metrics
 
 import (
@@ -20,18 +20,18 @@
 
 // Metrics are the metrics of one process. The zero value is ready for use, by any number of goroutines.
 type Metrics struct {
-	PendingRequests      atomic.Int64 // requests accepted and not ended
-	Attempts             atomic.Int64 // attempts written in full to an upstream server
+	PendingRequests      atomic.Int64 // requests that were accepted and have not ended
+	Attempts             atomic.Int64 // attempts written completely to an endpoint
 	Reloads              atomic.Int64 // configuration files applied
 	ReloadErrors         atomic.Int64 // configuration files rejected
-	Endpoints            atomic.Int64 // servers in the list
-	UnavailableEndpoints atomic.Int64 // servers in the list that get no requests now
+	Endpoints            atomic.Int64 // endpoints in the list
+	UnavailableEndpoints atomic.Int64 // endpoints in the list that get no requests now
 
 	mu      sync.Mutex // guards classes; the counters in it are atomic
 	classes []*ClassCounters
 }
 
-// ClassCounters counts how the requests of one class ended.
+// ClassCounters counts how the requests of one class ended. Any number of goroutines may use it.
 type ClassCounters struct {
 	name                        string
 	completed, rejected, failed atomic.Int64
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -11,7 +11,7 @@
 // above the limit.
 func TestTrimClassesBoundsClasses(t *testing.T) {
 	m := &Metrics{}
-	first := m.Class("kept")
+	first := m.Class("in use")
 	for i := range 3 * maxClasses {
 		m.TrimClasses([]*ClassCounters{first, m.Class(fmt.Sprint(i))})
 	}
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -11,6 +11,9 @@
 // namePrefix begins the name of every metric.
 const namePrefix = "edge_node_"
 
+// classLabel is the label with the class of a request.
+const classLabel = "lane"
+
 // Types of metrics in the text format.
 const (
 	typeCounter = "counter"
@@ -34,7 +37,7 @@
 	m.mu.Unlock()
 	writeHeader(w, name, typeCounter, "Requests ended, by class and by how they ended.")
 	for _, class := range classes {
-		label := labelEscaper.Replace(class.name)
+		className := labelEscaper.Replace(class.name)
 		for _, counter := range []struct {
 			result string
 			count  *atomic.Int64
@@ -43,8 +46,8 @@
 			{"rejected", &class.rejected},
 			{"failed", &class.failed},
 		} {
-			fmt.Fprintf(w, "%s%s{lane=\"%s\",result=\"%s\"} %d\n",
-				namePrefix, name, label, counter.result, counter.count.Load())
+			fmt.Fprintf(w, "%s%s{%s=\"%s\",result=\"%s\"} %d\n",
+				namePrefix, name, classLabel, className, counter.result, counter.count.Load())
 		}
 	}
 }
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -7,7 +7,8 @@
 	"cindersaddle/internal/fault"
 )
 
-// ReadConn reads from a connection, and again after transient errors, until its read deadline. call is for fault injection.
+// ReadConn reads from a connection, and again after transient errors, until its read deadline. The kind of call is for fault
+// injection.
 func ReadConn(conn net.Conn, buffer []byte, call fault.Call) (int, error) {
 	for {
 		n, err := readOnce(conn, buffer, call)
@@ -18,6 +19,7 @@
 	}
 }
 
+// readOnce makes one read call.
 func readOnce(conn net.Conn, buffer []byte, call fault.Call) (int, error) {
 	if err := fault.Injected(call); err != nil {
 		return 0, err
@@ -26,7 +28,7 @@
 }
 
 // WriteConn writes all bytes to a connection, and goes on after transient errors, until its write deadline. With an error it
-// returns how many bytes the kernel has accepted. call is for fault injection.
+// returns how many bytes the kernel has accepted. The kind of call is for fault injection.
 func WriteConn(conn net.Conn, data []byte, call fault.Call) (written int, err error) {
 	for {
 		n, err := writeOnce(conn, data[written:], call)
@@ -43,6 +45,7 @@
 	}
 }
 
+// writeOnce makes one write call, which may accept a part of the bytes.
 func writeOnce(conn net.Conn, data []byte, call fault.Call) (int, error) {
 	if err := fault.Injected(call); err != nil {
 		return 0, err
--- /dev/null
+++ b/internal/socket/descriptor.go
@@ -0,0 +1,40 @@
+package socket
+
+import (
+	"net"
+	"syscall"
+
+	"cindersaddle/internal/fault"
+)
+
+// Read reads from a descriptor once, and again when a signal interrupts it. The error is a syscall.Errno: EAGAIN where
+// no bytes wait on a non-blocking descriptor. At the end of the stream n is 0 and err is nil.
+func Read(fd int, buffer []byte) (n int, err error) {
+	for {
+		n, err = readDescriptor(fd, buffer)
+		if err != syscall.EINTR {
+			return n, err
+		}
+	}
+}
+
+// readDescriptor makes one read call.
+func readDescriptor(fd int, buffer []byte) (int, error) {
+	if err := fault.Injected(fault.Read); err != nil {
+		return 0, err
+	}
+	return syscall.Read(fd, buffer[:fault.Shortened(fault.Read, len(buffer))])
+}
+
+// Control calls do with the descriptor of a listener. It does nothing if the listener has none or is closed.
+func Control(ln net.Listener, do func(fd uintptr)) {
+	conn, ok := ln.(syscall.Conn)
+	if !ok {
+		return
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return
+	}
+	raw.Control(do)
+}
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -16,8 +16,8 @@
 	syscall.EADDRNOTAVAIL,
 }
 
-// transientErrors are the errors of a read or a write that say nothing of the connection: the same call can succeed a
-// moment later.
+// transientErrors are the errors of a read or a write that say nothing of the connection: the same call can succeed
+// soon after.
 var transientErrors = []error{
 	syscall.EINTR,
 	syscall.ENOBUFS,
@@ -35,18 +35,19 @@
 	syscall.ENOTSOCK,
 }
 
-// RetryPause is the time between two tries of a call that failed with a transient error.
+// RetryPause is the time between two attempts of a call that failed with a transient error.
 const RetryPause = time.Millisecond
 
 // Exhausted reports whether err means that the machine or the process has no resources for another socket.
 func Exhausted(err error) bool { return isAny(err, exhaustionErrors) }
 
-// Transient reports whether a read or a write that failed with err may be tried again on the same connection.
+// Transient reports whether a read or a write that failed with err may be repeated on the same connection.
 func Transient(err error) bool { return isAny(err, transientErrors) }
 
 // ListenerBroken reports whether err, which accept returned, means that no connection will be accepted any more.
 func ListenerBroken(err error) bool { return isAny(err, brokenListenerErrors) }
 
+// isAny reports whether err wraps one of the candidates.
 func isAny(err error, candidates []error) bool {
 	for _, candidate := range candidates {
 		if errors.Is(err, candidate) {
