--- a/internal/downstream/conn_surplus.go
+++ b/internal/downstream/conn_surplus.go
@@ -18,6 +18,7 @@
 	surplusBufferSize = 512
 )
 
+// errTooMuchSurplus is the error of a read after maxSurplus bytes.
 var errTooMuchSurplus = fmt.Errorf("more than %d bytes after a request that awaits its response", maxSurplus)
 
 // discardSurplus reads the bytes that follow a request that awaits its response, until none wait. It reports whether
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -23,25 +23,30 @@
 	}
 	receivedAt := time.Now()
 	request.Uploading = upload != nil
-	http1.RemoveHopHeaders(r.Header)
 	return &exchange.Exchange{
-		TraceID: traceID,
-		Request: request,
-		Message: &exchange.Message{
-			Method:     r.Method,
-			RequestURI: r.RequestURI,
-			Host:       r.Host,
-			Header:     r.Header,
-			Body:       body,
-			Upload:     upload,
-			ClientGone: conn.ClientGone,
-		},
+		TraceID:    traceID,
+		Request:    request,
+		Message:    newMessage(r, body, upload, conn),
 		ReceivedAt: receivedAt,
 		Responses:  make(chan *exchange.Response, 1),
 		Settings:   settings,
 	}, nil
 }
 
+// newMessage returns what is sent to an endpoint. It removes hop-by-hop headers from r. upload is nil if body is complete.
+func newMessage(r *http.Request, body []byte, upload *exchange.Upload, conn *Conn) *exchange.Message {
+	http1.RemoveHopHeaders(r.Header)
+	return &exchange.Message{
+		Method:     r.Method,
+		RequestURI: r.RequestURI,
+		Host:       r.Host,
+		Header:     r.Header,
+		Body:       body,
+		Upload:     upload,
+		ClientGone: conn.ClientGone,
+	}
+}
+
 // parseBody reads the body of a request, and rejects one in a GET request. It checks the announced length first, so
 // that such a body is not read.
 func (s *Server) parseBody(w http.ResponseWriter, r *http.Request, conn *Conn) ([]byte, *exchange.Upload, error) {
@@ -58,4 +63,5 @@
 	return body, upload, nil
 }
 
+// errUnexpectedBody is the error of a GET request with a body.
 var errUnexpectedBody = exchange.BadRequestf("a body where none belongs")
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -16,6 +16,7 @@
 // streamBufferSize is how many bytes of a long response are read and written at a time.
 const streamBufferSize = 32 << 10
 
+// streamBuffers holds the buffers of streams that have ended, for further ones.
 var streamBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, streamBufferSize)
 	return &buffer
--- a/internal/exchange/download.go
+++ b/internal/exchange/download.go
@@ -15,7 +15,7 @@
 	FirstBytes     []byte             // the part of the body that was read before the response was passed on
 	Body           io.Reader          // the part of the body that is still to come
 	ExtendDeadline func()             // gives the endpoint StallTimeout for the next bytes
-	Length         int64              // length of the whole body in bytes as the endpoint declared it; -1: none declared
+	Length         int64              // length of the complete body in bytes as the endpoint declared it; -1: none declared
 	Cancel         context.CancelFunc // ends the attempt
 	Done           chan error         // receives how the download ended; buffered for one value
 }
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -10,7 +10,7 @@
 const noIndex = -1
 
 // Settings are the part of the configuration that a request is read and handled under. They do not change: a new
-// configuration has Settings of its own, and requests that were read before keep theirs. Any goroutine may read them.
+// configuration has Settings of its own, and requests that were read before it are handled under the earlier ones. Any goroutine may read them.
 type Settings struct {
 	ClassIndex  map[string]int           // index in ClassNames and Classes by name
 	ClassNames  []string                 // in the order of Classes
@@ -50,8 +50,8 @@
 	return indexes
 }
 
-// Translate converts a request that was read under earlier settings to the indexes of these. It keeps the class and the
-// number of attempts that it was read under; its tenant is the one of the same name, or none.
+// Translate converts a request that was read under earlier settings to the indexes of these. The class and the number of
+// attempts that it was read under still apply to it; its tenant is the one of the same name, or none.
 func (s *Settings) Translate(earlier *Settings, req *balance.Request) {
 	if earlier == s {
 		return
--- a/internal/exchange/shutdown.go
+++ b/internal/exchange/shutdown.go
@@ -13,7 +13,7 @@
 const (
 	// killMargin is the time beyond the longest deadline by which everything must have ended.
 	killMargin = 650 * time.Millisecond
-	// lateAfterSignal is how long after the signal a request on an open connection still has its whole deadline.
+	// lateAfterSignal is how long after the signal a request on an open connection still has its complete deadline.
 	lateAfterSignal = 600 * time.Millisecond
 	// deliveryMargin is the time that a response needs to reach its client.
 	deliveryMargin = 50 * time.Millisecond
--- a/internal/fault/on.go
+++ b/internal/fault/on.go
@@ -14,6 +14,7 @@
 // current is the plan in force; nil: no call fails.
 var current atomic.Pointer[Plan]
 
+// init takes the plan of EnvPlan, so that a built program can be tested without a test seam of its own.
 func init() {
 	if text := os.Getenv(EnvPlan); text != "" {
 		plan, err := ParsePlan(text)
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -60,6 +60,7 @@
 	return plan, nil
 }
 
+// addErrors adds errors that are named in a list with commas to those of a kind of call.
 func (p *Plan) addErrors(call Call, names string) error {
 	for name := range strings.SplitSeq(names, ",") {
 		errno, ok := errnos[name]
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -13,6 +13,7 @@
 // maxChunkSizeBits is the width of the largest chunk size; it has to fit into an int64.
 const maxChunkSizeBits = 63
 
+// errMalformedChunk is the error of a chunked body with an invalid size or line end.
 var errMalformedChunk = errors.New("malformed chunk in the body of a response")
 
 // ChunkedReader decodes a chunked body and returns the bytes that have arrived. The decoder of net/http waits until it
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -6,6 +6,7 @@
 	"net/http"
 )
 
+// errUnterminated is the error of a response that does not say where it ends.
 var errUnterminated = errors.New("response without Content-Length, Transfer-Encoding or Connection: close")
 
 // ignoreBody handles a response that does not say where its body ends. With status 200 it is an error; with another one
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -34,7 +34,7 @@
 
 	SentAt        balance.Milliseconds // when it was sent, on the loop's clock
 	StreamLatency balance.Milliseconds // from SentAt to the start of its streamed response; 0: it has none
-	// MustNotRetry means that its request gets no further attempt: the response is too long to be forwarded before the
+	// MustNotRetry means that its request gets no other attempt: the response is too long to be forwarded before the
 	// end of a shutdown, and that of another attempt would be too.
 	MustNotRetry bool
 }
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -15,24 +15,30 @@
 	Err               error
 }
 
+// Error returns the endpoint, its address and the cause.
 func (e *connectError) Error() string {
 	return fmt.Sprintf("connect to endpoint %s at %s: %v", e.Endpoint, e.Address, e.Err)
 }
 
+// Unwrap returns the cause.
 func (e *connectError) Unwrap() error { return e.Err }
 
 // connLimitError reports that all connections that the pool may open are in use.
 type connLimitError struct{ Limit int }
 
+// Error returns the limit.
 func (e *connLimitError) Error() string {
 	return fmt.Sprintf("%v: all %d connections are in use", errNoSocket, e.Limit)
 }
 
+// Unwrap returns errNoSocket.
 func (e *connLimitError) Unwrap() error { return errNoSocket }
 
 // noSocketError reports that the operating system provided no socket.
 type noSocketError struct{ Err error }
 
+// Error returns the error of the operating system.
 func (e *noSocketError) Error() string { return fmt.Sprintf("%v: %v", errNoSocket, e.Err) }
 
+// Unwrap returns errNoSocket and the error of the operating system.
 func (e *noSocketError) Unwrap() []error { return []error{errNoSocket, e.Err} }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestIdleConnectionIsReusedAfterDelay checks that a connection is not used again before the reuse delay. A second copy of a
+// TestIdleConnectionIsReusedAfterDelay checks that a connection is not used again before the reuse delay. A duplicate of a
 // response may come in a packet of its own after the connection was found to have nothing to read: the client of the next
 // request would get it.
 func TestIdleConnectionIsReusedAfterDelay(t *testing.T) {
