--- a/internal/downstream/api.go
+++ b/internal/downstream/api.go
@@ -23,7 +23,7 @@
 		defer upload.Release()
 	}
 	conn.record.enter(phaseAwaiting)
-	s.Handler.RequestArrived(request)
+	s.handler.RequestArrived(request)
 	response := s.awaitResponse(r, conn, request)
 	conn.record.enter(phaseResponding)
 	s.respond(w, r, conn, request.Message.Upload, response)
@@ -41,7 +41,7 @@
 		conn.record.explain(reasonClientGone, nil)
 	case <-r.Context().Done():
 		conn.record.explain(reasonContextDone, context.Cause(r.Context()))
-		s.Handler.ClientLeft(request)
+		s.handler.ClientLeft(request)
 	case <-s.done:
 		conn.record.explain(reasonProcessEnds, nil)
 	}
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -40,9 +40,9 @@
 	return nil, s.newUpload(r, conn, controller, limited, body), nil
 }
 
-// newUpload returns the upload of a long body, of which buffered was read from source.
+// newUpload returns the upload of a long body, of which the first bytes were read from source.
 func (s *Server) newUpload(
-	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, buffered []byte,
+	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, first []byte,
 ) *exchange.Upload {
 	number := conn.requests
 	controller.EnableFullDuplex() // the response may precede the end of the body
@@ -51,13 +51,12 @@
 		Length:        r.ContentLength,
 		Source:        source,
 		Budget:        &s.replayBudget,
-		Buffered:      buffered,
-		BytesRead:     int64(len(buffered)),
 		AwaitResponse: func() error { return conn.AwaitResponse(number) },
 		SetReadTimeout: func(timeout time.Duration) {
 			controller.SetReadDeadline(time.Now().Add(timeout))
 		},
 	}
+	upload.SetFirstBytes(first)
 	upload.PauseReading(time.Now())
 	return upload
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -47,9 +47,7 @@
 
 // Server serves the requests of clients. Its methods may be called by any goroutine.
 type Server struct {
-	// Handler receives the valid requests. It must not be changed after the server has started.
-	Handler RequestHandler
-
+	handler      RequestHandler // receives the valid requests
 	state        *exchange.ServiceState
 	done         <-chan struct{} // closed when no more responses will be sent
 	conns        *ConnTracker
@@ -61,7 +59,7 @@
 func NewServer(
 	state *exchange.ServiceState, handler RequestHandler, conns *ConnTracker, replayBytes int64, done <-chan struct{},
 ) *Server {
-	server := &Server{state: state, Handler: handler, conns: conns, done: done}
+	server := &Server{state: state, handler: handler, conns: conns, done: done}
 	server.replayBudget.Remaining.Store(replayBytes)
 	return server
 }
--- a/internal/exchange/replaybuffer.go
+++ b/internal/exchange/replaybuffer.go
@@ -44,18 +44,18 @@
 	if u.Discarded.Load() || len(p) == 0 {
 		return
 	}
-	if len(u.Buffered)+len(p) > MaxReplayBytes || !u.Budget.reserve(len(p)) {
+	if len(u.buffered)+len(p) > MaxReplayBytes || !u.Budget.reserve(len(p)) {
 		u.discardBuffer()
 		return
 	}
-	u.Buffered = append(u.Buffered, p...)
+	u.buffered = append(u.buffered, p...)
 	u.reserved += len(p)
 }
 
 // discardBuffer frees the buffer. The caller holds mu.
 func (u *Upload) discardBuffer() {
 	u.Discarded.Store(true)
-	u.Buffered = nil
+	u.buffered = nil
 	u.Budget.release(u.reserved)
 	u.reserved = 0
 }
--- a/internal/exchange/upload.go
+++ b/internal/exchange/upload.go
@@ -40,18 +40,27 @@
 	Source         io.Reader           // the client's connection
 	SetReadTimeout func(time.Duration) // sets how long the client may take for the next bytes
 	AwaitResponse  func() error        // marks the request as complete; an error if its client does not wait for a response
-	Budget         *BufferBudget       // what Buffered counts against
-	Discarded      atomic.Bool         // Buffered does not have all bytes that were read
+	Budget         *BufferBudget       // what the buffer counts against
+	Discarded      atomic.Bool         // the bytes that were read are not buffered
 	Complete       atomic.Bool         // the last byte was read
 	clock          readClock
 
-	mu        sync.Mutex // guards the fields below while attempts run
-	Buffered  []byte     // the bytes that were read, unless Discarded
+	mu        sync.Mutex // guards the fields below
+	buffered  []byte     // the bytes that were read, unless Discarded
 	reserved  int        // bytes taken from Budget
-	BytesRead int64      // bytes read from Source
+	bytesRead int64      // bytes read from Source
 	err       error      // how reading ended; io.EOF: with the last byte
 }
 
+// SetFirstBytes records that the client side has read the first bytes of the body from Source. They do not count against
+// Budget. It must be called before the first attempt reads.
+func (u *Upload) SetFirstBytes(first []byte) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.buffered = first
+	u.bytesRead = int64(len(first))
+}
+
 // Release frees the buffer. Nothing more is read; a reader that waits for the client returns with an error. The client side
 // calls it when the request has ended.
 func (u *Upload) Release() {
@@ -93,7 +102,7 @@
 	u.clock.read()
 	n, err := u.Source.Read(p)
 	u.clock.pause(time.Now())
-	u.BytesRead += int64(n)
+	u.bytesRead += int64(n)
 	u.buffer(p[:n])
 	if err == io.EOF {
 		u.MarkComplete(time.Now())
--- a/internal/exchange/upload_test.go
+++ b/internal/exchange/upload_test.go
@@ -26,8 +26,8 @@
 			t.Fatal(err)
 		}
 	}
-	if first.Discarded.Load() || !second.Discarded.Load() || len(second.Buffered) != 0 {
-		t.Errorf("discarded: %v, %v; want only the second, which buffers %d bytes", first.Discarded.Load(), second.Discarded.Load(), len(second.Buffered))
+	if first.Discarded.Load() || !second.Discarded.Load() || len(second.buffered) != 0 {
+		t.Errorf("discarded: %v, %v; want only the second, which buffers %d bytes", first.Discarded.Load(), second.Discarded.Load(), len(second.buffered))
 	}
 	replay := &UploadReader{Upload: first}
 	if got, err := io.ReadAll(io.LimitReader(replay, readBytes)); err != nil || !bytes.Equal(got, []byte(sidecartest.LongBody[:readBytes])) {
--- a/internal/exchange/uploadreader.go
+++ b/internal/exchange/uploadreader.go
@@ -21,12 +21,12 @@
 	switch {
 	case r.Stopped.Load():
 		return 0, ErrAbandoned
-	case r.offset == u.BytesRead:
+	case r.offset == u.bytesRead:
 		n, err = u.readSource(p)
 	case u.Discarded.Load():
 		return 0, ErrBodyDiscarded
 	default:
-		n = copy(p, u.Buffered[r.offset:])
+		n = copy(p, u.buffered[r.offset:])
 	}
 	r.offset += int64(n)
 	if r.Stopped.Load() { // ended during the read: the bytes are for another attempt
--- a/internal/upstream/result.go
+++ b/internal/upstream/result.go
@@ -5,7 +5,18 @@
 	"cindersaddle/internal/exchange"
 )
 
-// Result is how an attempt or a health check ended.
+// Result is how an attempt or a health check ended. The outcome of an attempt says whether the endpoint may have executed
+// the request, on which a retry depends:
+//
+//	what happened                                           outcome         executed
+//	no connection, or the write failed, on this side        NotAttempted    no
+//	no connection, or the write failed, on the other side   ConnectFailed   no
+//	status 503 or 504 with neverRanHeader                   Rejected        no
+//	no response before the deadline                         TimedOut        perhaps
+//	the connection broke before the end of the response     ConnReset       perhaps
+//	the event loop or the client ended the attempt          Cancelled       perhaps
+//	any other status than 200                               ServerError     perhaps
+//	a complete response with status 200                     OK              yes
 type Result struct {
 	Outcome     balance.Result
 	Response    *exchange.Response // if the outcome is OK and the response was not streamed
