--- a/internal/exchange/shutdown.go
+++ b/internal/exchange/shutdown.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"cindersaddle/balance"
-	"cindersaddle/internal/timing"
 )
 
 // MaxShutdownDeadline bounds the longest deadline that a shutdown waits for: the platform kills the process soon after.
@@ -44,5 +43,5 @@
 	for i := range classes {
 		longest = max(longest, classes[i].Deadline)
 	}
-	return timing.Milliseconds(float64(longest))
+	return longest.Duration()
 }
