--- a/internal/eventloop/clockstep_faults_test.go
+++ b/internal/eventloop/clockstep_faults_test.go
@@ -18,9 +18,9 @@
 	previous := newTestLoop(t)
 	previous.upstreamClient = newTestUpstream(t)
 	previous.clock.update()
-	member := sidecartest.ReadyMember("s-1", "127.0.0.1:9")
-	member.UpSince = float64(previous.clock.now - 1000)
-	previous.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Member{member}}}, balance.UpdateSnapshot)
+	endpoint := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
+	endpoint.UpSince = float64(previous.clock.now - 1000)
+	previous.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
 	fault.SetClockStep(time.Hour)
 	t.Cleanup(func() { fault.SetClockStep(0) })
 	state := previous.exportState()
@@ -33,7 +33,7 @@
 	next.applyList(endpointListUpdate{list: &next.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
 	next.importState()
 	learned := next.balancer.ExportState(next.clock.now)
-	if age := next.clock.now - learned.Servers[0].ColdSince; age < 0 || age > 10e3 {
+	if age := next.clock.now - learned.Endpoints[0].WarmUpSince; age < 0 || age > 10e3 {
 		t.Errorf("the server counts as started %v ms ago, want about 1000", age)
 	}
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -16,7 +16,7 @@
 	// The fields below are the event loop's.
 
 	StartedAt balance.Milliseconds // when it last started, on the loop's clock; 0: long ago
-	Member    membership.Member    // as last listed
+	Listed    membership.Endpoint  // as last listed
 
 	// Address is replaced by another pointer with each new address and each restart of the endpoint: connections with
 	// an earlier pointer are stale.
