--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -5,6 +5,7 @@
 import (
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"sync/atomic"
 	"syscall"
@@ -172,3 +173,12 @@
 		t.Errorf("the client read %q, %v", written, err)
 	}
 }
+
+// newTrackedConn returns a connection of a tracker, and the client's side of it.
+func newTrackedConn(t *testing.T) (*Conn, net.Conn) {
+	t.Helper()
+	client, accepted := sidecartest.ConnPair(t)
+	conn := NewConnTracker(10).Add(accepted)
+	t.Cleanup(func() { conn.Close() })
+	return conn, client
+}
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -3,8 +3,6 @@
 import (
 	"net"
 	"testing"
-
-	"cindersaddle/internal/sidecartest"
 )
 
 // noEvictor is an Evictor without connections.
@@ -28,12 +26,3 @@
 		t.Cleanup(func() { conn.Close() })
 	}
 }
-
-// newTrackedConn returns a connection of a tracker, and the client's side of it.
-func newTrackedConn(t *testing.T) (*Conn, net.Conn) {
-	t.Helper()
-	client, accepted := sidecartest.ConnPair(t)
-	conn := NewConnTracker(10).Add(accepted)
-	t.Cleanup(func() { conn.Close() })
-	return conn, client
-}
