--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -14,7 +14,7 @@
 // TestIndentedAndTruncatedLists checks that an indented list is read, and that a truncated response is dropped and followed by a call
 // for the complete list.
 func TestIndentedAndTruncatedLists(t *testing.T) {
-	complete := membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyMember("s-1", "127.0.0.1:1"), sidecartest.ReadyMember("s-2", "127.0.0.1:2")}}
+	complete := membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")}}
 	text, err := json.MarshalIndent(complete, "\t", "    ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,7 +14,7 @@
 // a second for the complete list.
 func TestWatchFromRevisionZero(t *testing.T) {
 	server := sidecartest.NewDiscoveryServer(t)
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", "127.0.0.1:9"))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9"))
 	cfg.Discovery, cfg.KnownEndpoints.Revision = server.Addr, 0
 	startWatcher(t, cfg)
 	if got := sidecartest.Next(t, server.Queries); got != "from=0&hold_ms=1200" {
--- a/internal/eventloop/clockstep_faults_test.go
+++ b/internal/eventloop/clockstep_faults_test.go
@@ -18,7 +18,7 @@
 	previous := newTestLoop(t)
 	previous.upstreamClient = newTestUpstream(t)
 	previous.clock.update()
-	member := sidecartest.ReadyMember("s-1", "127.0.0.1:9")
+	member := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
 	member.UpSince = previous.clock.now - 1000
 	previous.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Member{member}}}, balance.UpdateSnapshot)
 	fault.SetClockStep(time.Hour)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -54,7 +54,7 @@
 
 // completeList returns an endpoint list with one ready member.
 func completeList(address string) endpointListUpdate {
-	members := []membership.Member{sidecartest.ReadyMember("s-1", address)}
+	members := []membership.Member{sidecartest.ReadyEndpoint("s-1", address)}
 	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: members}}
 }
 
@@ -103,9 +103,9 @@
 // sidecar learned of the endpoints.
 func TestEndpointIDsDoNotDependOnListOrder(t *testing.T) {
 	members := []membership.Member{
-		sidecartest.ReadyMember("s-1", "127.0.0.1:1"),
-		sidecartest.ReadyMember("s-2", "127.0.0.1:2"),
-		sidecartest.ReadyMember("s-3", "127.0.0.1:3"),
+		sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"),
+		sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2"),
+		sidecartest.ReadyEndpoint("s-3", "127.0.0.1:3"),
 	}
 	idsInOrder := func(order ...int) map[string]balance.EndpointID {
 		l := newTestLoop(t)
@@ -208,7 +208,7 @@
 	}
 	before := heapBytes()
 	for round := range 20 { // each list replaces the previous one
-		list := sidecartest.NumberedMembers(endpointCount, "127.0.0.1:1")
+		list := sidecartest.NumberedEndpoints(endpointCount, "127.0.0.1:1")
 		for i := range list.Members {
 			list.Members[i].ID += fmt.Sprint(round)
 		}
--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -187,7 +187,7 @@
 
 // timeToNoticeDrain returns how long after the end of an outage the sidecar stops sending to an endpoint that drains.
 func timeToNoticeDrain(t *testing.T, c drainCase, mode failureMode, outage time.Duration) time.Duration {
-	first, second := sidecartest.ReadyMember("s-1", "127.0.0.1:1"), sidecartest.ReadyMember("s-2", "127.0.0.1:2")
+	first, second := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")
 	ctx, cancel := context.WithCancel(t.Context())
 	agent := newFailingDiscovery(ctx, c, mode, outage, first, second)
 	cfg := sidecartest.Config(t, first, second)
--- a/internal/eventloop/starttimes_test.go
+++ b/internal/eventloop/starttimes_test.go
@@ -63,7 +63,7 @@
 	l := newTestLoop(t)
 	l.upstreamClient = newTestUpstream(t)
 	l.clock.update()
-	member := sidecartest.ReadyMember("s-1", "127.0.0.1:9")
+	member := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
 	member.UpSince = l.clock.now - 60e3
 	l.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Member{member}}}, balance.UpdateSnapshot)
 	endpoint := l.endpoints.byName["s-1"]
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -67,7 +67,7 @@
 		sidecartest.Respond(503, "", "X-Never-Ran: 1"),
 		sidecartest.Respond(200, "ok"),
 	)
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))))
+	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
 	if got := sidecar.resultCounts("read") + " " + sidecar.resultCounts("pay") + " " + sidecar.metric("upstream_requests_total"); got != "0 0 0 0 0 0 0" {
 		t.Errorf("counters at the start: %s, want only zeros", got)
 	}
@@ -102,7 +102,7 @@
 	started, release := make(chan bool, 1), make(chan bool)
 	defer close(release)
 	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))))
+	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	sidecartest.Next(t, started)
@@ -118,12 +118,12 @@
 
 // TestMetricsCountMembers checks that a draining server is counted as a member and as unavailable.
 func TestMetricsCountMembers(t *testing.T) {
-	draining := sidecartest.ReadyMember("s-2", "127.0.0.1:2")
+	draining := sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")
 	draining.Phase = "draining"
 	cfg := sidecartest.Config(t,
-		sidecartest.ReadyMember("s-1", "127.0.0.1:1"),
+		sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"),
 		draining,
-		sidecartest.ReadyMember("s-3", "127.0.0.1:3"),
+		sidecartest.ReadyEndpoint("s-3", "127.0.0.1:3"),
 	)
 	sidecar := startSidecar(t, withAdmin(cfg))
 	sidecartest.WaitFor(t, "the endpoint list is applied", func() bool { return sidecar.metric("members") == "3" })
@@ -136,7 +136,7 @@
 // address, and that it does not serve the API of the clients.
 func TestAdminRejectsBadRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))))
+	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
 	sidecar.waitUntilReady()
 	for _, test := range []struct {
 		method, path string
@@ -164,7 +164,7 @@
 // TestAdminServesBesideIdleConnections checks that connections without a complete request, more than the admin address
 // allows, do not keep a health check from its response until they time out.
 func TestAdminServesBesideIdleConnections(t *testing.T) {
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", "127.0.0.1:1"))))
+	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"))))
 	sidecar.waitUntilReady()
 	for i := range 5 * admin.MaxConns {
 		conn := sidecar.dialAddr(sidecar.adminAddr)
@@ -188,7 +188,7 @@
 		t.Errorf("ready without servers: status %d, want 503", resp.StatusCode)
 	}
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyMember("s-1", server.Addr)}}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-1", server.Addr)}}
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	sidecar.waitUntilReady()
 	conn := sidecar.dial()
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -24,7 +24,7 @@
 	started, release := make(chan bool, 1), make(chan bool)
 	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release))
 	defer close(release)
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	conn, err := net.Dial("tcp", sidecar.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 					conn.(*net.TCPConn).SetLinger(0) // a reset, after which the request would be retried
 					return false
 				})
-				sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr), sidecartest.ReadyMember("s-2", server.Addr)))
+				sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
 				conn := sidecar.dial()
 				sidecar.write(conn, sidecar.rawRequest("read"))
 				sidecartest.Next(t, started)
@@ -227,7 +227,7 @@
 	requestCount = &atomic.Int32{}
 	for i := range servers {
 		server := sidecartest.NewScriptedServer(t, func(conn net.Conn) bool { return steps[min(int(requestCount.Add(1)), len(steps))-1](conn) })
-		members = append(members, sidecartest.ReadyMember(fmt.Sprintf("s-%d", i), server.Addr))
+		members = append(members, sidecartest.ReadyEndpoint(fmt.Sprintf("s-%d", i), server.Addr))
 	}
 	return members, requestCount
 }
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -17,7 +17,7 @@
 func TestIdleClientsAreClosedFirst(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release), sidecartest.Respond(200, "served"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Limits.Sockets = 64 // 20 of them for clients
 	sidecar := startSidecar(t, cfg)
 	pending := sidecar.dial()
@@ -43,7 +43,7 @@
 // their close with it: idle connections use up the descriptors of the application before those of the sidecar.
 func TestIdleConnectionLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Limits.Sockets = 224 // 100 of them for clients, 25 of those kept alive
 	sidecar := startSidecar(t, cfg)
 	keptAlive := 0
@@ -68,7 +68,7 @@
 // limit the request that progresses slowest is closed.
 func TestSlowestRequestIsClosedAtLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Limits.Sockets = 64 // 20 of them for clients
 	sidecar := startSidecar(t, cfg)
 	for i := range 60 {
@@ -85,7 +85,7 @@
 // are closed before it, no matter how many there are and how long the slow one takes.
 func TestActiveClientOutlivesStalledOnes(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Limits.Sockets = 64 // 20 of them for clients
 	sidecar := startSidecar(t, cfg)
 	slow, text := sidecar.dial(), sidecar.rawRequest("pay", "Content-Length: 2")+"ab"
@@ -107,7 +107,7 @@
 // close in time, and that no part of its request reaches a server.
 func TestStalledClientTimeout(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	for name, text := range map[string]string{
 		"nothing": "", "half a head": "POST /api HTTP/1.1\r\nX-Qos: p",
 		"half a body":  sidecar.rawRequest("pay", "Content-Length: 100") + "half",
--- a/internal/sidecar/descriptor_limit_test.go
+++ b/internal/sidecar/descriptor_limit_test.go
@@ -97,10 +97,10 @@
 	secondServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "two"))
 	sidecar := startSidecarWithDescriptorLimit(t)
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	draining := sidecartest.ReadyMember("s-9", firstServer.Addr)
+	draining := sidecartest.ReadyEndpoint("s-9", firstServer.Addr)
 	draining.Phase = "draining"
 	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{
-		sidecartest.ReadyMember("s-1", firstServer.Addr), draining,
+		sidecartest.ReadyEndpoint("s-1", firstServer.Addr), draining,
 	}}
 	// It is ready before that with the list of its configuration, whose only server does not exist.
 	sidecartest.WaitFor(t, "the first endpoint list is applied", func() bool { return sidecar.metric("members") == "2" })
@@ -119,7 +119,7 @@
 	}
 	draining.ID = "s-1"
 	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Complete: true, Members: []membership.Member{
-		draining, sidecartest.ReadyMember("s-2", secondServer.Addr), sidecartest.ReadyMember("s-3", secondServer.Addr),
+		draining, sidecartest.ReadyEndpoint("s-2", secondServer.Addr), sidecartest.ReadyEndpoint("s-3", secondServer.Addr),
 	}}
 	sidecartest.WaitFor(t, "the second endpoint list is applied", func() bool { return sidecar.metric("members") == "3" })
 	for range 5 {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -26,14 +26,14 @@
 		sidecartest.Next(t, sidecar.discovery.Queries)
 		sidecar.discovery.Lists <- list
 	}
-	update(membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyMember("s-1", firstServer.Addr)}})
+	update(membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-1", firstServer.Addr)}})
 	sidecartest.Next(t, sidecar.discovery.Queries) // the previous list has reached the event loop
 	if _, body := sidecar.do(sidecar.newRequest("read")); body != "one" {
 		t.Errorf("served by %q", body)
 	}
-	draining := sidecartest.ReadyMember("s-1", firstServer.Addr)
+	draining := sidecartest.ReadyEndpoint("s-1", firstServer.Addr)
 	draining.Phase = "draining"
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Members: []membership.Member{draining, sidecartest.ReadyMember("s-2", secondServer.Addr)}}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Members: []membership.Member{draining, sidecartest.ReadyEndpoint("s-2", secondServer.Addr)}}
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	for range 3 {
 		if _, body := sidecar.do(sidecar.newRequest("read")); body != "two" {
@@ -49,7 +49,7 @@
 	for name, subscribe := range map[string]bool{"pushed": false, "polled": true} {
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-			cfg := withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+			cfg := withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 			cfg.Balance.PolledDiscovery, cfg.Balance.InstanceCount, cfg.Balance.InstanceIndex = subscribe, 350, 349
 			sidecar := startSidecar(t, cfg) // discovery answers no request
 			start := time.Now()
@@ -80,7 +80,7 @@
 	cfg := withAdmin(sidecartest.Config(t))
 	cfg.Balance.PolledDiscovery, cfg.Balance.InstanceCount, cfg.Balance.InstanceIndex, cfg.Balance.KeyCaching = false, 1024, 1023, true
 	sidecar := startSidecar(t, cfg)
-	text, err := json.MarshalIndent(sidecartest.NumberedMembers(largeFleetSize, server.Addr), "    ", "    ")
+	text, err := json.MarshalIndent(sidecartest.NumberedEndpoints(largeFleetSize, server.Addr), "    ", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -46,7 +46,7 @@
 			more := make(chan bool)
 			head := "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n" + test.head + "\r\n"
 			server := sidecartest.NewScriptedServer(t, respondInParts(more, head+test.first, test.second))
-			sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))))
+			sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
 			request := sidecar.newRequest("read")
 			request.Header.Set(exchange.ExpiryHeader, "300m")
 			start := time.Now()
@@ -87,7 +87,7 @@
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
 			server := sidecartest.NewScriptedServer(t, respondInParts(more, "HTTP/1.1 200 OK\r\n"+test.head+sidecartest.LongBody[:len(sidecartest.LongBody)/2], ""))
-			cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr), sidecartest.ReadyMember("s-2", server.Addr))
+			cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr), sidecartest.ReadyEndpoint("s-2", server.Addr))
 			sidecar := startSidecar(t, withAdmin(cfg))
 			client := sidecar.dial()
 			sidecar.write(client, strings.Replace(sidecar.rawRequest("read"), "HTTP/1.1", test.version, 1))
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
 			server := sidecartest.NewScriptedServer(t, respondInParts(more, "HTTP/1.1 200 OK\r\n"+test.first, test.second))
-			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 			resp, err := sidecar.client.Do(sidecar.newRequest("read"))
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("response %v, error %v", resp, err)
--- a/internal/sidecar/golden_cases_test.go
+++ b/internal/sidecar/golden_cases_test.go
@@ -83,7 +83,7 @@
 // on request.
 func recordPolledLoadReport(t *testing.T, transcript *goldenTranscript) {
 	server := newRecordingServers(sidecartest.Respond(200, "TEXT busy=0.1, rate=3"), sidecartest.Respond(200, "plate 7"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.startServer(t)))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.startServer(t)))
 	cfg.Balance.LoadReports = balance.LoadReportsPolled
 	sidecar := startSidecar(t, cfg)
 	response := exchangeRaw(t, sidecar.dial(), fixedRequest("read", "a09"))
@@ -96,7 +96,7 @@
 // requests before it depends on the time.
 func recordHealthCheck(t *testing.T, transcript *goldenTranscript) {
 	servers := newRecordingServers()
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", servers.startServer(t)), sidecartest.ReadyMember("s-2", servers.startServer(t)))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", servers.startServer(t)), sidecartest.ReadyEndpoint("s-2", servers.startServer(t)))
 	cfg.Balance.LoadReports = balance.LoadReportsNone
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].LatencyObjective = 200 // the time after which an attempt counts as lost
@@ -117,7 +117,7 @@
 // recordRetry records a request that one server rejects and the other one serves.
 func recordRetry(t *testing.T, transcript *goldenTranscript) {
 	servers := newRecordingServers(sidecartest.Respond(503, "", neverRanHeader), sidecartest.Respond(200, "done"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", servers.startServer(t)), sidecartest.ReadyMember("s-2", servers.startServer(t))))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", servers.startServer(t)), sidecartest.ReadyEndpoint("s-2", servers.startServer(t))))
 	response := exchangeRaw(t, sidecar.dial(), fixedRequest("pay", "a10", "Content-Length: 7")+"order 7")
 	first, second := sidecartest.Next(t, servers.requests), sidecartest.Next(t, servers.requests)
 	transcript.addMessage("the first server reads", first.text)
@@ -198,7 +198,7 @@
 // recordRejection records the response after the server rejected the only attempt that the settings allow.
 func recordRejection(t *testing.T, transcript *goldenTranscript) {
 	server := newRecordingServers(sidecartest.Respond(503, "", neverRanHeader))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.startServer(t)))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.startServer(t)))
 	cfg.Balance.MaxAttempts = 1
 	sidecar := startSidecar(t, cfg)
 	response := exchangeRaw(t, sidecar.dial(), fixedRequest("pay", "b22", "Content-Length: 0"))
@@ -224,7 +224,7 @@
 // recordUp records the first response to a health check that is not a 503: until the endpoint list is applied there may
 // be such.
 func recordUp(t *testing.T, transcript *goldenTranscript) {
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", "127.0.0.1:9")))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")))
 	var response string
 	sidecartest.WaitFor(t, "up", func() bool {
 		response = exchangeRaw(t, sidecar.dial(), upRequest)
@@ -250,7 +250,7 @@
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t)))
 	recordAdminCall(t, transcript, sidecar, "GET /api/ready")
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyMember("s-1", "127.0.0.1:9")}}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")}}
 	sidecar.waitUntilReady()
 	recordAdminCall(t, transcript, sidecar, "GET /api/ready")
 }
@@ -261,7 +261,7 @@
 		sidecartest.Respond(200, "one"), sidecartest.Respond(500, ""), sidecartest.Respond(200, "two"),
 		sidecartest.Respond(500, ""), sidecartest.Respond(200, "three"), sidecartest.Respond(503, "", neverRanHeader),
 	)
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.startServer(t)))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.startServer(t)))
 	sidecar := startSidecar(t, withAdmin(cfg))
 	sidecartest.WaitFor(t, "the endpoint list is applied", func() bool { return sidecar.metric("members") == "1" })
 	for _, request := range []string{
@@ -278,7 +278,7 @@
 
 // recordBadAdminCalls records the responses to unknown paths and methods at the admin address.
 func recordBadAdminCalls(t *testing.T, transcript *goldenTranscript) {
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", "127.0.0.1:9"))))
+	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9"))))
 	for _, call := range []string{
 		"GET /up", "GET /api", "GET /api/ready/", "POST /api/ready", "PUT /api/telemetry", "HEAD /api/telemetry",
 	} {
--- a/internal/sidecar/golden_exchange_test.go
+++ b/internal/sidecar/golden_exchange_test.go
@@ -14,7 +14,7 @@
 func startGoldenSidecar(t *testing.T, steps ...sidecartest.Step) (*testSidecar, *recordingServers) {
 	t.Helper()
 	servers := newRecordingServers(steps...)
-	return startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", servers.startServer(t)))), servers
+	return startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", servers.startServer(t)))), servers
 }
 
 // fixedRequest returns the head of a request that is the same in each run, with additional header lines.
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -19,7 +19,7 @@
 	secondServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "two"))
 	file := newConfigFile(t)
 	cfg := file.load(nil)
-	cfg.KnownEndpoints.Members = []membership.Member{sidecartest.ReadyMember("s-1", firstServer.Addr)}
+	cfg.KnownEndpoints.Members = []membership.Member{sidecartest.ReadyEndpoint("s-1", firstServer.Addr)}
 	cfg.AcceptDuringShutdown = 0
 	sidecar := startSidecar(t, cfg)
 	sidecartest.Next(t, sidecar.discovery.Queries) // the watch at the old address
@@ -35,7 +35,7 @@
 		t.Errorf("first request at the new address: query %q, want none", got)
 	}
 	sidecartest.Next(t, sidecar.discovery.Cancelled)
-	other.Lists <- membership.EndpointList{Revision: 3, Complete: true, Members: []membership.Member{sidecartest.ReadyMember("s-2", secondServer.Addr)}}
+	other.Lists <- membership.EndpointList{Revision: 3, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-2", secondServer.Addr)}}
 	if got := sidecartest.Next(t, other.Queries); got != "from=3&hold_ms=1200" {
 		t.Errorf("second request at the new address: query %q", got)
 	}
@@ -62,8 +62,8 @@
 	file := newConfigFile(t)
 	cfg := withAdmin(file.load(nil))
 	cfg.KnownEndpoints.Members = []membership.Member{
-		sidecartest.ReadyMember("s-1", firstServer.Addr),
-		sidecartest.ReadyMember("s-2", secondServer.Addr),
+		sidecartest.ReadyEndpoint("s-1", firstServer.Addr),
+		sidecartest.ReadyEndpoint("s-2", secondServer.Addr),
 	}
 	cfg.AcceptDuringShutdown = 0
 	sidecar := startSidecar(t, cfg)
@@ -104,7 +104,7 @@
 	file := newConfigFile(t)
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "ok"))
 	cfg := withAdmin(file.load(nil))
-	cfg.KnownEndpoints.Members = []membership.Member{sidecartest.ReadyMember("s-1", server.Addr)}
+	cfg.KnownEndpoints.Members = []membership.Member{sidecartest.ReadyEndpoint("s-1", server.Addr)}
 	cfg.AcceptDuringShutdown = 0
 	sidecar := startSidecar(t, cfg)
 	other := sidecartest.NewDiscoveryServer(t)
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -17,7 +17,7 @@
 // that they share a connection, and that the load report of the server is not forwarded to the client.
 func TestForwardsRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	var ids []string
 	for _, class := range []string{"read", "reserve", "pay"} {
 		request := sidecar.newRequest(class)
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			failing := sidecartest.NewScriptedServer(t, test.first)
 			serving := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "done"))
-			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", failing.Addr), sidecartest.ReadyMember("s-2", serving.Addr)))
+			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", failing.Addr), sidecartest.ReadyEndpoint("s-2", serving.Addr)))
 			resp, _ := sidecar.do(sidecar.newRequest("pay"))
 			for len(sidecartest.RequestsTo(failing)) == 0 { // the other server was chosen first
 				resp, _ = sidecar.do(sidecar.newRequest("pay"))
@@ -85,7 +85,7 @@
 // a server.
 func TestRejectsBadRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	setHeader := func(name, value string) func(*http.Request) {
 		return func(request *http.Request) { request.Header.Set(name, value) }
 	}
@@ -131,7 +131,7 @@
 // rejected and that nothing hidden in them reaches a server.
 func TestRequestSmuggling(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	for name, text := range map[string]string{
 		"two lengths":         sidecar.rawRequest("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequest("read"),
 		"two lengths, turned": sidecar.rawRequest("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequest("read"),
@@ -157,7 +157,7 @@
 func TestDuplicateTraceID(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release), sidecartest.Respond(200, "again"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	text := sidecar.rawRequest("pay", "Content-Length: 2") + "ab"
 	first, second := sidecar.dial(), sidecar.dial()
 	sidecar.write(first, text)
@@ -183,7 +183,7 @@
 // TestRejectionHasRetryAfter checks that a rejected request, which never ran, has a Retry-After within its bounds.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	request := sidecar.newRequest("pay")
 	request.Header.Set(exchange.ExpiryHeader, "300m")
 	resp, _ := sidecar.do(request)
--- a/internal/sidecar/server_restart_test.go
+++ b/internal/sidecar/server_restart_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	server := sidecartest.NewScriptedServer(t, recordConn(sidecartest.RespondAfter(started, release)), recordConn(sidecartest.Respond(200, "served")))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	first := make(chan *http.Response, 1)
 	go func() {
@@ -33,7 +33,7 @@
 		first <- resp
 	}()
 	sidecartest.Next(t, started)
-	restarted := sidecartest.ReadyMember("s-1", server.Addr)
+	restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
 	restarted.UpSince = 5
 	sidecar.discovery.Lists <- membership.EndpointList{Revision: 50, Members: []membership.Member{restarted}}
 	sidecartest.Next(t, sidecar.discovery.Queries)                                 // the list is queued for the event loop
@@ -63,7 +63,7 @@
 // vanished look open: a request written to one is reset, and may have run.
 func TestServerRestartDiscardsIdleConnections(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	for up, want := range []int{1, 2, 2} {
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
@@ -72,7 +72,7 @@
 		if _, _, conns := server.Received(); conns != want {
 			t.Errorf("after %d endpoint lists: %d connections, want %d", up, conns, want)
 		}
-		restarted := sidecartest.ReadyMember("s-1", server.Addr)
+		restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
 		restarted.UpSince = 5 // the same in both lists
 		sidecar.discovery.Lists <- membership.EndpointList{Revision: int64(50 + up), Members: []membership.Member{restarted}}
 		sidecartest.Next(t, sidecar.discovery.Queries) // the list has reached the event loop
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -20,7 +20,7 @@
 func TestShutdownDrainsRequests(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release), sidecartest.Respond(200, "late"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.AcceptDuringShutdown = 3 * time.Second
 	sidecar := startSidecar(t, cfg)
 	pending := make(chan *http.Response, 1)
@@ -55,7 +55,7 @@
 // were partly written or not begun when it started, and that the connections are closed with the responses.
 func TestShutdownServesKeptConnections(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.AcceptDuringShutdown = 3 * time.Second // idle connections are kept for this time
 	sidecar := startSidecar(t, cfg)
 	for name, writtenPart := range map[string]float64{"half written": 0.5, "begun": 0.01, "not begun": 0} {
@@ -92,7 +92,7 @@
 // TestShutdownBeforeFirstAccept checks that a connection which waits to be accepted when the shutdown starts is served.
 func TestShutdownBeforeFirstAccept(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Discovery = sidecartest.NewDiscoveryServer(t).Addr
 	ln := sidecartest.Listen(t)
 	sidecar := &testSidecar{t: t, addr: ln.Addr().String()}
@@ -113,7 +113,7 @@
 // on a kept connection and the parsing of its head.
 func TestShutdownServesRequestJustRead(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	read, release := make(chan bool, 1), make(chan bool)
 	var armed atomic.Bool
 	cfg.AfterRead = func() {
@@ -156,7 +156,7 @@
 	half := len(sidecartest.LongBody) / 2
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(sidecartest.LongBody))
 	server := sidecartest.NewScriptedServer(t, respondInParts(more, head+sidecartest.LongBody[:half], sidecartest.LongBody[half:]))
-	cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].Deadline = 100
 	}
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -82,7 +82,7 @@
 func TestUpgradeLosesNoRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	addr, scratch := unusedHostAddr(t), t.TempDir()
-	firstProcess := startProcess(t, addr, scratch, sidecartest.ReadyMember("s-1", server.Addr))
+	firstProcess := startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	predecessor := firstProcess
 	var served, broken atomic.Int64
 	var clients sync.WaitGroup
@@ -97,7 +97,7 @@
 	}
 	awaitMoreServed(50)
 	for range 2 { // two upgrades in a row, of which the second is from a successor
-		successor := startProcess(t, addr, scratch, sidecartest.ReadyMember("s-1", server.Addr))
+		successor := startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
 		awaitMoreServed(50)
 		predecessor.shutdown()
 		if err := sidecartest.Next(t, predecessor.exited); err != nil {
@@ -142,7 +142,7 @@
 func TestSuccessorInheritsEndpointList(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	addr, scratch := unusedHostAddr(t), t.TempDir()
-	startProcess(t, addr, scratch, sidecartest.ReadyMember("s-1", server.Addr))
+	startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	successor := startProcess(t, addr, scratch) // ready only with the state of its predecessor
 	if got := successor.metric("members"); got != "1" {
 		t.Errorf("the successor knows %s servers, want 1", got)
@@ -179,7 +179,7 @@
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 			addr, scratch := unusedHostAddr(t), t.TempDir()
 			occupy(t, upgrade.NewHandover(&config.Config{Listen: addr, AdminListen: "x", ScratchDir: scratch}, nil).SocketPath())
-			process := startProcess(t, addr, scratch, sidecartest.ReadyMember("s-1", server.Addr))
+			process := startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
 			if resp, _ := process.do(process.newRequest("read")); resp.StatusCode != 200 {
 				t.Errorf("status %d, want 200", resp.StatusCode)
 			}
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken"))
-			cfg := sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))
+			cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 			sidecar := startSidecar(t, withAdmin(cfg))
 			request := sidecar.newRequest("pay")
 			request.Body, request.ContentLength = io.NopCloser(body), -1
@@ -89,7 +89,7 @@
 func TestRequestBodyReplay(t *testing.T) {
 	partialReaderAddr, accepted := startPartialReader(t, 1000, "")
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken", "Connection: close"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", partialReaderAddr), sidecartest.ReadyMember("s-2", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
 	attempts := 0
 	for len(accepted) == 0 { // the other server may be chosen first
 		attempts++
@@ -115,7 +115,7 @@
 func TestUnbufferedBodyIsSentOnce(t *testing.T) {
 	text := strings.Repeat(sidecartest.LongBody, 12) // more than the socket buffers hold
 	partialReaderAddr, accepted := startPartialReader(t, int64(len(sidecartest.LongBody)*3), "")
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", partialReaderAddr), sidecartest.ReadyMember("s-2", partialReaderAddr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", partialReaderAddr)))
 	conn := sidecar.dial()
 	go io.WriteString(conn, sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(text)))+text)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -131,7 +131,7 @@
 // server as a complete request, and does not affect later ones.
 func TestTruncatedRequestBody(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken"))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr))))
+	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
 	conn := sidecar.dial()
 	head := sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(sidecartest.LongBody)))
 	sidecar.write(conn, head+sidecartest.LongBody[:len(sidecartest.LongBody)/2])
@@ -150,7 +150,7 @@
 // slowly does not use it up.
 func TestSlowBodyKeepsDeadline(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	conn := sidecar.dial()
 	text := strings.Replace(sidecar.rawRequest("pay", "Content-Length: 4"), "15000m", "300m", 1)
 	sidecar.write(conn, text+"ab")
@@ -168,7 +168,7 @@
 // and does not reach a server as a complete request.
 func TestRequestSmugglingBehindLongBody(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyMember("s-1", server.Addr)))
+	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	conn := sidecar.dial()
 	long := strings.Repeat("x", 4*http1.MaxBufferedBody)
 	sidecar.write(conn, sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(long)))+long[10:])
--- a/internal/sidecartest/config.go
+++ b/internal/sidecartest/config.go
@@ -20,9 +20,9 @@
 	return filepath.Join(filepath.Dir(thisFile), "..", "config", "testdata", "config.json")
 }
 
-// Config returns the configuration of ConfigPath with the given servers as the known ones. A shutdown does not wait for
-// new connections, and connections to servers need no rest between two requests.
-func Config(t *testing.T, servers ...membership.Member) *config.Config {
+// Config returns the configuration of ConfigPath with the given endpoints as the known ones. A shutdown does not wait for
+// new connections, and connections to endpoints need no rest between two requests.
+func Config(t *testing.T, endpoints ...membership.Member) *config.Config {
 	t.Helper()
 	text, err := os.ReadFile(ConfigPath())
 	if err != nil {
@@ -32,14 +32,14 @@
 	if err != nil {
 		t.Fatalf("parse the configuration: %v", err)
 	}
-	cfg.KnownEndpoints.Members = servers
+	cfg.KnownEndpoints.Members = endpoints
 	cfg.AcceptDuringShutdown = 0
 	cfg.ConnReuseDelay = 0
 	return cfg
 }
 
-// ReadyMember returns a member that accepts requests at an address.
-func ReadyMember(id, addr string) membership.Member {
+// ReadyEndpoint returns the list entry of an endpoint in phase ready at an address.
+func ReadyEndpoint(id, addr string) membership.Member {
 	return membership.Member{
 		ID:       id,
 		HostPort: addr,
@@ -51,14 +51,14 @@
 	}
 }
 
-// idFactor is a prime that spreads the numbers of members over the digits of their IDs.
+// idFactor is a prime that spreads the numbers of endpoints over the digits of their IDs.
 const idFactor = 2654435761
 
-// NumberedMembers returns an endpoint list of count servers at one address, with IDs of the usual length.
-func NumberedMembers(count int, addr string) membership.EndpointList {
+// NumberedEndpoints returns a list of count endpoints at one address, with IDs of the usual length.
+func NumberedEndpoints(count int, addr string) membership.EndpointList {
 	list := membership.EndpointList{Revision: 42, Complete: true}
 	for i := range count {
-		member := ReadyMember(fmt.Sprintf("s-%08x", i*idFactor), addr)
+		member := ReadyEndpoint(fmt.Sprintf("s-%08x", i*idFactor), addr)
 		member.Cell = i / 2
 		member.Locality = fmt.Sprintf("room-%d", 1+i%2)
 		list.Members = append(list.Members, member)
