--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -216,9 +216,9 @@
 }
 
 // newFailingDiscovery returns a discovery whose outage begins before the sidecar starts, as the case has it, or at any moment
-// of a watch. The first member drains after the outage.
+// of a watch. The first endpoint drains after the outage.
 func newFailingDiscovery(
-	ctx context.Context, c drainCase, mode failureMode, outage time.Duration, first, second membership.Member,
+	ctx context.Context, c drainCase, mode failureMode, outage time.Duration, first, second membership.Endpoint,
 ) *failingDiscovery {
 	draining := first
 	draining.Phase = "draining"
@@ -233,7 +233,7 @@
 		ctx:    ctx,
 		downAt: downAt,
 		upAt:   downAt.Add(outage),
-		before: membership.EndpointList{Revision: 41, Complete: true, Members: []membership.Member{first, second}},
-		after:  membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{draining, second}},
+		before: membership.EndpointList{Revision: 41, Complete: true, Members: []membership.Endpoint{first, second}},
+		after:  membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{draining, second}},
 	}
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestMetricsCountMembers checks that a draining server is counted as a member and as unavailable.
-func TestMetricsCountMembers(t *testing.T) {
+// TestMetricsCountEndpoints checks that a draining server is counted as an endpoint and as unavailable.
+func TestMetricsCountEndpoints(t *testing.T) {
 	draining := sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")
 	draining.Phase = "draining"
 	cfg := sidecartest.Config(t,
@@ -128,7 +128,7 @@
 	sidecar := startSidecar(t, withAdmin(cfg))
 	sidecartest.WaitFor(t, "the endpoint list is applied", func() bool { return sidecar.metric("members") == "3" })
 	if got := sidecar.metric("members_unavailable"); got != "1" {
-		t.Errorf("%s members are unavailable, want 1", got)
+		t.Errorf("%s endpoints are unavailable, want 1", got)
 	}
 }
 
@@ -188,7 +188,7 @@
 		t.Errorf("ready without servers: status %d, want 503", resp.StatusCode)
 	}
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-1", server.Addr)}}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", server.Addr)}}
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	sidecar.waitUntilReady()
 	conn := sidecar.dial()
--- a/internal/sidecar/descriptor_limit_test.go
+++ b/internal/sidecar/descriptor_limit_test.go
@@ -99,7 +99,7 @@
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	draining := sidecartest.ReadyEndpoint("s-9", firstServer.Addr)
 	draining.Phase = "draining"
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{
 		sidecartest.ReadyEndpoint("s-1", firstServer.Addr), draining,
 	}}
 	// It is ready before that with the list of its configuration, whose only server does not exist.
@@ -118,7 +118,7 @@
 		sidecartest.Next(t, sidecar.discovery.Cancelled)
 	}
 	draining.ID = "s-1"
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Complete: true, Members: []membership.Member{
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Complete: true, Members: []membership.Endpoint{
 		draining, sidecartest.ReadyEndpoint("s-2", secondServer.Addr), sidecartest.ReadyEndpoint("s-3", secondServer.Addr),
 	}}
 	sidecartest.WaitFor(t, "the second endpoint list is applied", func() bool { return sidecar.metric("members") == "3" })
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -26,14 +26,14 @@
 		sidecartest.Next(t, sidecar.discovery.Queries)
 		sidecar.discovery.Lists <- list
 	}
-	update(membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-1", firstServer.Addr)}})
+	update(membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", firstServer.Addr)}})
 	sidecartest.Next(t, sidecar.discovery.Queries) // the previous list has reached the event loop
 	if _, body := sidecar.do(sidecar.newRequest("read")); body != "one" {
 		t.Errorf("served by %q", body)
 	}
 	draining := sidecartest.ReadyEndpoint("s-1", firstServer.Addr)
 	draining.Phase = "draining"
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Members: []membership.Member{draining, sidecartest.ReadyEndpoint("s-2", secondServer.Addr)}}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Members: []membership.Endpoint{draining, sidecartest.ReadyEndpoint("s-2", secondServer.Addr)}}
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	for range 3 {
 		if _, body := sidecar.do(sidecar.newRequest("read")); body != "two" {
--- a/internal/sidecar/golden_cases_test.go
+++ b/internal/sidecar/golden_cases_test.go
@@ -250,7 +250,7 @@
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t)))
 	recordAdminCall(t, transcript, sidecar, "GET /api/ready")
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Member{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")}}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")}}
 	sidecar.waitUntilReady()
 	recordAdminCall(t, transcript, sidecar, "GET /api/ready")
 }
--- a/internal/sidecar/server_restart_test.go
+++ b/internal/sidecar/server_restart_test.go
@@ -35,7 +35,7 @@
 	sidecartest.Next(t, started)
 	restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
 	restarted.UpSince = 5
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 50, Members: []membership.Member{restarted}}
+	sidecar.discovery.Lists <- membership.EndpointList{Revision: 50, Members: []membership.Endpoint{restarted}}
 	sidecartest.Next(t, sidecar.discovery.Queries)                                 // the list is queued for the event loop
 	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 { // handled after the list
 		t.Fatalf("second request: status %d, want 200", resp.StatusCode)
@@ -74,7 +74,7 @@
 		}
 		restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
 		restarted.UpSince = 5 // the same in both lists
-		sidecar.discovery.Lists <- membership.EndpointList{Revision: int64(50 + up), Members: []membership.Member{restarted}}
+		sidecar.discovery.Lists <- membership.EndpointList{Revision: int64(50 + up), Members: []membership.Endpoint{restarted}}
 		sidecartest.Next(t, sidecar.discovery.Queries) // the list has reached the event loop
 	}
 }
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -43,7 +43,7 @@
 
 // startProcess runs a sidecar at an address, with its own admin address and the scratch folder that it shares with the
 // processes before and after it, and waits until it is ready.
-func startProcess(t *testing.T, addr, scratch string, servers ...membership.Member) *sidecarProcess {
+func startProcess(t *testing.T, addr, scratch string, servers ...membership.Endpoint) *sidecarProcess {
 	t.Helper()
 	cfg := sidecartest.Config(t, servers...)
 	cfg.Listen = addr
--- a/internal/sidecartest/config.go
+++ b/internal/sidecartest/config.go
@@ -22,7 +22,7 @@
 
 // Config returns the configuration of ConfigPath with the given endpoints as the known ones. A shutdown does not wait for
 // new connections, and connections to endpoints need no rest between two requests.
-func Config(t *testing.T, endpoints ...membership.Member) *config.Config {
+func Config(t *testing.T, endpoints ...membership.Endpoint) *config.Config {
 	t.Helper()
 	text, err := os.ReadFile(ConfigPath())
 	if err != nil {
@@ -39,8 +39,8 @@
 }
 
 // ReadyEndpoint returns the list entry of an endpoint in phase ready at an address.
-func ReadyEndpoint(id, addr string) membership.Member {
-	return membership.Member{
+func ReadyEndpoint(id, addr string) membership.Endpoint {
+	return membership.Endpoint{
 		ID:       id,
 		HostPort: addr,
 		Locality: "room-1",
@@ -58,10 +58,10 @@
 func NumberedEndpoints(count int, addr string) membership.EndpointList {
 	list := membership.EndpointList{Revision: 42, Complete: true}
 	for i := range count {
-		member := ReadyEndpoint(fmt.Sprintf("s-%08x", i*idFactor), addr)
-		member.Cell = i / 2
-		member.Locality = fmt.Sprintf("room-%d", 1+i%2)
-		list.Members = append(list.Members, member)
+		endpoint := ReadyEndpoint(fmt.Sprintf("s-%08x", i*idFactor), addr)
+		endpoint.Cell = i / 2
+		endpoint.Locality = fmt.Sprintf("room-%d", 1+i%2)
+		list.Members = append(list.Members, endpoint)
 	}
 	return list
 }
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -41,7 +41,7 @@
 	hanging        atomic.Bool
 	server         *standin.Server   // of the current incarnation
 	formerAttempts []standin.Attempt // of earlier incarnations
-	listEntry      membership.Member
+	listEntry      membership.Endpoint
 }
 
 // startEndpoint starts an endpoint and its proxy.
@@ -63,8 +63,8 @@
 }
 
 // readyEndpoint returns the list entry of an endpoint that is ready at an address.
-func readyEndpoint(id EndpointID, address string) membership.Member {
-	return membership.Member{
+func readyEndpoint(id EndpointID, address string) membership.Endpoint {
+	return membership.Endpoint{
 		ID: string(id), HostPort: address, Locality: zoneName, Flavor: kindName, Cell: 1, Phase: standin.PhaseReady, Size: 1,
 	}
 }
--- a/internal/soak/rogue_exchange_test.go
+++ b/internal/soak/rogue_exchange_test.go
@@ -32,16 +32,16 @@
 func (s *rogueSidecar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	e := &rogueExchange{sidecar: s, incoming: r, body: body, faulty: s.next.Load()%rogueFaultInterval == 0}
-	member := s.pick()
-	if member == nil {
+	endpoint := s.pick()
+	if endpoint == nil {
 		http.Error(w, "no endpoint", http.StatusServiceUnavailable)
 		return
 	}
 	if e.commits(rogueLate) {
-		e.forwardLate(member)
+		e.forwardLate(endpoint)
 		return
 	}
-	response, err := e.forward(member)
+	response, err := e.forward(endpoint)
 	e.respond(w, response, err)
 }
 
@@ -62,20 +62,20 @@
 }
 
 // forwardLate waits until the client has left, and has the request sent some time after.
-func (e *rogueExchange) forwardLate(member *membership.Member) {
+func (e *rogueExchange) forwardLate(endpoint *membership.Endpoint) {
 	<-e.incoming.Context().Done()
 	request := e.outgoing()
-	time.AfterFunc(rogueLateDelay, func() { roundTrip(context.Background(), member, request) })
+	time.AfterFunc(rogueLateDelay, func() { roundTrip(context.Background(), endpoint, request) })
 }
 
 // forward returns the body of an endpoint's response.
-func (e *rogueExchange) forward(member *membership.Member) ([]byte, error) {
+func (e *rogueExchange) forward(endpoint *membership.Endpoint) ([]byte, error) {
 	if e.commits(rogueDuplicates) {
 		if other := e.sidecar.pick(); other != nil {
 			go roundTrip(context.Background(), other, e.outgoing())
 		}
 	}
-	response, err := roundTrip(e.incoming.Context(), member, e.outgoing())
+	response, err := roundTrip(e.incoming.Context(), endpoint, e.outgoing())
 	if e.commits(rogueRetries) {
 		if other := e.sidecar.pick(); other != nil {
 			response, err = roundTrip(e.incoming.Context(), other, e.outgoing())
@@ -105,8 +105,8 @@
 }
 
 // roundTrip sends a request over a connection of its own.
-func roundTrip(ctx context.Context, member *membership.Member, request *http.Request) ([]byte, error) {
-	conn, err := net.DialTimeout("tcp", member.HostPort, time.Second)
+func roundTrip(ctx context.Context, endpoint *membership.Endpoint, request *http.Request) ([]byte, error) {
+	conn, err := net.DialTimeout("tcp", endpoint.HostPort, time.Second)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/rogue_list_test.go
+++ b/internal/soak/rogue_list_test.go
@@ -44,20 +44,20 @@
 }
 
 // pick returns an endpoint, another one for each call, or nil.
-func (s *rogueSidecar) pick() *membership.Member {
+func (s *rogueSidecar) pick() *membership.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ready []membership.Member
-	var newest *membership.Member
-	for _, member := range s.list.Members {
-		if member.Phase == "ready" || s.fault == rogueAnyEndpoint {
-			ready = append(ready, member)
+	var ready []membership.Endpoint
+	var newest *membership.Endpoint
+	for _, endpoint := range s.list.Members {
+		if endpoint.Phase == "ready" || s.fault == rogueAnyEndpoint {
+			ready = append(ready, endpoint)
 		}
-		if member.UpSince > 0 && (newest == nil || member.UpSince > newest.UpSince) {
-			newest = &member
+		if endpoint.UpSince > 0 && (newest == nil || endpoint.UpSince > newest.UpSince) {
+			newest = &endpoint
 		}
 	}
-	slices.SortFunc(ready, func(a, b membership.Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(ready, func(a, b membership.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	if s.fault == rogueOverloads && newest != nil {
 		return newest
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -19,7 +19,7 @@
 
 	mu            sync.Mutex
 	revision      int64
-	members       map[string]membership.Member
+	endpoints     map[string]membership.Endpoint
 	changed       chan struct{} // closed at the next change of the list or of silent
 	silent        bool
 	delivered     []EndpointChange
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("start discovery: %w", err)
 	}
-	d := &Discovery{listener: listener, revision: 1, members: map[string]membership.Member{}, changed: make(chan struct{})}
+	d := &Discovery{listener: listener, revision: 1, endpoints: map[string]membership.Endpoint{}, changed: make(chan struct{})}
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serveList)}
 	d.running.Go(func() { d.server.Serve(listener) })
 	return d, nil
@@ -49,13 +49,13 @@
 }
 
 // Set adds or changes a list entry. The sidecar counts as notified from now on, or during an outage from its end on.
-func (d *Discovery) Set(member membership.Member) {
+func (d *Discovery) Set(endpoint membership.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
-	d.members[member.ID] = member
+	d.endpoints[endpoint.ID] = endpoint
 	now := time.Now()
-	change := EndpointChange{EndpointID: member.ID, State: member.State(), ReadableAt: now, NotifiedAt: now}
+	change := EndpointChange{EndpointID: endpoint.ID, State: endpoint.State(), ReadableAt: now, NotifiedAt: now}
 	if d.silent {
 		d.undelivered = append(d.undelivered, change)
 	} else {
@@ -114,10 +114,10 @@
 }
 
 func (d *Discovery) listLocked() membership.EndpointList {
-	list := membership.EndpointList{Revision: d.revision, Complete: true, Members: []membership.Member{}}
-	for _, member := range d.members {
-		if member.State() != balance.Gone {
-			list.Members = append(list.Members, member)
+	list := membership.EndpointList{Revision: d.revision, Complete: true, Members: []membership.Endpoint{}}
+	for _, endpoint := range d.endpoints {
+		if endpoint.State() != balance.Gone {
+			list.Members = append(list.Members, endpoint)
 		}
 	}
 	return list
