--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net/http"
@@ -11,55 +10,11 @@
 
 	"cindersaddle/internal/admin"
 	"cindersaddle/internal/exchange"
-	"cindersaddle/internal/membership"
 	"cindersaddle/internal/sidecartest"
 )
 
-// metric reads the value of one metric at the admin address, or "absent" where it is not exported.
-func (sidecar *testSidecar) metric(name string) string {
-	sidecar.t.Helper()
-	resp, text := sidecar.callAdmin("GET", "/api/telemetry")
-	if resp.StatusCode != 200 {
-		sidecar.t.Fatalf("GET /api/telemetry: status %d, want 200", resp.StatusCode)
-	}
-	for line := range strings.Lines(text) {
-		if value, ok := strings.CutPrefix(line, "edge_node_"+name+" "); ok {
-			return strings.TrimSpace(value)
-		}
-	}
-	return "absent"
-}
-
-// resultCounts returns the numbers of completed, rejected and failed requests of a class, in this order.
-func (sidecar *testSidecar) resultCounts(class string) string {
-	all := make([]string, 0, 3)
-	for _, result := range []string{"completed", "rejected", "failed"} {
-		all = append(all, sidecar.metric(fmt.Sprintf("downstream_requests_total{lane=%q,result=%q}", class, result)))
-	}
-	return strings.Join(all, " ")
-}
-
-// callAdmin makes a request to the admin address.
-func (sidecar *testSidecar) callAdmin(method, path string) (*http.Response, string) {
-	sidecar.t.Helper()
-	request, err := http.NewRequest(method, "http://"+sidecar.adminAddr+path, nil)
-	if err != nil {
-		sidecar.t.Fatal(err)
-	}
-	return sidecar.do(request)
-}
-
-// waitUntilReady waits until the readiness endpoint reports 200.
-func (sidecar *testSidecar) waitUntilReady() {
-	sidecar.t.Helper()
-	sidecartest.WaitFor(sidecar.t, "the sidecar is ready", func() bool {
-		resp, _ := sidecar.callAdmin("GET", "/api/ready")
-		return resp.StatusCode == 200
-	})
-}
-
-// TestMetricsCountRequests checks that the counters of results and attempts match what the server received and what
-// the clients were answered, and that a request which is not valid is not counted.
+// TestMetricsCountRequests checks that the counters of results and attempts match the requests that the endpoint received and
+// the responses of the clients, and that a request which is not valid is not counted.
 func TestMetricsCountRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t,
 		sidecartest.Respond(200, "ok"),
@@ -74,11 +29,11 @@
 	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
 		t.Fatalf("read: status %d, want 200", resp.StatusCode)
 	}
-	sidecar.do(sidecar.newRequest("pay")) // it may have run, so that it counts as failed
+	sidecar.do(sidecar.newRequest("pay")) // it may have been executed, so that it counts as failed
 	request := sidecar.newRequest("pay")
 	request.Header.Set(exchange.ExpiryHeader, "300m")
-	if resp, _ := sidecar.do(request); resp.StatusCode != 503 { // it never ran, so that it counts as rejected
-		t.Fatalf("request that never ran: status %d, want 503", resp.StatusCode)
+	if resp, _ := sidecar.do(request); resp.StatusCode != 503 { // it was never executed, so that it counts as rejected
+		t.Fatalf("request that was never executed: status %d, want 503", resp.StatusCode)
 	}
 	bad := sidecar.newRequest("pay")
 	bad.Header.Set("X-Customer", "x")
@@ -99,27 +54,26 @@
 // TestMetricsCountPendingRequests checks that a request is pending until it ends, also when its client disconnects, and
 // that a request whose client disconnected has no result.
 func TestMetricsCountPendingRequests(t *testing.T) {
-	started, release := make(chan bool, 1), make(chan bool)
-	defer close(release)
-	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release))
+	gate := sidecartest.NewGate()
+	defer gate.Open()
+	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("read"))
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	if got := sidecar.metric("pending"); got != "1" {
 		t.Errorf("%s requests are pending, want 1", got)
 	}
 	conn.Close()
-	sidecartest.WaitFor(t, "the request ends", func() bool { return sidecar.metric("pending") == "0" })
+	sidecar.waitForPending(0)
 	if got := sidecar.resultCounts("read"); got != "0 0 0" {
 		t.Errorf("results after the client disconnected: %s, want none", got)
 	}
 }
 
-// TestMetricsCountEndpoints checks that a draining server is counted as an endpoint and as unavailable.
+// TestMetricsCountEndpoints checks that a draining endpoint is counted as an endpoint and as unavailable.
 func TestMetricsCountEndpoints(t *testing.T) {
-	draining := sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")
-	draining.Phase = "draining"
+	draining := sidecartest.DrainingEndpoint("s-2", "127.0.0.1:2")
 	cfg := sidecartest.Config(t,
 		sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"),
 		draining,
@@ -161,8 +115,9 @@
 	}
 }
 
-// TestAdminServesBesideIdleConnections checks that connections without a complete request, more than the admin address
-// allows, do not keep a health check from its response until they time out.
+// TestAdminServesBesideIdleConnections tests the failure in which clients open more connections to the admin address than it
+// allows, and send no complete request. A health check behind them would get its response only when they time out.
+// It must get its response before.
 func TestAdminServesBesideIdleConnections(t *testing.T) {
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"))))
 	sidecar.waitUntilReady()
@@ -179,28 +134,26 @@
 	}
 }
 
-// TestReadiness checks that a process is ready once it knows servers, and not ready during its shutdown.
+// TestReadiness checks that a process is ready once it knows endpoints, and not ready during its shutdown.
 func TestReadiness(t *testing.T) {
-	started, release := make(chan bool, 1), make(chan bool)
-	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release))
+	gate := sidecartest.NewGate()
+	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t)))
 	if resp, _ := sidecar.callAdmin("GET", "/api/ready"); resp.StatusCode != 503 {
-		t.Errorf("ready without servers: status %d, want 503", resp.StatusCode)
+		t.Errorf("ready without endpoints: status %d, want 503", resp.StatusCode)
 	}
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", server.Addr)}}
+	sidecar.discovery.Lists <- sidecartest.CompleteList(42, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	sidecar.waitUntilReady()
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("read"))
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	sidecar.shutdown()
 	sidecartest.WaitFor(t, "the sidecar is not ready", func() bool {
 		resp, _ := sidecar.callAdmin("GET", "/api/ready")
 		return resp.StatusCode == 503
 	})
-	close(release)
-	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("pending request: response %v, error %v", resp, err)
-	}
+	gate.Open()
+	sidecar.expectResponse(conn, "pending request", http.StatusOK)
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"net"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -18,12 +17,13 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestHalfClosedClientGetsNoResponse checks that a client which closes its sending side counts as disconnected and gets no
-// response. net/http would end the handler with an empty 200, although no server sent one.
+// TestHalfClosedClientGetsNoResponse tests the failure in which a client closes the sending side of its connection while its
+// request is in flight. It counts as disconnected, and its request is cancelled. If its handler then simply returned,
+// net/http would write an empty response with status 200 that no endpoint has sent. The client must get no response.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
-	started, release := make(chan bool, 1), make(chan bool)
-	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release))
-	defer close(release)
+	gate := sidecartest.NewGate()
+	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
+	defer gate.Open()
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	conn, err := net.Dial("tcp", sidecar.addr)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if err := sidecar.newRequest("pay").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	conn.(*net.TCPConn).CloseWrite()
 	conn.SetReadDeadline(time.Now().Add(sidecartest.Timeout))
 	if got, _ := io.ReadAll(conn); len(got) != 0 {
@@ -41,8 +41,9 @@
 	}
 }
 
-// TestClientDisconnectCancelsAttempt checks that a disconnect cancels the attempt, whatever the client sent after its
-// request, and that the request is not retried.
+// TestClientDisconnectCancelsAttempt tests the failure in which a client disconnects while an attempt is in flight. If bytes that
+// it sent after its request are still unread, they hide the end of the connection, and the endpoint would work for nobody. The
+// attempt must be cancelled in any case, and the reset that the endpoint then sends must not lead to a retry.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	for method, disconnect := range sidecartest.DisconnectMethods {
 		for trailing, text := range map[string]string{"nothing": "", "a byte": "x", "much": strings.Repeat("x", 2*http1.MaxBufferedBody)} {
@@ -72,13 +73,14 @@
 	}
 }
 
-// TestNoAttemptAfterClientDisconnect checks that no attempt begins for a client that disconnected, in any way and at any
-// stage of its request, even though no read reports the disconnect: the reading goroutine may not have run yet.
+// TestNoAttemptAfterClientDisconnect tests the failure in which a client disconnects before an attempt of its request begins, and
+// no read has reported that yet, as the goroutine that reads has not run. The endpoint would execute a request whose client has
+// left. No attempt may begin, in whichever way the client disconnects and at whichever stage its request is.
 func TestNoAttemptAfterClientDisconnect(t *testing.T) {
 	for method, disconnect := range sidecartest.DisconnectMethods {
 		for stage, check := range map[string]func(*testing.T, func(net.Conn)){
-			"in the inbox":       checkDisconnectInEventQueue,
-			"in the module":      checkDisconnectWithoutServers,
+			"in the event queue": checkDisconnectInEventQueue,
+			"without endpoints":  checkDisconnectWithoutEndpoints,
 			"between attempts":   checkDisconnectBetweenAttempts,
 			"behind a full pool": checkDisconnectWithFullPool,
 		} {
@@ -107,14 +109,14 @@
 	}
 }
 
-// checkDisconnectWithoutServers disconnects while the request waits for a server to be known.
-func checkDisconnectWithoutServers(t *testing.T, disconnect func(net.Conn)) {
+// checkDisconnectWithoutEndpoints disconnects while the request waits for an endpoint to be known.
+func checkDisconnectWithoutEndpoints(t *testing.T, disconnect func(net.Conn)) {
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
 	sidecar, _, conn := startWithBlockedClient(t, sidecartest.Config(t), slog.DiscardHandler)
 	sidecar.write(conn, sidecar.rawRequest("read"))
-	sidecartest.WaitFor(t, "the request is pending", func() bool { return sidecar.metric("pending") == "1" })
+	sidecar.waitForPending(1)
 	disconnect(conn)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: endpoints}
+	sidecar.discovery.Lists <- sidecartest.CompleteList(42, endpoints...)
 	if got := requestCountWhenIdle(sidecar, requestCount); got != 0 {
 		t.Errorf("the server received %d requests, want 0", got)
 	}
@@ -122,105 +124,49 @@
 
 // checkDisconnectBetweenAttempts disconnects during a first attempt that fails and would be retried.
 func checkDisconnectBetweenAttempts(t *testing.T, disconnect func(net.Conn)) {
-	started, release := make(chan bool, 1), make(chan bool)
-	endpoints, requestCount := startServersWithSharedSteps(t, 2, func(conn net.Conn) bool {
-		started <- true
-		<-release
-		return sidecartest.Respond(500, "")(conn)
-	}, sidecartest.Respond(200, "served"))
+	gate := sidecartest.NewGate()
+	endpoints, requestCount := startServersWithSharedSteps(t, 2, gate.Hold(sidecartest.Respond(500, "")), sidecartest.Respond(200, "served"))
 	sidecar, _, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), slog.DiscardHandler)
 	sidecar.write(conn, sidecar.rawRequest("read"))
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	disconnect(conn)
-	close(release)
+	gate.Open()
 	if got := requestCountWhenIdle(sidecar, requestCount); got != 1 {
 		t.Errorf("the servers received %d requests, want 1", got)
 	}
 }
 
-// checkDisconnectWithFullPool disconnects while the request waits for one of the connections to servers.
+// checkDisconnectWithFullPool disconnects while the request waits for one of the connections to endpoints.
 func checkDisconnectWithFullPool(t *testing.T, disconnect func(net.Conn)) {
-	started, release := make(chan bool, 10), make(chan bool)
-	endpoints, requestCount := startServersWithSharedSteps(t, 1, func(conn net.Conn) bool {
-		started <- true
-		<-release
-		return sidecartest.Respond(200, "served")(conn)
-	})
+	gate := sidecartest.NewGate()
+	endpoints, requestCount := startServersWithSharedSteps(t, 1, gate.Hold(sidecartest.Respond(200, "served")))
 	cfg := sidecartest.Config(t, endpoints...)
-	cfg.Limits.Sockets = config.ReservedSockets + admin.MaxConns + 9 // four to servers, five to clients
+	cfg.Limits.Sockets = config.ReservedSockets + admin.MaxConns + 9 // four to endpoints, five to clients
 	sidecar, blocker, conn := startWithBlockedClient(t, cfg, slog.DiscardHandler)
 	for range 4 {
 		sidecar.write(sidecar.dial(), sidecar.rawRequest("read"))
-		sidecartest.Next(t, started)
+		gate.AwaitRequest(t)
 	}
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	<-blocker.blocked
-	sidecartest.WaitFor(t, "all requests are pending", func() bool { return sidecar.metric("pending") == "5" })
+	sidecar.waitForPending(5)
 	disconnect(conn)
-	close(release)
-	sidecartest.WaitFor(t, "the other requests are served", func() bool { return sidecar.metric("pending") == "1" })
-	endpoints[0].ID = "s-another" // a server that the request had no attempt at
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Members: endpoints}
+	gate.Open()
+	sidecar.waitForPending(1)     // the others are served
+	endpoints[0].ID = "s-another" // an endpoint at which the request had no attempt
+	sidecar.discovery.Lists <- sidecartest.ListUpdate(42, endpoints...)
 	if got := requestCountWhenIdle(sidecar, requestCount); got != 4 {
 		t.Errorf("the server received %d requests, want 4", got)
 	}
 }
 
-// startWithBlockedClient starts a sidecar with an admin address, and a client connection from which it reads only once.
-func startWithBlockedClient(t *testing.T, cfg *config.Config, log slog.Handler) (*testSidecar, *readBlocker, net.Conn) {
-	t.Helper()
-	blocker := newReadBlocker()
-	cfg.BeforeRead = blocker.beforeRead
-	sidecar := startSidecarWithLog(t, withAdmin(cfg), log)
-	t.Cleanup(blocker.unblock)
-	return sidecar, blocker, blocker.dialBlocked(sidecar)
-}
-
 // requestCountWhenIdle waits until no request is pending and returns the number of requests that the servers received.
 func requestCountWhenIdle(sidecar *testSidecar, requestCount *atomic.Int32) int32 {
 	sidecar.t.Helper()
-	sidecartest.WaitFor(sidecar.t, "nothing is pending", func() bool { return sidecar.metric("pending") == "0" })
+	sidecar.waitForPending(0)
 	return requestCount.Load()
 }
 
-// readBlocker blocks the reads from one client after the first one, so that no read reports its disconnect.
-type readBlocker struct {
-	mu         sync.Mutex
-	clientAddr string
-	reads      map[string]int
-	blocked    chan bool // closed when the read after the first has begun
-	unblocked  chan bool // closed when reading may go on
-	unblock    func()    // closes unblocked, once
-}
-
-// newReadBlocker returns a blocker for a client that is dialled later.
-func newReadBlocker() *readBlocker {
-	blocker := &readBlocker{reads: map[string]int{}, blocked: make(chan bool), unblocked: make(chan bool)}
-	blocker.unblock = sync.OnceFunc(func() { close(blocker.unblocked) })
-	return blocker
-}
-
-// beforeRead is called ahead of each read from a client.
-func (blocker *readBlocker) beforeRead(from net.Addr) {
-	blocker.mu.Lock()
-	blocker.reads[from.String()]++
-	second := from.String() == blocker.clientAddr && blocker.reads[blocker.clientAddr] == 2
-	blocker.mu.Unlock()
-	if second {
-		close(blocker.blocked)
-		<-blocker.unblocked
-	}
-}
-
-// dialBlocked connects the client whose reads are blocked.
-func (blocker *readBlocker) dialBlocked(sidecar *testSidecar) net.Conn {
-	conn := sidecar.dial()
-	blocker.mu.Lock()
-	defer blocker.mu.Unlock()
-	blocker.clientAddr = conn.LocalAddr().String()
-	return conn
-}
-
 // startServersWithSharedSteps starts servers that share one list of steps: each request takes the next one, whichever
 // server receives it. It returns the servers as endpoints, and the number of requests received so far.
 func startServersWithSharedSteps(t *testing.T, servers int, steps ...sidecartest.Step) (endpoints []membership.Endpoint, requestCount *atomic.Int32) {
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bufio"
 	"io"
 	"net/http"
 	"strings"
@@ -12,64 +11,64 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestIdleClientsAreClosedFirst checks that at the connection limit new clients are served in place of idle ones, and
-// that a connection with a pending request is never closed for them.
+const (
+	// socketsForFewClients is a limit of which 20 sockets are for clients.
+	socketsForFewClients = 64
+	// socketsForManyClients is a limit of which 100 sockets are for clients, and 25 of those for idle connections.
+	socketsForManyClients = 224
+)
+
+// TestIdleClientsAreClosedFirst tests the failure in which idle connections occupy all sockets for clients. New clients would get
+// no connection. They must be served in place of the idle ones, and a connection with a pending request must not be closed for
+// them.
 func TestIdleClientsAreClosedFirst(t *testing.T) {
-	started, release := make(chan bool, 1), make(chan bool)
-	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release), sidecartest.Respond(200, "served"))
+	gate := sidecartest.NewGate()
+	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
-	cfg.Limits.Sockets = 64 // 20 of them for clients
+	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
 	pending := sidecar.dial()
 	sidecar.write(pending, sidecar.rawRequest("read"))
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	for range 100 {
 		sidecar.dial()
 		idle := sidecar.dial()
 		sidecar.write(idle, sidecar.rawRequest("read"))
-		resp, err := http.ReadResponse(bufio.NewReader(idle), nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("client after many idle ones: response %v, error %v", resp, err)
-		}
-		io.Copy(io.Discard, resp.Body)
-	}
-	close(release)
-	if resp, err := http.ReadResponse(bufio.NewReader(pending), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("pending request: response %v, error %v", resp, err)
+		io.Copy(io.Discard, sidecar.expectResponse(idle, "client after many idle ones", http.StatusOK).Body)
 	}
+	gate.Open()
+	sidecar.expectResponse(pending, "pending request", http.StatusOK)
 }
 
-// TestIdleConnectionLimit checks that only some connections are kept alive after a response, and the others announce
-// their close with it: idle connections use up the descriptors of the application before those of the sidecar.
+// TestIdleConnectionLimit tests the failure in which an application keeps so many connections open that it has no descriptors
+// left, before the sidecar reaches its own limit. Only some connections may persist after a response; with the others, the response
+// must announce the close.
 func TestIdleConnectionLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
-	cfg.Limits.Sockets = 224 // 100 of them for clients, 25 of those kept alive
+	cfg.Limits.Sockets = socketsForManyClients
 	sidecar := startSidecar(t, cfg)
-	keptAlive := 0
+	persistent := 0
 	for range 60 {
 		conn := sidecar.dial()
 		sidecar.write(conn, sidecar.rawRequest("read"))
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("response %v, error %v", resp, err)
-		}
+		resp := sidecar.expectResponse(conn, "request", http.StatusOK)
 		io.Copy(io.Discard, resp.Body)
 		if !resp.Close {
-			keptAlive++
+			persistent++
 		}
 	}
-	if keptAlive < 20 || keptAlive > 30 {
-		t.Errorf("%d of 60 connections are kept alive, want about 25", keptAlive)
+	if persistent < 20 || persistent > 30 {
+		t.Errorf("%d of 60 connections persist, want about 25", persistent)
 	}
 }
 
-// TestSlowestRequestIsClosedAtLimit checks that clients with incomplete requests cannot occupy all connections: at the
-// limit the request that progresses slowest is closed.
+// TestSlowestRequestIsClosedAtLimit tests the failure in which clients with incomplete requests occupy all sockets for clients.
+// Nobody else would be served until they time out. At the limit, the request that progresses slowest must be closed.
 func TestSlowestRequestIsClosedAtLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
-	cfg.Limits.Sockets = 64 // 20 of them for clients
+	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
 	for i := range 60 {
 		partial := sidecar.rawRequest("pay", "Content-Length: 100") + "half"
@@ -81,12 +80,12 @@
 	}
 }
 
-// TestActiveClientOutlivesStalledOnes checks that a client which goes on writing slowly is served, while stalled ones
-// are closed before it, no matter how many there are and how long the slow one takes.
+// TestActiveClientOutlivesStalledOnes tests the failure in which a slow client is closed in place of stalled ones, as it has been
+// connected for longer. A client that goes on writing must be served, however many stalled ones there are and however long it takes.
 func TestActiveClientOutlivesStalledOnes(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
-	cfg.Limits.Sockets = 64 // 20 of them for clients
+	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
 	slow, text := sidecar.dial(), sidecar.rawRequest("pay", "Content-Length: 2")+"ab"
 	for _, b := range []byte(text) {
@@ -98,13 +97,11 @@
 		}
 		sidecar.client.CloseIdleConnections()
 	}
-	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("slow client: response %v, error %v", resp, err)
-	}
+	sidecar.expectResponse(slow, "slow client", http.StatusOK)
 }
 
-// TestStalledClientTimeout checks that a client which sends nothing, or stops within its request, gets an error or a
-// close in time, and that no part of its request reaches a server.
+// TestStalledClientTimeout tests the failure in which a client sends nothing, or stops within its request. Its connection would
+// stay open for ever. It must get an error or a close in time, and no part of its request may reach an endpoint.
 func TestStalledClientTimeout(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
@@ -129,7 +126,7 @@
 	}
 	t.Cleanup(func() {
 		if got := sidecartest.RequestsTo(server); len(got) != 0 {
-			t.Errorf("%d incomplete requests reached the server", len(got))
+			t.Errorf("%d incomplete requests reached the endpoint", len(got))
 		}
 	})
 }
--- a/internal/sidecar/descriptor_limit_test.go
+++ b/internal/sidecar/descriptor_limit_test.go
@@ -15,16 +15,18 @@
 	"time"
 
 	"cindersaddle/internal/config"
-	"cindersaddle/internal/membership"
 	"cindersaddle/internal/sidecartest"
 )
 
 // descriptorLimit is the number of descriptors of the process under test.
 const descriptorLimit = 96
 
+// runSidecarVariable is the environment variable that makes the test program run a sidecar.
+const runSidecarVariable = "TEST_SIDECAR"
+
 // TestMain runs a sidecar in place of the tests if the environment says so: a descriptor limit applies to a process.
 func TestMain(m *testing.M) {
-	if os.Getenv("TEST_SIDECAR") == "" {
+	if os.Getenv(runSidecarVariable) == "" {
 		os.Exit(m.Run())
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -60,15 +62,11 @@
 // startSidecarWithDescriptorLimit starts a sidecar in its own process with a low descriptor limit.
 func startSidecarWithDescriptorLimit(t *testing.T) *testSidecar {
 	t.Helper()
-	sidecar := &testSidecar{
-		t:         t,
-		discovery: sidecartest.NewDiscoveryServer(t),
-		addr:      unusedAddr(t),
-		adminAddr: unusedAddr(t),
-		client:    &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: sidecartest.Timeout},
-	}
+	sidecar := newTestSidecar(t)
+	sidecar.addr, sidecar.adminAddr = unusedAddr(t), unusedAddr(t)
+	sidecar.client.Transport = &http.Transport{DisableKeepAlives: true}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "TEST_SIDECAR=1", "NODE_CONFIG="+sidecartest.ConfigPath(), "NODE_LISTEN="+sidecar.addr,
+	cmd.Env = append(os.Environ(), runSidecarVariable+"=1", "NODE_CONFIG="+sidecartest.ConfigPath(), "NODE_LISTEN="+sidecar.addr,
 		"NODE_MGMT="+sidecar.adminAddr, "NODE_DISCOVERY="+sidecar.discovery.Addr, "TMPDIR="+t.TempDir())
 	logOutput, err := cmd.StderrPipe()
 	if err != nil {
@@ -90,23 +88,23 @@
 	return sidecar
 }
 
-// TestDiscoveryReachableAtDescriptorLimit checks that a sidecar whose descriptors are used up by idle clients, which go on
-// connecting, still reaches discovery after an outage: it applies a drain, serves requests and answers health checks.
+// TestDiscoveryReachableAtDescriptorLimit tests the failure in which idle clients, which go on connecting, use up the descriptors
+// of a sidecar while discovery has an outage. If the sidecar could not connect to discovery after it, it would go on to send to
+// endpoints that drain. It must apply the drain, serve requests and respond to health checks.
 func TestDiscoveryReachableAtDescriptorLimit(t *testing.T) {
 	firstServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "one"))
 	secondServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "two"))
 	sidecar := startSidecarWithDescriptorLimit(t)
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	draining := sidecartest.ReadyEndpoint("s-9", firstServer.Addr)
-	draining.Phase = "draining"
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{
+	draining := sidecartest.DrainingEndpoint("s-9", firstServer.Addr)
+	sidecar.discovery.Lists <- sidecartest.CompleteList(42,
 		sidecartest.ReadyEndpoint("s-1", firstServer.Addr), draining,
-	}}
-	// It is ready before that with the list of its configuration, whose only server does not exist.
+	)
+	// It is ready before that with the list of its configuration, whose only endpoint does not exist.
 	sidecartest.WaitFor(t, "the first endpoint list is applied", func() bool { return sidecar.metric("members") == "2" })
 	sidecar.waitUntilReady()
 	if _, body := sidecar.do(sidecar.newRequest("read")); body != "one" {
-		t.Fatalf("response from server %q, want %q", body, "one")
+		t.Fatalf("response from endpoint %q, want %q", body, "one")
 	}
 	stop, done := make(chan bool), make(chan bool)
 	go func() {
@@ -118,20 +116,20 @@
 		sidecartest.Next(t, sidecar.discovery.Cancelled)
 	}
 	draining.ID = "s-1"
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 43, Complete: true, Members: []membership.Endpoint{
+	sidecar.discovery.Lists <- sidecartest.CompleteList(43,
 		draining, sidecartest.ReadyEndpoint("s-2", secondServer.Addr), sidecartest.ReadyEndpoint("s-3", secondServer.Addr),
-	}}
+	)
 	sidecartest.WaitFor(t, "the second endpoint list is applied", func() bool { return sidecar.metric("members") == "3" })
 	for range 5 {
 		if resp, body := sidecar.do(sidecar.newRequest("read")); body != "two" {
-			t.Errorf("status %d, body %q, want the response of server two", resp.StatusCode, body)
+			t.Errorf("status %d, body %q, want the response of endpoint two", resp.StatusCode, body)
 		}
 	}
 	if resp, _ := sidecar.callAdmin("GET", "/api/ready"); resp.StatusCode != 200 {
 		t.Errorf("GET /api/ready: status %d, want 200", resp.StatusCode)
 	}
 	if got := len(sidecartest.RequestsTo(firstServer)); got != 1 {
-		t.Errorf("the draining server received %d requests, want 1", got)
+		t.Errorf("the draining endpoint received %d requests, want 1", got)
 	}
 }
 
--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
@@ -68,7 +67,7 @@
 			if err != nil || string(got)+string(rest) != sidecartest.LongBody {
 				t.Errorf("second half of the body: %d bytes, error %v", len(rest), err)
 			}
-			sidecartest.WaitFor(t, "the request has ended", func() bool { return sidecar.metric("pending") == "0" })
+			sidecar.waitForPending(0)
 			if got := sidecar.resultCounts("read"); got != "1 0 0" {
 				t.Errorf("completed, rejected and failed requests are %s, want 1 0 0", got)
 			}
@@ -76,8 +75,9 @@
 	}
 }
 
-// TestTruncatedResponseClosesConnection checks that a long response which ends early is not completed towards the client
-// and not requested again.
+// TestTruncatedResponseClosesConnection tests the failure in which an endpoint ends a long response early, of which the client
+// has a part. If the sidecar ended its own message in order, the client would take the part for the whole. The client must see a
+// broken connection, and the request must not be retried.
 func TestTruncatedResponseClosesConnection(t *testing.T) {
 	for name, test := range map[string]struct{ head, version string }{
 		"announced":        {fmt.Sprintf("Content-Length: %d\r\n\r\n", len(sidecartest.LongBody)), "HTTP/1.1"},
@@ -91,11 +91,7 @@
 			sidecar := startSidecar(t, withAdmin(cfg))
 			client := sidecar.dial()
 			sidecar.write(client, strings.Replace(sidecar.rawRequest("read"), "HTTP/1.1", test.version, 1))
-			reader := bufio.NewReader(client)
-			resp, err := http.ReadResponse(reader, nil)
-			if err != nil || resp.StatusCode != 200 {
-				t.Fatalf("response %v, error %v", resp, err)
-			}
+			resp := sidecar.expectResponse(client, "request with a truncated response", http.StatusOK)
 			if _, err := io.ReadFull(resp.Body, make([]byte, len(sidecartest.LongBody)/2)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/server_restart_test.go
+++ b/internal/sidecar/endpoint_restart_test.go
@@ -6,14 +6,14 @@
 	"sync"
 	"testing"
 
-	"cindersaddle/internal/membership"
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestServerRestartDiscardsConnectionInUse checks that a connection which is in use when discovery reports a restart of
-// its server is not used for another request: it belongs to the previous process.
-func TestServerRestartDiscardsConnectionInUse(t *testing.T) {
-	started, release := make(chan bool, 1), make(chan bool)
+// TestEndpointRestartDiscardsConnectionInUse tests the failure in which an endpoint restarts while one of its connections carries a
+// request. The connection belongs to the previous incarnation, and may end in a reset with the next request. When discovery has
+// reported the restart, the connection must not carry another one.
+func TestEndpointRestartDiscardsConnectionInUse(t *testing.T) {
+	gate := sidecartest.NewGate()
 	var mu sync.Mutex
 	var conns []net.Conn
 	recordConn := func(next sidecartest.Step) sidecartest.Step {
@@ -24,7 +24,7 @@
 			return next(conn)
 		}
 	}
-	server := sidecartest.NewScriptedServer(t, recordConn(sidecartest.RespondAfter(started, release)), recordConn(sidecartest.Respond(200, "served")))
+	server := sidecartest.NewScriptedServer(t, recordConn(gate.Hold(sidecartest.Respond(200, "held"))), recordConn(sidecartest.Respond(200, "served")))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	first := make(chan *http.Response, 1)
@@ -32,15 +32,15 @@
 		resp, _ := sidecar.do(sidecar.newRequest("read"))
 		first <- resp
 	}()
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
 	restarted.UpSince = 5
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 50, Members: []membership.Endpoint{restarted}}
+	sidecar.discovery.Lists <- sidecartest.ListUpdate(50, restarted)
 	sidecartest.Next(t, sidecar.discovery.Queries)                                 // the list is queued for the event loop
 	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 { // handled after the list
 		t.Fatalf("second request: status %d, want 200", resp.StatusCode)
 	}
-	close(release)
+	gate.Open()
 	if resp := sidecartest.Next(t, first); resp.StatusCode != 200 {
 		t.Fatalf("first request: status %d, want 200", resp.StatusCode)
 	}
@@ -58,10 +58,10 @@
 	}
 }
 
-// TestServerRestartDiscardsIdleConnections checks that idle connections are not used after discovery reports a restart of
-// their server, and that they are kept where a later list repeats the same start time. The connections of a machine that
-// vanished look open: a request written to one is reset, and may have run.
-func TestServerRestartDiscardsIdleConnections(t *testing.T) {
+// TestEndpointRestartDiscardsIdleConnections tests the failure in which an endpoint's machine vanishes and its next incarnation
+// starts at the same address. The idle connections look open, but a request written to one is reset, and may have been executed.
+// When discovery has reported the restart, no request may use them. A later list with the same start time must close none.
+func TestEndpointRestartDiscardsIdleConnections(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	sidecartest.Next(t, sidecar.discovery.Queries)
@@ -74,7 +74,7 @@
 		}
 		restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
 		restarted.UpSince = 5 // the same in both lists
-		sidecar.discovery.Lists <- membership.EndpointList{Revision: int64(50 + up), Members: []membership.Endpoint{restarted}}
+		sidecar.discovery.Lists <- sidecartest.ListUpdate(int64(50+up), restarted)
 		sidecartest.Next(t, sidecar.discovery.Queries) // the list has reached the event loop
 	}
 }
--- a/internal/sidecar/golden_cases_test.go
+++ b/internal/sidecar/golden_cases_test.go
@@ -10,7 +10,6 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/config"
-	"cindersaddle/internal/membership"
 	"cindersaddle/internal/sidecartest"
 )
 
@@ -38,8 +37,8 @@
 	{"to a server: probe of silent servers where there are no reports", recordHealthCheck},
 	{"to servers: a retry after 503 with X-Never-Ran", recordRetry},
 
-	{"to discovery: asked", recordDiscoveryCalls(true)},
-	{"to discovery: pushed by an agent", recordDiscoveryCalls(false)},
+	{"to discovery: asked", recordDiscoveryCalls(polledDiscovery)},
+	{"to discovery: pushed by an agent", recordDiscoveryCalls(watchedDiscovery)},
 
 	{"to a client: served with a length and headers", recordExchange(fixedRequest("read", "b01"), respondRaw(okStatusLine+
 		"Content-Length: 5\r\nContent-Type: application/json\r\nx-oDd: 1\r\nX-Twice: 1\r\nX-Twice: 2\r\nDate: Thu, 01 Jan 1970 00:00:00 GMT\r\n"+
@@ -55,7 +54,7 @@
 	{"to a client: two requests on one connection", recordConnectionReuse},
 	{"to a client: HTTP/1.0", recordExchange(strings.Replace(fixedRequest("read", "b05"), "HTTP/1.1", "HTTP/1.0", 1), sidecartest.Respond(200, "plate 7"))},
 	{"to a client: refused", recordRejection},
-	{"to a client: refused without time left", recordResponseWithoutServers(strings.Replace(fixedRequest("pay", "b06", "Content-Length: 0"), "15000m", "0m", 1))},
+	{"to a client: refused without time left", recordResponseWithoutEndpoints(strings.Replace(fixedRequest("pay", "b06", "Content-Length: 0"), "15000m", "0m", 1))},
 	{"to a client: failed", recordExchange(fixedRequest("pay", "b07", "Content-Length: 0"), sidecartest.Respond(500, "secret"))},
 	{"to a client: bad request without X-Trace-Id", recordRejectedRequest(strings.Replace(fixedRequest("read", "x"), "X-Trace-Id: x\r\n", "", 1))},
 	{"to a client: bad request of an unknown class", recordRejectedRequest(strings.Replace(fixedRequest("read", "b08"), "X-Qos: read", "X-Qos: other", 1))},
@@ -72,14 +71,14 @@
 	{"to a client: an X-Trace-Id that is open", recordDuplicateTraceID},
 	{"to a client: /up", recordUp},
 	{"to a client: /up by POST", recordRejectedRequest("POST /up HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 0\r\n\r\n")},
-	{"to a client: /up without servers", recordUpWithoutServers},
+	{"to a client: /up without servers", recordUpWithoutEndpoints},
 
 	{"second address: /api/ready before and after the list", recordReadiness},
 	{"second address: /api/telemetry", recordMetrics},
 	{"second address: wrong calls", recordBadAdminCalls},
 }
 
-// recordPolledLoadReport records the poll of a load report that precedes a request where servers report their load only
+// recordPolledLoadReport records the poll of a load report that precedes a request where endpoints report their load only
 // on request.
 func recordPolledLoadReport(t *testing.T, transcript *goldenTranscript) {
 	server := newRecordingServers(sidecartest.Respond(200, "TEXT busy=0.1, rate=3"), sidecartest.Respond(200, "plate 7"))
@@ -92,7 +91,7 @@
 	transcript.addMessage("the client reads", response)
 }
 
-// recordHealthCheck records the health check that servers get after both left requests without a response. The number of
+// recordHealthCheck records the health check that endpoints get after both left requests without a response. The number of
 // requests before it depends on the time.
 func recordHealthCheck(t *testing.T, transcript *goldenTranscript) {
 	servers := newRecordingServers()
@@ -114,7 +113,7 @@
 	}
 }
 
-// recordRetry records a request that one server rejects and the other one serves.
+// recordRetry records a request that one endpoint rejects and the other one serves.
 func recordRetry(t *testing.T, transcript *goldenTranscript) {
 	servers := newRecordingServers(sidecartest.Respond(503, "", neverRanHeader), sidecartest.Respond(200, "done"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", servers.startServer(t)), sidecartest.ReadyEndpoint("s-2", servers.startServer(t))))
@@ -124,19 +123,27 @@
 	transcript.addMessage("the second server reads", second.text)
 	transcript.addMessage("the client reads", response)
 	if first.server == second.server {
-		t.Error("one server received both attempts")
+		t.Error("one endpoint received both attempts")
 	}
 }
 
+// discoveryMode is how a sidecar follows the endpoint list.
+type discoveryMode int
+
+const (
+	polledDiscovery discoveryMode = iota
+	watchedDiscovery
+)
+
 // recordDiscoveryCalls records the request for the complete list, the watch, and the watch after an update.
-func recordDiscoveryCalls(polled bool) func(*testing.T, *goldenTranscript) {
+func recordDiscoveryCalls(mode discoveryMode) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		respond := func(revision int, complete bool) sidecartest.Step {
 			return sidecartest.Respond(200, fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[]}`, revision, complete))
 		}
 		discovery := newRecordingServers(respond(42, true), respond(43, false))
 		cfg := sidecartest.Config(t)
-		cfg.Discovery, cfg.Balance.PolledDiscovery, cfg.KnownEndpoints.Complete = discovery.startServer(t), polled, false
+		cfg.Discovery, cfg.Balance.PolledDiscovery, cfg.KnownEndpoints.Complete = discovery.startServer(t), mode == polledDiscovery, false
 		cfg.Balance.DrainGrace = 1000 // the time after which an agent is polled again
 		startSidecarWithConfiguredDiscovery(t, cfg)
 		for _, title := range []string{"the call for the whole list", "the watch", "the watch after revision 43"} {
@@ -208,13 +215,13 @@
 
 // recordDuplicateTraceID records the responses to two requests with one trace ID at the same time.
 func recordDuplicateTraceID(t *testing.T, transcript *goldenTranscript) {
-	started, release := make(chan bool, 1), make(chan bool)
-	sidecar, _ := startGoldenSidecar(t, sidecartest.RespondAfter(started, release))
+	gate := sidecartest.NewGate()
+	sidecar, _ := startGoldenSidecar(t, gate.Hold(sidecartest.Respond(200, "held")))
 	first := sidecar.dial()
 	sidecar.write(first, fixedRequest("read", "b23"))
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	transcript.addMessage("the second client reads", exchangeRaw(t, sidecar.dial(), fixedRequest("read", "b23")))
-	close(release)
+	gate.Open()
 	transcript.addMessage("the first client reads", readResponse(t, first))
 }
 
@@ -233,8 +240,8 @@
 	transcript.addMessage("the client reads", response)
 }
 
-// recordUpWithoutServers records the response to a health check where no server is known.
-func recordUpWithoutServers(t *testing.T, transcript *goldenTranscript) {
+// recordUpWithoutEndpoints records the response to a health check where no endpoint is known.
+func recordUpWithoutEndpoints(t *testing.T, transcript *goldenTranscript) {
 	sidecar := startSidecar(t, sidecartest.Config(t))
 	transcript.addMessage("the client reads", exchangeRaw(t, sidecar.dial(), upRequest))
 }
@@ -250,7 +257,7 @@
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t)))
 	recordAdminCall(t, transcript, sidecar, "GET /api/ready")
 	sidecartest.Next(t, sidecar.discovery.Queries)
-	sidecar.discovery.Lists <- membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")}}
+	sidecar.discovery.Lists <- sidecartest.CompleteList(42, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9"))
 	sidecar.waitUntilReady()
 	recordAdminCall(t, transcript, sidecar, "GET /api/ready")
 }
--- a/internal/sidecar/golden_exchange_test.go
+++ b/internal/sidecar/golden_exchange_test.go
@@ -81,20 +81,20 @@
 	}
 }
 
-// recordRejectedRequest records the response to a request that must not reach a server.
+// recordRejectedRequest records the response to a request that must not reach an endpoint.
 func recordRejectedRequest(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t)
 		transcript.addMessage("the client reads", exchangeRaw(t, sidecar.dial(), request))
 		if got := len(server.requests); got != 0 {
-			t.Errorf("%d requests reached the server", got)
+			t.Errorf("%d requests reached the endpoint", got)
 		}
 	}
 }
 
-// recordResponseWithoutServers records the response of a sidecar that knows no servers. With a server, an attempt may
-// begin in the moment that a request without time left has.
-func recordResponseWithoutServers(request string) func(*testing.T, *goldenTranscript) {
+// recordResponseWithoutEndpoints records the response of a sidecar that knows no endpoints. With one, an attempt might begin in
+// the moment that a request without remaining time has.
+func recordResponseWithoutEndpoints(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar := startSidecar(t, sidecartest.Config(t))
 		transcript.addMessage("the client reads", exchangeRaw(t, sidecar.dial(), request))
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -30,6 +31,16 @@
 	reloads chan os.Signal // each signal reloads the configuration, as SIGHUP does
 }
 
+// newTestSidecar returns a sidecar that is not started, with its discovery service and its client.
+func newTestSidecar(t *testing.T) *testSidecar {
+	t.Helper()
+	return &testSidecar{
+		t:         t,
+		discovery: sidecartest.NewDiscoveryServer(t),
+		client:    &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Timeout},
+	}
+}
+
 // startSidecar starts a sidecar without a log; it is shut down at the end of the test.
 func startSidecar(t *testing.T, cfg *config.Config) *testSidecar {
 	t.Helper()
@@ -40,13 +51,9 @@
 // shutdown does.
 func startSidecarWithLog(t *testing.T, cfg *config.Config, log slog.Handler) *testSidecar {
 	t.Helper()
-	sidecar := &testSidecar{
-		t:         t,
-		discovery: sidecartest.NewDiscoveryServer(t),
-		done:      make(chan error, 1),
-		reloads:   make(chan os.Signal, 1),
-		client:    &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Timeout},
-	}
+	sidecar := newTestSidecar(t)
+	sidecar.done = make(chan error, 1)
+	sidecar.reloads = make(chan os.Signal, 1)
 	cfg.Discovery = sidecar.discovery.Addr
 	ln := sidecartest.Listen(t)
 	sidecar.addr = ln.Addr().String()
@@ -110,7 +117,7 @@
 	return request
 }
 
-// newRequestNamed makes a request in the form of a class with the name of another one.
+// newRequestNamed makes a request with the method and headers of a class and the name of another one.
 func (sidecar *testSidecar) newRequestNamed(class, name string) *http.Request {
 	request := sidecar.newRequest(class)
 	request.Header.Set("X-Qos", name)
@@ -174,6 +181,20 @@
 	return conn
 }
 
+// expectResponse reads a response from a connection, or a buffered reader of it, and fails the test if its status is another
+// one. request names the request for the message of the failure.
+func (sidecar *testSidecar) expectResponse(from io.Reader, request string, status int) *http.Response {
+	sidecar.t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(from), nil)
+	if err != nil {
+		sidecar.t.Fatalf("%s: no response: %v", request, err)
+	}
+	if resp.StatusCode != status {
+		sidecar.t.Fatalf("%s: status %d, want %d", request, resp.StatusCode, status)
+	}
+	return resp
+}
+
 // write sends text on a connection.
 func (sidecar *testSidecar) write(conn net.Conn, text string) {
 	sidecar.t.Helper()
--- a/internal/sidecar/listen_test.go
+++ b/internal/sidecar/listen_test.go
@@ -7,8 +7,9 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestListenWaitsForThePreviousProcess checks that a process starts although the one before it still has the address.
-func TestListenWaitsForThePreviousProcess(t *testing.T) {
+// TestListenRetriesWhileAddressIsInUse tests the failure in which the previous process still has the address when the next one
+// starts. The next one must wait for it.
+func TestListenRetriesWhileAddressIsInUse(t *testing.T) {
 	previous := sidecartest.Listen(t)
 	cfg := sidecartest.Config(t)
 	cfg.Listen = previous.Addr().String()
@@ -20,8 +21,8 @@
 	env.clients.Close()
 }
 
-// TestListenFailsAtOnceForAWrongAddress checks that an address that cannot be listened at is not tried for long.
-func TestListenFailsAtOnceForAWrongAddress(t *testing.T) {
+// TestListenFailsAtOnceForInvalidAddress checks that listening at an invalid address is not retried.
+func TestListenFailsAtOnceForInvalidAddress(t *testing.T) {
 	cfg := sidecartest.Config(t)
 	cfg.Listen = "127.0.0.1:70000" // no port has this number
 	began := time.Now()
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"strings"
 	"syscall"
@@ -12,7 +11,7 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestReloadChangesDiscovery checks that a reload moves the sidecar to another discovery service: the watch at the old one
+// TestReloadChangesDiscovery checks that a reload moves the sidecar to another discovery service: the watch at the former one
 // is cancelled, the complete list of the new one applies, and an invalid file changes nothing.
 func TestReloadChangesDiscovery(t *testing.T) {
 	firstServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "one"))
@@ -22,11 +21,11 @@
 	cfg.KnownEndpoints.Members = []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", firstServer.Addr)}
 	cfg.AcceptDuringShutdown = 0
 	sidecar := startSidecar(t, cfg)
-	sidecartest.Next(t, sidecar.discovery.Queries) // the watch at the old address
+	sidecartest.Next(t, sidecar.discovery.Queries) // the watch at the former address
 	file.write("{")
 	sidecar.reloads <- syscall.SIGHUP
 	if _, body := sidecar.do(sidecar.newRequest("read")); body != "one" {
-		t.Errorf("after an invalid file: response from server %q, want %q", body, "one")
+		t.Errorf("after an invalid file: response from endpoint %q, want %q", body, "one")
 	}
 	other := sidecartest.NewDiscoveryServer(t)
 	file.setDiscovery(other.Addr)
@@ -35,13 +34,13 @@
 		t.Errorf("first request at the new address: query %q, want none", got)
 	}
 	sidecartest.Next(t, sidecar.discovery.Cancelled)
-	other.Lists <- membership.EndpointList{Revision: 3, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-2", secondServer.Addr)}}
+	other.Lists <- sidecartest.CompleteList(3, sidecartest.ReadyEndpoint("s-2", secondServer.Addr))
 	if got := sidecartest.Next(t, other.Queries); got != "from=3&hold_ms=1200" {
 		t.Errorf("second request at the new address: query %q", got)
 	}
 	for range 3 {
 		if _, body := sidecar.do(sidecar.newRequest("read")); body != "two" {
-			t.Errorf("response from server %q, want %q", body, "two")
+			t.Errorf("response from endpoint %q, want %q", body, "two")
 		}
 	}
 	sidecar.shutdown()
@@ -51,12 +50,8 @@
 // TestReloadChangesSettings checks that the classes of a new file apply to later requests, while pending requests go on
 // with the settings that they were admitted with, also where their class no longer exists.
 func TestReloadChangesSettings(t *testing.T) {
-	started, release := make(chan bool, 2), make(chan bool)
-	failing := func(conn net.Conn) bool {
-		started <- true
-		<-release
-		return sidecartest.Respond(500, "")(conn)
-	}
+	gate := sidecartest.NewGate()
+	failing := gate.Hold(sidecartest.Respond(500, ""))
 	firstServer := sidecartest.NewScriptedServer(t, failing, sidecartest.Respond(200, "ok"))
 	secondServer := sidecartest.NewScriptedServer(t, failing, sidecartest.Respond(200, "ok"))
 	file := newConfigFile(t)
@@ -71,7 +66,7 @@
 	for _, class := range []string{"read", "pay"} {
 		request := sidecar.newRequest(class)
 		go func() { statuses <- sidecar.statusOf(request) }()
-		sidecartest.Next(t, started)
+		gate.AwaitRequest(t)
 	}
 	if resp, _ := sidecar.do(sidecar.newRequestNamed("read", "pay-2")); resp.StatusCode != 400 {
 		t.Errorf("class of the new file before the reload: status %d, want 400", resp.StatusCode)
@@ -80,7 +75,7 @@
 		`"name": "pay", "effect": "non_idempotent"`, `"name": "pay", "effect": "read_like"`))
 	sidecar.reloads <- syscall.SIGHUP
 	sidecartest.WaitFor(t, "the file is loaded", func() bool { return sidecar.metric("config_reloads_total") == "1" })
-	close(release)
+	gate.Open()
 	firstStatus, secondStatus := sidecartest.Next(t, statuses), sidecartest.Next(t, statuses)
 	if firstStatus+secondStatus != 200+502 { // only the read may be retried
 		t.Errorf("pending requests: status %d and %d, want 200 and 502", firstStatus, secondStatus)
@@ -98,8 +93,8 @@
 	}
 }
 
-// TestReloadRejectsInvalidFile checks that a file with any error changes nothing, not even the address of the discovery
-// service that it names.
+// TestReloadRejectsInvalidFile tests the failure in which SIGHUP comes with a configuration file that is invalid, or only partly
+// written. A part of its settings must not apply: a file with any error changes nothing, not even the address of discovery.
 func TestReloadRejectsInvalidFile(t *testing.T) {
 	file := newConfigFile(t)
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "ok"))
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bufio"
 	"io"
 	"net/http"
 	"strconv"
@@ -13,8 +12,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// TestForwardsRequests checks that requests of each class reach the server with path, headers, body and the time left,
-// that they share a connection, and that the load report of the server is not forwarded to the client.
+// TestForwardsRequests checks that requests of each class reach the endpoint with path, headers, body and remaining time, that
+// they share a connection, and that the load report of the endpoint is not forwarded to the client.
 func TestForwardsRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
@@ -51,27 +50,26 @@
 	}
 }
 
-// TestRetryOfNonIdempotentRequest checks that a non-idempotent request is retried after an attempt that never ran, and
-// fails after one that may have run.
+// TestRetryOfNonIdempotentRequest checks that a non-idempotent request is retried after an attempt that was never executed,
+// and fails after one that may have been.
 func TestRetryOfNonIdempotentRequest(t *testing.T) {
-	never := "X-Never-Ran: 1"
 	for name, test := range map[string]struct {
 		first  sidecartest.Step
 		status int
 	}{
-		"rejected":              {sidecartest.Respond(503, "", never), 200},
-		"over already":          {sidecartest.Respond(504, "", never), 200},
-		"503 that may have run": {sidecartest.Respond(503, ""), 502},
-		"error":                 {sidecartest.Respond(500, ""), 502},
-		"reset":                 {sidecartest.RespondRawAndClose(""), 502},
-		"short body":            {sidecartest.RespondRawAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nplate"), 502},
+		"rejected":                        {sidecartest.Respond(503, "", neverRanHeader), 200},
+		"expired already":                 {sidecartest.Respond(504, "", neverRanHeader), 200},
+		"503 that may have been executed": {sidecartest.Respond(503, ""), 502},
+		"error":                           {sidecartest.Respond(500, ""), 502},
+		"reset":                           {sidecartest.RespondRawAndClose(""), 502},
+		"short body":                      {sidecartest.RespondRawAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nplate"), 502},
 	} {
 		t.Run(name, func(t *testing.T) {
 			failing := sidecartest.NewScriptedServer(t, test.first)
 			serving := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "done"))
 			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", failing.Addr), sidecartest.ReadyEndpoint("s-2", serving.Addr)))
 			resp, _ := sidecar.do(sidecar.newRequest("pay"))
-			for len(sidecartest.RequestsTo(failing)) == 0 { // the other server was chosen first
+			for len(sidecartest.RequestsTo(failing)) == 0 { // the other endpoint was chosen first
 				resp, _ = sidecar.do(sidecar.newRequest("pay"))
 			}
 			if resp.StatusCode != test.status {
@@ -82,7 +80,7 @@
 }
 
 // TestRejectsBadRequests checks the status and the close for each kind of invalid request, and that none of them reaches
-// a server.
+// an endpoint.
 func TestRejectsBadRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
@@ -119,26 +117,24 @@
 	}
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("pay", "Content-Length: 60000000"))
-	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 413 {
-		t.Errorf("body above the limit: response %v, error %v, want status 413", resp, err)
-	}
+	sidecar.expectResponse(conn, "body above the limit", http.StatusRequestEntityTooLarge)
 	if got := len(sidecartest.RequestsTo(server)); got != 0 {
-		t.Errorf("%d invalid requests reached the server", got)
+		t.Errorf("%d invalid requests reached the endpoint", got)
 	}
 }
 
 // TestRequestSmuggling checks that requests with two lengths, and requests with more data after them than announced, are
-// rejected and that nothing hidden in them reaches a server.
+// rejected and that nothing hidden in them reaches an endpoint.
 func TestRequestSmuggling(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	for name, text := range map[string]string{
-		"two lengths":         sidecar.rawRequest("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequest("read"),
-		"two lengths, turned": sidecar.rawRequest("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequest("read"),
-		"behind the body":     sidecar.rawRequest("pay", "Content-Length: 2") + "ab" + sidecar.rawRequest("read"),
-		"too short a length":  sidecar.rawRequest("pay", "Content-Length: 2") + "abcdef",
-		"body of a read":      sidecar.rawRequest("read", "Content-Length: 2") + "ab",
-		"behind a bad one":    sidecar.rawRequest("none") + sidecar.rawRequest("read"),
+		"two lengths":          sidecar.rawRequest("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequest("read"),
+		"two lengths, swapped": sidecar.rawRequest("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequest("read"),
+		"behind the body":      sidecar.rawRequest("pay", "Content-Length: 2") + "ab" + sidecar.rawRequest("read"),
+		"too short a length":   sidecar.rawRequest("pay", "Content-Length: 2") + "abcdef",
+		"body of a read":       sidecar.rawRequest("read", "Content-Length: 2") + "ab",
+		"behind a bad one":     sidecar.rawRequest("none") + sidecar.rawRequest("read"),
 	} {
 		conn := sidecar.dial()
 		sidecar.write(conn, text)
@@ -148,39 +144,34 @@
 		}
 	}
 	if got := sidecartest.RequestsTo(server); len(got) != 0 {
-		t.Errorf("%d requests reached the server, want 0", len(got))
+		t.Errorf("%d requests reached the endpoint, want 0", len(got))
 	}
 }
 
 // TestDuplicateTraceID checks that a request with the trace ID of a pending one is rejected, that the pending one gets its
 // own response, and that the ID can be used again after it.
 func TestDuplicateTraceID(t *testing.T) {
-	started, release := make(chan bool, 1), make(chan bool)
-	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release), sidecartest.Respond(200, "again"))
+	gate := sidecartest.NewGate()
+	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	text := sidecar.rawRequest("pay", "Content-Length: 2") + "ab"
 	first, second := sidecar.dial(), sidecar.dial()
 	sidecar.write(first, text)
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	sidecar.write(second, strings.Replace(text, "ab", "xy", 1))
 	if got, _ := io.ReadAll(second); !strings.HasPrefix(string(got), "HTTP/1.1 409") {
 		t.Errorf("second request: response %q, want status 409", got)
 	}
-	close(release)
-	resp, err := http.ReadResponse(bufio.NewReader(first), nil)
-	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("first request: response %v, error %v", resp, err)
-	}
+	gate.Open()
+	resp := sidecar.expectResponse(first, "first request", http.StatusOK)
 	if body, _ := io.ReadAll(resp.Body); string(body) != "held" {
 		t.Errorf("first request: body %q, want that of its own attempt", body)
 	}
 	sidecar.write(first, text) // the first has ended, so that its ID is free
-	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("request after the first: response %v, error %v", resp, err)
-	}
+	sidecar.expectResponse(first, "request after the first", http.StatusOK)
 }
 
-// TestRejectionHasRetryAfter checks that a rejected request, which never ran, has a Retry-After within its bounds.
+// TestRejectionHasRetryAfter checks that the rejection of a request that was never executed has a Retry-After within its bounds.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -15,11 +15,12 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestShutdownDrainsRequests checks that during a shutdown new connections are accepted for a while and served, and that
-// pending requests get their responses, all with a close.
+// TestShutdownDrainsRequests tests the failure in which a shutdown loses requests: those in flight, and those of clients that
+// connect before they know of it. New connections must be accepted for a while and served, and pending requests get their
+// responses, all with a close.
 func TestShutdownDrainsRequests(t *testing.T) {
-	started, release := make(chan bool, 1), make(chan bool)
-	server := sidecartest.NewScriptedServer(t, sidecartest.RespondAfter(started, release), sidecartest.Respond(200, "late"))
+	gate := sidecartest.NewGate()
+	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "late"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.AcceptDuringShutdown = 3 * time.Second
 	sidecar := startSidecar(t, cfg)
@@ -31,7 +32,7 @@
 		}
 		pending <- resp
 	}()
-	sidecartest.Next(t, started)
+	gate.AwaitRequest(t)
 	sidecar.shutdown()
 	upRequest, err := http.NewRequest("GET", "http://"+sidecar.addr+"/up", nil)
 	if err != nil {
@@ -45,15 +46,16 @@
 	if resp.StatusCode != 200 || body != "late" || !resp.Close {
 		t.Errorf("new connection during the shutdown: status %d, body %q, closing: %v", resp.StatusCode, body, resp.Close)
 	}
-	close(release)
+	gate.Open()
 	if resp := sidecartest.Next(t, pending); resp != nil && (resp.StatusCode != 200 || !resp.Close) {
 		t.Errorf("pending request: status %d, closing: %v", resp.StatusCode, resp.Close)
 	}
 }
 
-// TestShutdownServesKeptConnections checks that requests on connections from before the shutdown are served, whether they
-// were partly written or not begun when it started, and that the connections are closed with the responses.
-func TestShutdownServesKeptConnections(t *testing.T) {
+// TestShutdownServesPersistentConnections tests the failure in which a shutdown closes a persistent connection on which a client
+// just writes a request. The client could not know whether it was executed. A request must be served, whether it was partly written
+// or not begun when the shutdown started, and the connection closed with its response.
+func TestShutdownServesPersistentConnections(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.AcceptDuringShutdown = 3 * time.Second // idle connections are kept for this time
@@ -64,17 +66,16 @@
 		conn := sidecar.dial()
 		reader := bufio.NewReader(conn)
 		sidecar.write(conn, sidecar.rawRequest("read"))
-		resp, err := http.ReadResponse(reader, nil)
-		if err != nil || resp.StatusCode != 200 || resp.Close {
-			t.Fatalf("%s: before the shutdown: response %v, error %v", name, resp, err)
+		resp := sidecar.expectResponse(reader, name+", before the shutdown", http.StatusOK)
+		if resp.Close {
+			t.Fatalf("%s: the response before the shutdown announces a close", name)
 		}
 		io.Copy(io.Discard, resp.Body)
 		sidecar.write(conn, text[:before])
 		defer func() {
 			sidecar.write(conn, text[before:])
-			resp, err := http.ReadResponse(reader, nil)
-			if err != nil || resp.StatusCode != 200 || !resp.Close {
-				t.Errorf("%s: during the shutdown: response %v, error %v", name, resp, err)
+			if resp := sidecar.expectResponse(reader, name+", during the shutdown", http.StatusOK); !resp.Close {
+				t.Errorf("%s: the response during the shutdown does not announce a close", name)
 			}
 		}()
 	}
@@ -89,7 +90,8 @@
 	})
 }
 
-// TestShutdownBeforeFirstAccept checks that a connection which waits to be accepted when the shutdown starts is served.
+// TestShutdownBeforeFirstAccept tests the failure in which SIGTERM comes during the start, while a connection waits to be
+// accepted. If the listener were closed at once, the client would see a reset. It must be served.
 func TestShutdownBeforeFirstAccept(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -103,14 +105,14 @@
 	if err := serve(ctx, cfg, environment{clients: ln}, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Errorf("the sidecar ended with an error: %v", err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("response %v, error %v, want status 200 and a close", resp, err)
+	if resp := sidecar.expectResponse(conn, "request before the first accept", http.StatusOK); !resp.Close {
+		t.Error("the response does not announce a close")
 	}
 }
 
-// TestShutdownServesRequestJustRead checks that a request is served when the shutdown starts between the read of its bytes
-// on a kept connection and the parsing of its head.
+// TestShutdownServesRequestJustRead tests the failure in which the shutdown starts between the read of a request's bytes on a
+// persistent connection and the parsing of its head. To net/http the connection is still idle, so that it would be closed with
+// the request. The request must be served.
 func TestShutdownServesRequestJustRead(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -126,11 +128,7 @@
 	sendRequest := func(conn net.Conn) *bufio.Reader {
 		sidecar.write(conn, sidecar.rawRequest("read"))
 		reader := bufio.NewReader(conn)
-		resp, err := http.ReadResponse(reader, nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("first request: response %v, error %v", resp, err)
-		}
-		io.Copy(io.Discard, resp.Body)
+		io.Copy(io.Discard, sidecar.expectResponse(reader, "first request", http.StatusOK).Body)
 		return reader
 	}
 	first, second := sidecar.dial(), sidecar.dial() // the shutdown looks for idle connections in this order
@@ -143,14 +141,13 @@
 		t.Fatalf("idle connection: error %v, want a close", err)
 	}
 	close(release)
-	resp, err := http.ReadResponse(reader, nil)
-	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("request that was just read: response %v, error %v", resp, err)
+	if resp := sidecar.expectResponse(reader, "request that was just read", http.StatusOK); !resp.Close {
+		t.Error("request that was just read: the response does not announce a close")
 	}
 }
 
-// TestShutdownServesLongResponse checks that a shutdown does not cut a long response, even when it takes longer than the
-// longest deadline of a request.
+// TestShutdownServesLongResponse tests the failure in which a shutdown meets a response that takes longer than the longest
+// deadline of a request. The client would get a truncated response. It must get all of it.
 func TestShutdownServesLongResponse(t *testing.T) {
 	more := make(chan bool)
 	half := len(sidecartest.LongBody) / 2
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -41,21 +41,16 @@
 	return ln.Addr().String()
 }
 
-// startProcess runs a sidecar at an address, with its own admin address and the scratch folder that it shares with the
-// processes before and after it, and waits until it is ready.
-func startProcess(t *testing.T, addr, scratch string, servers ...membership.Endpoint) *sidecarProcess {
+// startProcess runs a sidecar at an address, with its own admin address and the scratch folder that it shares with its
+// predecessor and its successor, and waits until it is ready.
+func startProcess(t *testing.T, addr, scratch string, endpoints ...membership.Endpoint) *sidecarProcess {
 	t.Helper()
-	cfg := sidecartest.Config(t, servers...)
+	cfg := sidecartest.Config(t, endpoints...)
 	cfg.Listen = addr
 	cfg.AdminListen = unusedHostAddr(t)
 	cfg.ScratchDir = scratch
-	sidecar := &testSidecar{
-		t:         t,
-		addr:      addr,
-		adminAddr: cfg.AdminListen,
-		discovery: sidecartest.NewDiscoveryServer(t),
-		client:    &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Timeout},
-	}
+	sidecar := newTestSidecar(t)
+	sidecar.addr, sidecar.adminAddr = addr, cfg.AdminListen
 	cfg.Discovery = sidecar.discovery.Addr
 	process := &sidecarProcess{sidecar, make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,8 +72,9 @@
 	return process
 }
 
-// TestUpgradeLosesNoRequests checks that no request is lost, rejected or cut while one process takes over from another,
-// neither on kept connections nor on new ones.
+// TestUpgradeLosesNoRequests tests the failure in which an upgrade loses requests: connections that wait to be accepted are reset
+// with the listener of the predecessor, or a persistent connection is closed while a request is on its way. No request may be lost,
+// rejected or truncated, neither on persistent connections nor on new ones.
 func TestUpgradeLosesNoRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	addr, scratch := unusedHostAddr(t), t.TempDir()
@@ -101,7 +97,7 @@
 		awaitMoreServed(50)
 		predecessor.shutdown()
 		if err := sidecartest.Next(t, predecessor.exited); err != nil {
-			t.Errorf("the previous process ended with an error: %v", err)
+			t.Errorf("the predecessor ended with an error: %v", err)
 		}
 		predecessor.exited <- nil // for the cleanup, which waits for the exit too
 		awaitMoreServed(50)
@@ -137,7 +133,7 @@
 	}
 }
 
-// TestSuccessorInheritsEndpointList checks that a process which takes over knows the servers of its predecessor, although
+// TestSuccessorInheritsEndpointList checks that a process which takes over knows the endpoints of its predecessor, although
 // its configuration names none.
 func TestSuccessorInheritsEndpointList(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
@@ -145,12 +141,13 @@
 	startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	successor := startProcess(t, addr, scratch) // ready only with the state of its predecessor
 	if got := successor.metric("members"); got != "1" {
-		t.Errorf("the successor knows %s servers, want 1", got)
+		t.Errorf("the successor knows %s endpoints, want 1", got)
 	}
 }
 
-// TestStartWithUnusableUpgradeSocket checks that a process starts in time and serves, whatever occupies the path of the
-// upgrade socket.
+// TestStartWithUnusableUpgradeSocket tests the failure in which something else occupies the path of the upgrade socket: what a crash
+// has left behind, or a process that does not speak the protocol. A new process could wait for a predecessor that does not exist. It
+// must start in time and serve.
 func TestStartWithUnusableUpgradeSocket(t *testing.T) {
 	for name, occupy := range map[string]func(t *testing.T, path string){
 		"a file":   func(t *testing.T, path string) { os.WriteFile(path, []byte("x"), 0o600) },
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net/http"
@@ -18,7 +17,7 @@
 // unsizedReader hides the type of a reader, from which net/http would learn the length of the body.
 type unsizedReader struct{ io.Reader }
 
-// TestLongRequestBody checks that a long request body reaches the server complete, in each framing, in one attempt.
+// TestLongRequestBody checks that a long request body reaches the endpoint complete, in each framing, in one attempt.
 func TestLongRequestBody(t *testing.T) {
 	for name, body := range map[string]io.Reader{
 		"announced": strings.NewReader(sidecartest.LongBody), "in chunks": unsizedReader{strings.NewReader(sidecartest.LongBody)},
@@ -68,7 +67,7 @@
 	return ln.Addr().String(), accepted
 }
 
-// waitForConns is a part of a body without bytes: it ends when the server has accepted a number of connections.
+// waitForConns is a part of a body without bytes. It ends when a server has accepted a number of connections.
 type waitForConns struct {
 	server *sidecartest.ScriptedServer
 	count  int
@@ -83,15 +82,15 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// TestRequestBodyReplay checks that a request whose server closed the connection before the last byte of the body is
-// retried with the buffered body: it cannot have run. The client sends its last byte only when the retry has begun, as the
-// kernel could take all of the body before the server closes.
+// TestRequestBodyReplay tests the failure in which an endpoint closes the connection before the last byte of a request's body. The
+// request cannot have been executed, and must be retried with the buffered body. The client sends its last byte only when the
+// retry has begun, as the kernel could otherwise take all of the body before the endpoint closes.
 func TestRequestBodyReplay(t *testing.T) {
 	partialReaderAddr, accepted := startPartialReader(t, 1000, "")
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken", "Connection: close"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
 	attempts := 0
-	for len(accepted) == 0 { // the other server may be chosen first
+	for len(accepted) == 0 { // the other endpoint may be chosen first
 		attempts++
 		request := sidecar.newRequest("pay")
 		text := sidecartest.LongBody[:exchange.MaxReplayBytes/2]
@@ -106,40 +105,38 @@
 	}
 	_, bodies, _ := server.Received()
 	if len(bodies) != attempts || bodies[attempts-1] != sidecartest.LongBody[:exchange.MaxReplayBytes/2] {
-		t.Errorf("%d of %d bodies reached the server, the last of them must be complete", len(bodies), attempts)
+		t.Errorf("%d of %d bodies reached the other endpoint, the last of them must be complete", len(bodies), attempts)
 	}
 }
 
-// TestUnbufferedBodyIsSentOnce checks that a body above the limit of the replay buffer is sent once, and that its request
-// is rejected when the server closes early, as it never ran.
+// TestUnbufferedBodyIsSentOnce tests the failure in which an endpoint closes the connection within a body above the limit of the
+// replay buffer. Nobody has the beginning of the body any more. The request must have one attempt, and be rejected, as it was never
+// executed.
 func TestUnbufferedBodyIsSentOnce(t *testing.T) {
 	text := strings.Repeat(sidecartest.LongBody, 12) // more than the socket buffers hold
 	partialReaderAddr, accepted := startPartialReader(t, int64(len(sidecartest.LongBody)*3), "")
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", partialReaderAddr)))
 	conn := sidecar.dial()
 	go io.WriteString(conn, sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(text)))+text)
-	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	if err != nil || resp.StatusCode != 503 {
-		t.Fatalf("response %v, error %v", resp, err)
-	}
+	sidecar.expectResponse(conn, "request whose body is not buffered", http.StatusServiceUnavailable)
 	if len(accepted) != 1 {
 		t.Errorf("%d attempts, want 1", len(accepted))
 	}
 }
 
-// TestTruncatedRequestBody checks that the request of a client which disconnects within its body ends, does not reach a
-// server as a complete request, and does not affect later ones.
+// TestTruncatedRequestBody tests the failure in which a client disconnects within the body of its request. An endpoint could take
+// the part for the whole. The request must end, must not reach an endpoint as a complete one, and must not affect later ones.
 func TestTruncatedRequestBody(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken"))
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
 	conn := sidecar.dial()
 	head := sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(sidecartest.LongBody)))
 	sidecar.write(conn, head+sidecartest.LongBody[:len(sidecartest.LongBody)/2])
-	sidecartest.WaitFor(t, "the request is pending", func() bool { return sidecar.metric("pending") == "1" })
+	sidecar.waitForPending(1)
 	conn.Close()
-	sidecartest.WaitFor(t, "the request has ended", func() bool { return sidecar.metric("pending") == "0" })
+	sidecar.waitForPending(0)
 	if got := len(sidecartest.RequestsTo(server)); got != 0 {
-		t.Errorf("%d requests reached the server, want 0", got)
+		t.Errorf("%d requests reached the endpoint, want 0", got)
 	}
 	if resp, _ := sidecar.do(sidecar.newRequest("pay")); resp.StatusCode != 200 {
 		t.Errorf("next request: status %d, want 200", resp.StatusCode)
@@ -156,16 +153,14 @@
 	sidecar.write(conn, text+"ab")
 	time.Sleep(350 * time.Millisecond) // longer than the deadline of the request
 	sidecar.write(conn, "cd")
-	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("response %v, error %v", resp, err)
-	}
+	sidecar.expectResponse(conn, "request with a slow body", http.StatusOK)
 	if left, err := exchange.ParseExpiry(sidecartest.RequestsTo(server)[0].Header.Get(exchange.ExpiryHeader), 1e6); err != nil || left < 200 {
 		t.Errorf("forwarded with %v ms left, error %v", left, err)
 	}
 }
 
 // TestRequestSmugglingBehindLongBody checks that a request with more data after its long body than announced is rejected
-// and does not reach a server as a complete request.
+// and does not reach an endpoint as a complete request.
 func TestRequestSmugglingBehindLongBody(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
@@ -178,6 +173,6 @@
 		t.Errorf("response %q, error %v, want status 400", got, err)
 	}
 	if got := sidecartest.RequestsTo(server); len(got) != 0 {
-		t.Errorf("%d requests reached the server, want 0", len(got))
+		t.Errorf("%d requests reached the endpoint, want 0", len(got))
 	}
 }
--- a/internal/sidecartest/config.go
+++ b/internal/sidecartest/config.go
@@ -1,7 +1,6 @@
 package sidecartest
 
 import (
-	"fmt"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -37,31 +36,3 @@
 	cfg.ConnReuseDelay = 0
 	return cfg
 }
-
-// ReadyEndpoint returns the list entry of an endpoint in phase ready at an address.
-func ReadyEndpoint(id, addr string) membership.Endpoint {
-	return membership.Endpoint{
-		ID:       id,
-		HostPort: addr,
-		Locality: "room-1",
-		Flavor:   "small",
-		Cell:     1,
-		Phase:    "ready",
-		Size:     1,
-	}
-}
-
-// idFactor is a prime that spreads the numbers of endpoints over the digits of their IDs.
-const idFactor = 2654435761
-
-// NumberedEndpoints returns a list of count endpoints at one address, with IDs of the usual length.
-func NumberedEndpoints(count int, addr string) membership.EndpointList {
-	list := membership.EndpointList{Revision: 42, Complete: true}
-	for i := range count {
-		endpoint := ReadyEndpoint(fmt.Sprintf("s-%08x", i*idFactor), addr)
-		endpoint.Cell = i / 2
-		endpoint.Locality = fmt.Sprintf("room-%d", 1+i%2)
-		list.Members = append(list.Members, endpoint)
-	}
-	return list
-}
--- a/internal/sidecartest/server.go
+++ b/internal/sidecartest/server.go
@@ -135,12 +135,3 @@
 		}
 	}
 }
-
-// RespondAfter returns a step that announces each request and responds to it after a value from release, or its close.
-func RespondAfter(started chan<- bool, release <-chan bool) Step {
-	return func(conn net.Conn) bool {
-		started <- true
-		<-release
-		return Respond(200, "held")(conn)
-	}
-}
