--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -78,7 +78,7 @@
 	address := endpoint.Address.Load()
 	restarted := listed.UpSince > 0 && listed.UpSince != endpoint.Listed.UpSince // less, if the wall clock was set back
 	if restarted || address == nil {
-		endpoint.StartedAt = l.starts.loopTime(listed.UpSince, l.clock.now)
+		endpoint.StartedAt = l.starts.loopTime(balance.Milliseconds(listed.UpSince), l.clock.now)
 	}
 	if address == nil || restarted || *address != listed.HostPort {
 		current := strings.Clone(listed.HostPort) // a substring would keep the text of the whole list in memory
