--- a/internal/soak/overdue_test.go
+++ b/internal/soak/overdue_test.go
@@ -94,7 +94,7 @@
 	for number := range raceClasses {
 		class := settings.Classes[0]
 		class.Name = raceClass(number)
-		class.LatencyObjective = float64(raceObjective.Milliseconds())
+		class.LatencyObjective = balance.MillisecondsOf(raceObjective)
 		settings.Classes = append(settings.Classes, class)
 	}
 	return settings
--- a/internal/soak/rule_drain.go
+++ b/internal/soak/rule_drain.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"cindersaddle/balance"
-	"cindersaddle/internal/timing"
 )
 
 // drainSlack is how long a request may take from the decision of a sidecar until its first byte is read.
@@ -19,7 +18,7 @@
 func (j *judge) checkDrains() {
 	// Stable: of the changes of one moment, the one delivered last holds.
 	slices.SortStableFunc(j.Notifications, func(a, b Notification) int { return a.NotifiedAt.Compare(b.NotifiedAt) })
-	grace := timing.Milliseconds(j.Plan.Settings.Rules.DrainGrace) + drainSlack + recordSlack
+	grace := j.Plan.Settings.Rules.DrainGrace.Duration() + drainSlack + recordSlack
 	for i := range j.Attempts {
 		attempt := &j.Attempts[i]
 		sidecar := j.exchanges[attempt.TraceID].Sidecar
--- a/internal/soak/rule_slow_start.go
+++ b/internal/soak/rule_slow_start.go
@@ -4,8 +4,6 @@
 	"math"
 	"slices"
 	"time"
-
-	"cindersaddle/internal/timing"
 )
 
 // checkSlowStarts checks RuleSlowStart: an endpoint that warms up gets no more from all sidecars together than the settings
@@ -22,7 +20,7 @@
 
 func (j *judge) checkSlowStart(endpoint EndpointID, restartedAt time.Time) {
 	rules := &j.Plan.Settings.Rules
-	window := timing.Milliseconds(rules.OverloadWindow)
+	window := rules.OverloadWindow.Duration()
 	receivedAt := j.receivedSince(endpoint, restartedAt)
 	for first, from := range receivedAt {
 		to := from.Add(window)
@@ -56,7 +54,7 @@
 
 // warmUpFraction returns the fraction of its capacity that an endpoint has at some time after its start.
 func (r *ruleSettings) warmUpFraction(afterStart time.Duration) float64 {
-	return min(1, r.WarmUpInitialFraction+(1-r.WarmUpInitialFraction)*afterStart.Seconds()*1000/r.WarmUpDuration)
+	return min(1, r.WarmUpInitialFraction+(1-r.WarmUpInitialFraction)*afterStart.Seconds()/r.WarmUpDuration.Duration().Seconds())
 }
 
 // fewRequests is the mean number of requests below which the limit allows three standard deviations instead of two, as the
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -5,37 +5,35 @@
 	"time"
 
 	"cindersaddle/balance"
-	"cindersaddle/internal/timing"
 )
 
-// settingsDocument is the part of the settings that a run chooses, with the keys of the configuration file. All times are in
-// milliseconds.
+// settingsDocument is the part of the settings that a run chooses, with the keys of the configuration file.
 type settingsDocument struct {
-	Classes       []classSettings  `json:"classes"`
-	Tenants       []tenantSettings `json:"tenants"`
-	Discovery     string           `json:"discovery"`
-	Kinds         []string         `json:"kinds"`
-	Zones         []string         `json:"zones"`
-	Zone          int              `json:"zone"`
-	Ratings       string           `json:"weights"`
-	Limits        limitSettings    `json:"limits"`
-	InstanceIndex int              `json:"my_number"`
-	InstanceCount int              `json:"peers_total"`
-	Quantum       float64          `json:"quantum_ms"`
-	Report        reportSettings   `json:"report"`
-	Rules         ruleSettings     `json:"rules"`
+	Classes       []classSettings      `json:"classes"`
+	Tenants       []tenantSettings     `json:"tenants"`
+	Discovery     string               `json:"discovery"`
+	Kinds         []string             `json:"kinds"`
+	Zones         []string             `json:"zones"`
+	Zone          int                  `json:"zone"`
+	Ratings       string               `json:"weights"`
+	Limits        limitSettings        `json:"limits"`
+	InstanceIndex int                  `json:"my_number"`
+	InstanceCount int                  `json:"peers_total"`
+	Quantum       balance.Milliseconds `json:"quantum_ms"`
+	Report        reportSettings       `json:"report"`
+	Rules         ruleSettings         `json:"rules"`
 }
 
 // classSettings are the settings of a class.
 type classSettings struct {
-	Name             string              `json:"name"`
-	Idempotency      balance.Idempotency `json:"-"` // as Effect says
-	Effect           string              `json:"effect"`
-	DedupScope       string              `json:"group"`
-	LatencyObjective float64             `json:"on_time_ms"`
-	Deadline         float64             `json:"hard_limit_ms"`
-	DedupWindow      float64             `json:"window_ms"`
-	PriorityWeight   float64             `json:"worth"`
+	Name             string               `json:"name"`
+	Idempotency      balance.Idempotency  `json:"-"` // as Effect says
+	Effect           string               `json:"effect"`
+	DedupScope       string               `json:"group"`
+	LatencyObjective balance.Milliseconds `json:"on_time_ms"`
+	Deadline         balance.Milliseconds `json:"hard_limit_ms"`
+	DedupWindow      balance.Milliseconds `json:"window_ms"`
+	PriorityWeight   float64              `json:"worth"`
 }
 
 // tenantSettings are the settings of a tenant.
@@ -47,16 +45,16 @@
 
 // limitSettings are what a sidecar may do.
 type limitSettings struct {
-	Cancellation    bool    `json:"cancel"`
-	ConnIdleTimeout float64 `json:"conn_idle_ms"`
-	ConnectTimeout  float64 `json:"connect_timeout_ms"`
-	MaxAttempts     int     `json:"max_attempts"`
-	MaxRetryAfter   float64 `json:"max_retry_after_ms"`
-	MaxOpenRequests int     `json:"open_cap"`
-	Hedging         bool    `json:"parallel_tries"`
-	HealthChecks    bool    `json:"probes"`
-	RetryAfter      bool    `json:"retry_after"`
-	StreamsPerConn  int     `json:"streams_per_conn"`
+	Cancellation    bool                 `json:"cancel"`
+	ConnIdleTimeout balance.Milliseconds `json:"conn_idle_ms"`
+	ConnectTimeout  balance.Milliseconds `json:"connect_timeout_ms"`
+	MaxAttempts     int                  `json:"max_attempts"`
+	MaxRetryAfter   balance.Milliseconds `json:"max_retry_after_ms"`
+	MaxOpenRequests int                  `json:"open_cap"`
+	Hedging         bool                 `json:"parallel_tries"`
+	HealthChecks    bool                 `json:"probes"`
+	RetryAfter      bool                 `json:"retry_after"`
+	StreamsPerConn  int                  `json:"streams_per_conn"`
 }
 
 // reportSettings describe the load reports.
@@ -67,13 +65,13 @@
 
 // ruleSettings describe the timing, and endpoints that warm up or are overloaded.
 type ruleSettings struct {
-	AnswerGrace           float64 `json:"answer_slack_ms"`
-	MaxPollInterval       float64 `json:"ask_within_ms"`
-	WarmUpInitialFraction float64 `json:"cold_from"`
-	WarmUpDuration        float64 `json:"cold_ms"`
-	DrainGrace            float64 `json:"drain_grace_ms"`
-	OverloadWindow        float64 `json:"fall_ms"`
-	OverloadFactor        float64 `json:"fall_multiple"`
+	AnswerGrace           balance.Milliseconds `json:"answer_slack_ms"`
+	MaxPollInterval       balance.Milliseconds `json:"ask_within_ms"`
+	WarmUpInitialFraction float64              `json:"cold_from"`
+	WarmUpDuration        balance.Milliseconds `json:"cold_ms"`
+	DrainGrace            balance.Milliseconds `json:"drain_grace_ms"`
+	OverloadWindow        balance.Milliseconds `json:"fall_ms"`
+	OverloadFactor        float64              `json:"fall_multiple"`
 }
 
 const (
@@ -116,16 +114,16 @@
 	}
 }
 
-// defaultClass returns a class whose endpoints remember idempotency keys for dedupWindow milliseconds.
-func defaultClass(name string, idempotency balance.Idempotency, dedupScope string, dedupWindow float64) classSettings {
+// defaultClass returns a class whose endpoints remember idempotency keys for dedupWindow.
+func defaultClass(name string, idempotency balance.Idempotency, dedupScope string, dedupWindow balance.Milliseconds) classSettings {
 	return classSettings{
 		Name: name, Idempotency: idempotency, Effect: effectNames[idempotency], DedupScope: dedupScope, DedupWindow: dedupWindow,
 		LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1,
 	}
 }
 
-// shortWarmUp is a warm-up, in milliseconds, of which a run sees the greater part.
-const shortWarmUp = 4000
+// shortWarmUp is a warm-up of which a run sees the greater part.
+const shortWarmUp balance.Milliseconds = 4000
 
 // randomSettings returns settings with usual or short deadlines.
 func randomSettings(random *rand.Rand) settingsDocument {
@@ -133,34 +131,34 @@
 	short := random.IntN(2) == 0
 	for i := range settings.Classes {
 		class := &settings.Classes[i]
-		class.Deadline = 1000 + 1000*random.Float64()
+		class.Deadline = balance.Milliseconds(1000 + 1000*random.Float64())
 		if short {
-			class.Deadline = 300 + 400*random.Float64()
+			class.Deadline = balance.Milliseconds(300 + 400*random.Float64())
 		}
-		class.LatencyObjective = class.Deadline * (0.3 + 0.4*random.Float64())
+		class.LatencyObjective = class.Deadline * balance.Milliseconds(0.3+0.4*random.Float64())
 		if class.DedupWindow > 0 {
-			class.DedupWindow = class.Deadline * (0.5 + 2*random.Float64())
+			class.DedupWindow = class.Deadline * balance.Milliseconds(0.5+2*random.Float64())
 		}
 	}
-	settings.Limits.ConnIdleTimeout = []float64{600, 2000, 10000}[random.IntN(3)]
+	settings.Limits.ConnIdleTimeout = []balance.Milliseconds{600, 2000, 10000}[random.IntN(3)]
 	settings.Rules.WarmUpDuration = shortWarmUp
 	return settings
 }
 
 // longestDeadline returns the longest deadline of all classes.
 func (s *settingsDocument) longestDeadline() time.Duration {
-	longest := 0.0
+	var longest balance.Milliseconds
 	for _, class := range s.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return timing.Milliseconds(longest)
+	return longest.Duration()
 }
 
 // dedupWindow returns how long endpoints remember the idempotency keys of a class, 0 for an unknown class.
 func (s *settingsDocument) dedupWindow(className string) time.Duration {
 	for _, class := range s.Classes {
 		if class.Name == className {
-			return timing.Milliseconds(class.DedupWindow)
+			return class.DedupWindow.Duration()
 		}
 	}
 	return 0
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
+	"cindersaddle/balance"
 	"cindersaddle/internal/standin"
-	"cindersaddle/internal/timing"
 )
 
 const (
@@ -75,7 +75,7 @@
 		Class:       class.Name,
 		Idempotency: class.Idempotency,
 		Tenant:      tenantName,
-		Deadline:    timing.Milliseconds(deadlineFraction * class.Deadline),
+		Deadline:    (balance.Milliseconds(deadlineFraction) * class.Deadline).Duration(),
 		BodyBytes:   r.random.IntN(maxBodyBytes),
 	}
 	if r.random.Float64() < r.plan.LeaveRate {
