--- a/cmd/cindersaddle/main.go
+++ b/cmd/cindersaddle/main.go
@@ -1,4 +1,4 @@
-// Command cindersaddle is the sidecar: a client-side load balancer between one application and the servers that discovery
+// Command cindersaddle is the sidecar: a client-side load balancer between one application and the endpoints that discovery
 // lists. It is configured by the NODE_ environment variables; see README.md. SIGHUP reloads the configuration, SIGTERM and
 // SIGINT shut the sidecar down. The exit status is 1 if it could not start or serve.
 package main
@@ -32,14 +32,14 @@
 	cfg.Limits.Apply()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may end; Go ends the process for it otherwise
+	signal.Ignore(syscall.SIGPIPE) // if the reader of the log ends, a write to it must not end the process
 	log, logWriter := logging.New(os.Stderr)
 	defer logWriter.Close()
 	return sidecar.Run(ctx, cfg, reloads, log)
 }
 
 // notifyReloads returns a channel that receives SIGHUP. It is called before anything else, as an unhandled SIGHUP ends the
-// process. The channel has room for one: signals that come together need one reload only.
+// process. The channel buffers one signal: signals that come together need one reload only.
 func notifyReloads() <-chan os.Signal {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -6,7 +6,6 @@
 package config
 
 import (
-	"net"
 	"time"
 
 	"cindersaddle/balance"
@@ -44,9 +43,6 @@
 	ConnReuseDelay       time.Duration           // how long an upstream connection rests between two requests
 	AcceptDuringShutdown time.Duration           // how long new connections are accepted after the shutdown signal
 
-	AfterRead  func()         // for tests: see downstream.ConnTracker.AfterRead
-	BeforeRead func(net.Addr) // for tests: see downstream.ConnTracker.BeforeRead
-
 	fileDiscovery string         // the discovery address in the file, before environment overrides
 	document      map[string]any // the parsed file, without the servers
 }
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -22,13 +22,12 @@
 type testSidecar struct {
 	t         *testing.T
 	addr      string
+	adminAddr string // empty without an admin listener
 	discovery *sidecartest.DiscoveryServer
-	shutdown  context.CancelFunc // starts the shutdown, as SIGTERM does
-	done      chan error
 	client    *http.Client
-	adminAddr string // empty without an admin listener
-
-	reloads chan os.Signal // each signal reloads the configuration, as SIGHUP does
+	reloads   chan os.Signal     // each signal reloads the configuration, as SIGHUP does
+	shutdown  context.CancelFunc // starts the shutdown, as SIGTERM does
+	done      chan error         // receives the error with which the sidecar ended
 }
 
 // newTestSidecar returns a sidecar that is not started, with its discovery service and its client.
@@ -44,12 +43,12 @@
 // startSidecar starts a sidecar without a log; it is shut down at the end of the test.
 func startSidecar(t *testing.T, cfg *config.Config) *testSidecar {
 	t.Helper()
-	return startSidecarWithLog(t, cfg, slog.DiscardHandler)
+	return startSidecarWith(t, cfg, slog.DiscardHandler, readHooks{})
 }
 
-// startSidecarWithLog starts a sidecar that logs to a handler; it is shut down at the end of the test, which fails if the
-// shutdown does.
-func startSidecarWithLog(t *testing.T, cfg *config.Config, log slog.Handler) *testSidecar {
+// startSidecarWith starts a sidecar that logs to a handler and runs hooks around its reads. It is shut down at the end of the
+// test, which fails if the shutdown does.
+func startSidecarWith(t *testing.T, cfg *config.Config, log slog.Handler, hooks readHooks) *testSidecar {
 	t.Helper()
 	sidecar := newTestSidecar(t)
 	sidecar.done = make(chan error, 1)
@@ -59,25 +58,26 @@
 	sidecar.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	sidecar.shutdown = cancel
-	adminListener := sidecar.listenAdmin(cfg)
-	go func() {
-		sidecar.done <- serve(ctx, cfg, environment{clients: ln, admin: adminListener}, sidecar.reloads, slog.New(log))
-	}()
-	t.Cleanup(func() {
-		sidecar.client.CloseIdleConnections()
-		cancel()
-		select {
-		case err := <-sidecar.done:
-			if err != nil {
-				t.Errorf("the sidecar ended with an error: %v", err)
-			}
-		case <-time.After(sidecartest.Timeout):
-			t.Error("the sidecar did not end in time")
-		}
-	})
+	env := environment{clients: ln, admin: sidecar.listenAdmin(cfg), readHooks: hooks}
+	go func() { sidecar.done <- serve(ctx, cfg, env, sidecar.reloads, slog.New(log)) }()
+	t.Cleanup(sidecar.end)
 	return sidecar
 }
 
+// end shuts the sidecar down, and fails the test if that fails or takes too long.
+func (sidecar *testSidecar) end() {
+	sidecar.client.CloseIdleConnections()
+	sidecar.shutdown()
+	select {
+	case err := <-sidecar.done:
+		if err != nil {
+			sidecar.t.Errorf("the sidecar ended with an error: %v", err)
+		}
+	case <-time.After(sidecartest.Timeout):
+		sidecar.t.Error("the sidecar did not end in time")
+	}
+}
+
 // listenAdmin listens at an admin address if the configuration names one.
 func (sidecar *testSidecar) listenAdmin(cfg *config.Config) net.Listener {
 	if cfg.AdminListen == "" {
--- a/internal/sidecar/listen_test.go
+++ b/internal/sidecar/listen_test.go
@@ -30,7 +30,7 @@
 	if err := env.listen(cfg); err == nil {
 		t.Error("listening succeeded")
 	}
-	if took := time.Since(began); took > listenPatience/2 {
+	if took := time.Since(began); took > listenRetryTime/2 {
 		t.Errorf("it took %v to fail", took)
 	}
 }
--- a/internal/sidecar/readblocker_test.go
+++ b/internal/sidecar/readblocker_test.go
@@ -51,8 +51,7 @@
 func startWithBlockedClient(t *testing.T, cfg *config.Config, log slog.Handler) (*testSidecar, *readBlocker, net.Conn) {
 	t.Helper()
 	blocker := newReadBlocker()
-	cfg.BeforeRead = blocker.beforeRead
-	sidecar := startSidecarWithLog(t, withAdmin(cfg), log)
+	sidecar := startSidecarWith(t, withAdmin(cfg), log, readHooks{before: blocker.beforeRead})
 	t.Cleanup(blocker.unblock)
 	return sidecar, blocker, blocker.dialBlocked(sidecar)
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -118,13 +118,12 @@
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	read, release := make(chan bool, 1), make(chan bool)
 	var armed atomic.Bool
-	cfg.AfterRead = func() {
+	sidecar := startSidecarWith(t, cfg, slog.DiscardHandler, readHooks{after: func() {
 		if armed.CompareAndSwap(true, false) {
 			read <- true
 			<-release
 		}
-	}
-	sidecar := startSidecar(t, cfg)
+	}})
 	sendRequest := func(conn net.Conn) *bufio.Reader {
 		sidecar.write(conn, sidecar.rawRequest("read"))
 		reader := bufio.NewReader(conn)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -72,6 +72,13 @@
 	admin       net.Listener      // for readiness and metrics; nil: there is no admin address
 	upgrade     *upgrade.Handover // to the other process of an upgrade; nil: upgrades are not possible
 	predecessor *upgrade.State    // learned by the previous process; nil: there is none
+	readHooks   readHooks         // for tests
+}
+
+// readHooks are functions that tests run around each read from a client; see downstream.ConnTracker. Each may be nil.
+type readHooks struct {
+	before func(client net.Addr)
+	after  func()
 }
 
 // takeOver gets the state and the listener of the process that serves now, if there is one.
@@ -94,17 +101,17 @@
 // is shared with the other process of an upgrade.
 func (env *environment) listen(cfg *config.Config) (err error) {
 	if cfg.AdminListen == "" {
-		if env.clients, err = listenPatiently(func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }); err != nil {
+		if env.clients, err = listenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }); err != nil {
 			return fmt.Errorf("clients' address %q: %w", cfg.Listen, err)
 		}
 		return nil
 	}
 	if env.clients == nil {
-		if env.clients, err = listenPatiently(func() (net.Listener, error) { return downstream.ListenShared(cfg.Listen) }); err != nil {
+		if env.clients, err = listenWithRetry(func() (net.Listener, error) { return downstream.ListenShared(cfg.Listen) }); err != nil {
 			return fmt.Errorf("clients' address %q: %w", cfg.Listen, err)
 		}
 	}
-	if env.admin, err = listenPatiently(func() (net.Listener, error) { return net.Listen("tcp", cfg.AdminListen) }); err != nil {
+	if env.admin, err = listenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", cfg.AdminListen) }); err != nil {
 		env.clients.Close()
 		return fmt.Errorf("admin address %q: %w", cfg.AdminListen, err)
 	}
@@ -156,8 +163,8 @@
 	s.loop.Attach(client, s.watcher)
 	s.conns = downstream.NewConnTracker(0) // applyLimits sets the limit
 	s.conns.Log = log
-	s.conns.AfterRead = cfg.AfterRead
-	s.conns.BeforeRead = cfg.BeforeRead
+	s.conns.BeforeRead = env.readHooks.before
+	s.conns.AfterRead = env.readHooks.after
 	s.applyLimits(1)
 	replayBytes := exchange.ReplayBufferBytes(cfg.Limits.MemoryMB)
 	s.clients = downstream.NewServer(s.state, s.loop, s.conns, replayBytes, ctx.Done())
