--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -3,10 +3,10 @@
 //
 //	downstream  accepts connections of clients and reads requests
 //	eventloop   owns the requests and package balance, which decides what is sent where
-//	upstream    sends attempts to servers over its pool of connections
+//	upstream    sends attempts to endpoints over its pool of connections
 //
-// Beside these, discovery follows the endpoint list, admin serves readiness and metrics, and upgrade connects the old and the
-// new process of an upgrade. The packages share the types of package exchange; config loads what they are configured with.
+// Beside these, discovery follows the endpoint list, admin serves readiness and metrics, and upgrade connects the predecessor and
+// the successor of an upgrade. The packages share the types of package exchange; config loads what they are configured with.
 //
 // The components that do work of their own have one goroutine each, started by service.start and ended by the context that
 // serve owns. They outlive the caller's context: a shutdown needs them until the last request has its response.
@@ -19,7 +19,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"os"
 	"sync"
 	"time"
@@ -37,8 +36,8 @@
 )
 
 const (
-	// connIdleFraction is the part of a server's idle timeout after which the sidecar closes an idle connection: it must do so
-	// before the server does.
+	// connIdleFraction is the fraction of an endpoint's idle timeout after which the sidecar closes an idle connection. A request
+	// that is written while the endpoint closes the connection fails, so that the sidecar must close it first.
 	connIdleFraction = 0.8
 	// defaultConnectTimeout applies where the configuration has none.
 	defaultConnectTimeout = time.Second
@@ -171,7 +170,7 @@
 	return s
 }
 
-// shortenIdleTimeout replaces the servers' idle timeout in the configuration by the time after which the pool closes an idle
+// shortenIdleTimeout replaces the endpoints' idle timeout in the configuration by the time after which the pool closes an idle
 // connection, as the balancer must know that, and returns it; 0: the configuration has no idle timeout.
 func shortenIdleTimeout(cfg *config.Config) time.Duration {
 	idleTime := (cfg.Balance.ConnIdleTimeout * connIdleFraction).Duration()
@@ -216,7 +215,7 @@
 func (s *service) serveClients(ctx context.Context) error {
 	server := s.clients.HTTPServer(s.log)
 	listener := downstream.NewListener(s.env.clients, s.conns, s.pool)
-	if ctx.Err() != nil { // the signal came during the start: the first responses end their connections already
+	if ctx.Err() != nil { // the signal came during the start: the first responses must announce the close
 		s.state.ShuttingDown.Store(true)
 	}
 	failed := make(chan error, 1)
@@ -228,34 +227,3 @@
 		return s.shutDown(server, listener)
 	}
 }
-
-// shutDown ends serving. Clients get the responses of the requests that were accepted; new connections go to the next process
-// if there is one, and are served for a short time otherwise.
-func (s *service) shutDown(server *http.Server, listener *downstream.Listener) error {
-	takenOver := s.env.upgrade.Retire()
-	s.log.Info("ending", "upgrade", takenOver)
-	longestDeadline := exchange.LongestDeadline(s.state.Settings.Load().Classes)
-	times := exchange.NewShutdownTimes(time.Now(), min(longestDeadline, exchange.MaxShutdownDeadline))
-	s.state.Shutdown.Store(times)
-	s.state.ShuttingDown.Store(true)
-	limit, cancel := context.WithDeadline(context.Background(), times.EndBy)
-	defer cancel()
-	if takenOver {
-		return s.clients.ShutdownAfterUpgrade(limit, server, listener)
-	}
-	return s.clients.Shutdown(limit, server, listener, s.cfg.AcceptDuringShutdown)
-}
-
-// applyLimits divides the limits of the sidecar among its processes, which are two during an upgrade, and the sockets of this
-// process between clients and servers.
-func (s *service) applyLimits(processes int) {
-	sockets := s.cfg.Limits.Sockets/processes - config.ReservedSockets
-	if s.cfg.AdminListen != "" {
-		sockets -= admin.MaxConns
-	}
-	sockets = max(sockets, config.MinSockets-config.ReservedSockets)
-	upstreamSockets := sockets / 2
-	s.pool.SetLimit(upstreamSockets)
-	s.conns.SetLimit(sockets - upstreamSockets)
-	s.cfg.Limits.ApplyMemory(processes)
-}
