--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -21,56 +22,62 @@
 type testSidecar struct {
 	t         *testing.T
 	addr      string
+	adminAddr string // empty without an admin listener
 	discovery *sidecartest.DiscoveryServer
-	shutdown  context.CancelFunc // starts the shutdown, as SIGTERM does
-	done      chan error
 	client    *http.Client
-	adminAddr string // empty without an admin listener
+	reloads   chan os.Signal     // each signal reloads the configuration, as SIGHUP does
+	shutdown  context.CancelFunc // starts the shutdown, as SIGTERM does
+	done      chan error         // receives the error with which the sidecar ended
+}
 
-	reloads chan os.Signal // each signal reloads the configuration, as SIGHUP does
+// newTestSidecar returns a sidecar that is not started, with its discovery service and its client.
+func newTestSidecar(t *testing.T) *testSidecar {
+	t.Helper()
+	return &testSidecar{
+		t:         t,
+		discovery: sidecartest.NewDiscoveryServer(t),
+		client:    &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Timeout},
+	}
 }
 
 // startSidecar starts a sidecar without a log; it is shut down at the end of the test.
 func startSidecar(t *testing.T, cfg *config.Config) *testSidecar {
 	t.Helper()
-	return startSidecarWithLog(t, cfg, slog.DiscardHandler)
+	return startSidecarWith(t, cfg, slog.DiscardHandler, readHooks{})
 }
 
-// startSidecarWithLog starts a sidecar that logs to a handler; it is shut down at the end of the test, which fails if the
-// shutdown does.
-func startSidecarWithLog(t *testing.T, cfg *config.Config, log slog.Handler) *testSidecar {
+// startSidecarWith starts a sidecar that logs to a handler and runs hooks around its reads. It is shut down at the end of the
+// test, which fails if the shutdown does.
+func startSidecarWith(t *testing.T, cfg *config.Config, log slog.Handler, hooks readHooks) *testSidecar {
 	t.Helper()
-	sidecar := &testSidecar{
-		t:         t,
-		discovery: sidecartest.NewDiscoveryServer(t),
-		done:      make(chan error, 1),
-		reloads:   make(chan os.Signal, 1),
-		client:    &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Timeout},
-	}
+	sidecar := newTestSidecar(t)
+	sidecar.done = make(chan error, 1)
+	sidecar.reloads = make(chan os.Signal, 1)
 	cfg.Discovery = sidecar.discovery.Addr
 	ln := sidecartest.Listen(t)
 	sidecar.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	sidecar.shutdown = cancel
-	adminListener := sidecar.listenAdmin(cfg)
-	go func() {
-		sidecar.done <- serve(ctx, cfg, environment{clients: ln, admin: adminListener}, sidecar.reloads, slog.New(log))
-	}()
-	t.Cleanup(func() {
-		sidecar.client.CloseIdleConnections()
-		cancel()
-		select {
-		case err := <-sidecar.done:
-			if err != nil {
-				t.Errorf("the sidecar ended with an error: %v", err)
-			}
-		case <-time.After(sidecartest.Timeout):
-			t.Error("the sidecar did not end in time")
-		}
-	})
+	env := environment{clients: ln, admin: sidecar.listenAdmin(cfg), readHooks: hooks}
+	go func() { sidecar.done <- serve(ctx, cfg, env, sidecar.reloads, slog.New(log)) }()
+	t.Cleanup(sidecar.end)
 	return sidecar
 }
 
+// end shuts the sidecar down, and fails the test if that fails or takes too long.
+func (sidecar *testSidecar) end() {
+	sidecar.client.CloseIdleConnections()
+	sidecar.shutdown()
+	select {
+	case err := <-sidecar.done:
+		if err != nil {
+			sidecar.t.Errorf("the sidecar ended with an error: %v", err)
+		}
+	case <-time.After(sidecartest.Timeout):
+		sidecar.t.Error("the sidecar did not end in time")
+	}
+}
+
 // listenAdmin listens at an admin address if the configuration names one.
 func (sidecar *testSidecar) listenAdmin(cfg *config.Config) net.Listener {
 	if cfg.AdminListen == "" {
@@ -110,7 +117,7 @@
 	return request
 }
 
-// newRequestNamed makes a request in the form of a class with the name of another one.
+// newRequestNamed makes a request with the method and headers of a class and the name of another one.
 func (sidecar *testSidecar) newRequestNamed(class, name string) *http.Request {
 	request := sidecar.newRequest(class)
 	request.Header.Set("X-Qos", name)
@@ -174,6 +181,20 @@
 	return conn
 }
 
+// expectResponse reads a response from a connection, or a buffered reader of it, and fails the test if its status is another
+// one. request names the request for the message of the failure.
+func (sidecar *testSidecar) expectResponse(from io.Reader, request string, status int) *http.Response {
+	sidecar.t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(from), nil)
+	if err != nil {
+		sidecar.t.Fatalf("%s: no response: %v", request, err)
+	}
+	if resp.StatusCode != status {
+		sidecar.t.Fatalf("%s: status %d, want %d", request, resp.StatusCode, status)
+	}
+	return resp
+}
+
 // write sends text on a connection.
 func (sidecar *testSidecar) write(conn net.Conn, text string) {
 	sidecar.t.Helper()
