--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -54,7 +54,7 @@
 	if discovery != "" && discovery == c.fileDiscovery {
 		c.Discovery = discovery
 	}
-	if len(known.Members) == 0 {
+	if len(known.Endpoints) == 0 {
 		return
 	}
 	c.KnownEndpoints = known
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -14,7 +14,7 @@
 // TestIndentedAndTruncatedLists checks that an indented list is read, and that a truncated response is dropped and followed by a call
 // for the complete list.
 func TestIndentedAndTruncatedLists(t *testing.T) {
-	complete := membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")}}
+	complete := membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")}}
 	text, err := json.MarshalIndent(complete, "\t", "    ")
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 				}
 			}))
 			event := sidecartest.Next(t, startWatcher(t, cfg))
-			if !event.isList(42) || len(event.list.Members) != 2 {
+			if !event.isList(42) || len(event.list.Endpoints) != 2 {
 				t.Errorf("got the event %v, want revision 42 with 2 endpoints", event)
 			}
 		})
@@ -92,7 +92,7 @@
 			if event := sidecartest.Next(t, events); event.err == nil {
 				t.Fatalf("got the event %v, want a failure", event)
 			}
-			if event := sidecartest.Next(t, events); !event.isList(42) || len(event.list.Members) != 1 {
+			if event := sidecartest.Next(t, events); !event.isList(42) || len(event.list.Endpoints) != 1 {
 				t.Errorf("then got the event %v, want revision 42 with 1 endpoint", event)
 			}
 		})
--- a/internal/eventloop/clockstep_faults_test.go
+++ b/internal/eventloop/clockstep_faults_test.go
@@ -19,8 +19,8 @@
 	previous.upstreamClient = newTestUpstream(t)
 	previous.clock.update()
 	endpoint := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
-	endpoint.UpSince = float64(previous.clock.now - 1000)
-	previous.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
+	endpoint.StartedAt = previous.clock.now - 1000
+	previous.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
 	fault.SetClockStep(time.Hour)
 	t.Cleanup(func() { fault.SetClockStep(0) })
 	state := previous.exportState()
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -24,9 +24,9 @@
 		complete: l.list.complete || kind != balance.UpdateCachedSnapshot || ev.list.Complete,
 	}
 	l.observeClocks()
-	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEndpoints(ev.list.Members)}
+	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEndpoints(ev.list.Endpoints)}
 	if kind != balance.UpdateDelta {
-		l.removeUnlisted(ev.list.Members)
+		l.removeUnlisted(ev.list.Endpoints)
 	}
 	l.state.Ready.Store(l.endpoints.len() > 0)
 	l.notifyBalancer(update)
@@ -76,12 +76,12 @@
 		endpoint = l.endpoints.add(listed.ID)
 	}
 	address := endpoint.Address.Load()
-	restarted := listed.UpSince > 0 && listed.UpSince != endpoint.Listed.UpSince // less, if the wall clock was set back
+	restarted := listed.StartedAt > 0 && listed.StartedAt != endpoint.Listed.StartedAt // less, if the wall clock was set back
 	if restarted || address == nil {
-		endpoint.StartedAt = l.starts.loopTime(balance.Milliseconds(listed.UpSince), l.clock.now)
+		endpoint.StartedAt = l.starts.loopTime(listed.StartedAt, l.clock.now)
 	}
-	if address == nil || restarted || *address != listed.HostPort {
-		current := strings.Clone(listed.HostPort) // a substring would keep the text of the whole list in memory
+	if address == nil || restarted || *address != listed.Address {
+		current := strings.Clone(listed.Address) // a substring would keep the text of the whole list in memory
 		endpoint.Address.Store(&current)
 		l.upstreamClient.CloseIdle(endpoint) // they lead to the previous process
 	}
@@ -112,10 +112,10 @@
 		ID:          endpoint.ID,
 		State:       listed.State(),
 		StartedAt:   endpoint.StartedAt,
-		Rating:      listed.Size,
+		Rating:      listed.Rating,
 		Cell:        listed.Cell,
-		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Locality),
-		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.Flavor),
+		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Zone),
+		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.MachineType),
 	}
 }
 
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -55,7 +55,7 @@
 // completeList returns an endpoint list with one ready endpoint.
 func completeList(address string) endpointListUpdate {
 	endpoints := []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", address)}
-	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: endpoints}}
+	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: endpoints}}
 }
 
 // A request that the balancer never finishes fails when its timer fires, and no later response is sent for it.
@@ -111,7 +111,7 @@
 		l := newTestLoop(t)
 		l.upstreamClient = newTestUpstream(t)
 		for _, i := range order {
-			l.applyList(endpointListUpdate{list: &membership.EndpointList{Members: endpoints[i : i+1]}}, balance.UpdateDelta)
+			l.applyList(endpointListUpdate{list: &membership.EndpointList{Endpoints: endpoints[i : i+1]}}, balance.UpdateDelta)
 		}
 		ids := map[string]balance.EndpointID{}
 		for name, endpoint := range l.endpoints.byName {
@@ -209,8 +209,8 @@
 	before := heapBytes()
 	for round := range 20 { // each list replaces the previous one
 		list := sidecartest.NumberedEndpoints(endpointCount, "127.0.0.1:1")
-		for i := range list.Members {
-			list.Members[i].ID += fmt.Sprint(round)
+		for i := range list.Endpoints {
+			list.Endpoints[i].ID += fmt.Sprint(round)
 		}
 		l.applyList(endpointListUpdate{&list, "127.0.0.1:2"}, 0)
 	}
--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -233,7 +233,7 @@
 		ctx:    ctx,
 		downAt: downAt,
 		upAt:   downAt.Add(outage),
-		before: membership.EndpointList{Revision: 41, Complete: true, Members: []membership.Endpoint{first, second}},
-		after:  membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{draining, second}},
+		before: membership.EndpointList{Revision: 41, Complete: true, Endpoints: []membership.Endpoint{first, second}},
+		after:  membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{draining, second}},
 	}
 }
--- a/internal/eventloop/starttimes_test.go
+++ b/internal/eventloop/starttimes_test.go
@@ -64,13 +64,13 @@
 	l.upstreamClient = newTestUpstream(t)
 	l.clock.update()
 	listed := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
-	listed.UpSince = float64(l.clock.now - 60e3)
-	l.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Endpoint{listed}}}, balance.UpdateSnapshot)
+	listed.StartedAt = l.clock.now - 60e3
+	l.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{listed}}}, balance.UpdateSnapshot)
 	endpoint := l.endpoints.byName["s-1"]
 	address := endpoint.Address.Load()
 
 	l.starts.observe(l.clock.now, l.clock.now-hour)
-	listed.UpSince = float64(l.clock.now - hour - 1000)
+	listed.StartedAt = l.clock.now - hour - 1000
 	restarted := l.balancerEndpoint(l.updateEndpoint(&listed), &listed)
 	if endpoint.Address.Load() == address {
 		t.Error("connections to the previous process are still used")
--- a/internal/eventloop/state.go
+++ b/internal/eventloop/state.go
@@ -45,7 +45,7 @@
 		WallAhead: l.starts.wallAhead(),
 	}
 	for _, endpoint := range l.endpoints.sorted() {
-		state.List.Members = append(state.List.Members, endpoint.Listed)
+		state.List.Endpoints = append(state.List.Endpoints, endpoint.Listed)
 	}
 	return state
 }
--- a/internal/membership/parse_test.go
+++ b/internal/membership/parse_test.go
@@ -38,11 +38,11 @@
 func TestParseNamesInvalidAddress(t *testing.T) {
 	_, err := Parse([]byte(`{"revision": 1, "complete": true, "members": [{"id": "s-1", "host_port": "x", "phase": "draining"}]}`))
 	var invalid *AddressError
-	if !errors.As(err, &invalid) || invalid.EndpointID != "s-1" || invalid.HostPort != "x" {
+	if !errors.As(err, &invalid) || invalid.EndpointID != "s-1" || invalid.Address != "x" {
 		t.Errorf("got error %v, want an AddressError of endpoint s-1 and address x", err)
 	}
 	list, err := Parse([]byte(`{"revision": 1, "complete": true, "members": [{"id": "s-1", "host_port": "x", "phase": "gone"}]}`))
-	if err != nil || len(list.Members) != 1 {
+	if err != nil || len(list.Endpoints) != 1 {
 		t.Errorf("an endpoint that is gone without an address: got %+v and error %v, want the list", list, err)
 	}
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -97,7 +97,7 @@
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
 	barrier := logBarrier{slog.DiscardHandler, "list of servers", make(chan bool), make(chan bool)}
 	sidecar, blocker, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), barrier)
-	sidecar.discovery.Lists <- membership.EndpointList{Members: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
+	sidecar.discovery.Lists <- membership.EndpointList{Endpoints: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
 	sidecartest.Next(t, barrier.reached)
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	<-blocker.blocked
--- a/internal/sidecar/endpoint_restart_test.go
+++ b/internal/sidecar/endpoint_restart_test.go
@@ -34,7 +34,7 @@
 	}()
 	gate.AwaitRequest(t)
 	restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
-	restarted.UpSince = 5
+	restarted.StartedAt = 5
 	sidecar.discovery.Lists <- sidecartest.ListUpdate(50, restarted)
 	sidecartest.Next(t, sidecar.discovery.Queries)                                 // the list is queued for the event loop
 	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 { // handled after the list
@@ -73,7 +73,7 @@
 			t.Errorf("after %d endpoint lists: %d connections, want %d", up, conns, want)
 		}
 		restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
-		restarted.UpSince = 5 // the same in both lists
+		restarted.StartedAt = 5 // the same in both lists
 		sidecar.discovery.Lists <- sidecartest.ListUpdate(int64(50+up), restarted)
 		sidecartest.Next(t, sidecar.discovery.Queries) // the list has reached the event loop
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -18,7 +18,7 @@
 	secondServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "two"))
 	file := newConfigFile(t)
 	cfg := file.load(nil)
-	cfg.KnownEndpoints.Members = []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", firstServer.Addr)}
+	cfg.KnownEndpoints.Endpoints = []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", firstServer.Addr)}
 	cfg.AcceptDuringShutdown = 0
 	sidecar := startSidecar(t, cfg)
 	sidecartest.Next(t, sidecar.discovery.Queries) // the watch at the former address
@@ -56,7 +56,7 @@
 	secondServer := sidecartest.NewScriptedServer(t, failing, sidecartest.Respond(200, "ok"))
 	file := newConfigFile(t)
 	cfg := withAdmin(file.load(nil))
-	cfg.KnownEndpoints.Members = []membership.Endpoint{
+	cfg.KnownEndpoints.Endpoints = []membership.Endpoint{
 		sidecartest.ReadyEndpoint("s-1", firstServer.Addr),
 		sidecartest.ReadyEndpoint("s-2", secondServer.Addr),
 	}
@@ -99,7 +99,7 @@
 	file := newConfigFile(t)
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "ok"))
 	cfg := withAdmin(file.load(nil))
-	cfg.KnownEndpoints.Members = []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", server.Addr)}
+	cfg.KnownEndpoints.Endpoints = []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", server.Addr)}
 	cfg.AcceptDuringShutdown = 0
 	sidecar := startSidecar(t, cfg)
 	other := sidecartest.NewDiscoveryServer(t)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -93,7 +93,7 @@
 	env.predecessor = state
 	env.clients = listener
 	cfg.UsePredecessor(state.Discovery, state.List)
-	log.Info("taking over", "endpoints", len(state.List.Members), "revision", state.List.Revision)
+	log.Info("taking over", "endpoints", len(state.List.Endpoints), "revision", state.List.Revision)
 }
 
 // listen opens the listeners that the environment does not have yet. Where there is an admin address, the clients' address
--- a/internal/sidecartest/config.go
+++ b/internal/sidecartest/config.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatalf("parse the configuration: %v", err)
 	}
-	cfg.KnownEndpoints.Members = endpoints
+	cfg.KnownEndpoints.Endpoints = endpoints
 	cfg.AcceptDuringShutdown = 0
 	cfg.ConnReuseDelay = 0
 	return cfg
--- a/internal/sidecartest/endpoints.go
+++ b/internal/sidecartest/endpoints.go
@@ -9,13 +9,13 @@
 // ReadyEndpoint returns the list entry of an endpoint in phase ready at an address.
 func ReadyEndpoint(id, addr string) membership.Endpoint {
 	return membership.Endpoint{
-		ID:       id,
-		HostPort: addr,
-		Locality: "room-1",
-		Flavor:   "small",
-		Cell:     1,
-		Phase:    "ready",
-		Size:     1,
+		ID:          id,
+		Address:     addr,
+		Zone:        "room-1",
+		MachineType: "small",
+		Cell:        1,
+		Phase:       "ready",
+		Rating:      1,
 	}
 }
 
@@ -28,12 +28,12 @@
 
 // CompleteList returns a list of all endpoints.
 func CompleteList(revision int64, endpoints ...membership.Endpoint) membership.EndpointList {
-	return membership.EndpointList{Revision: revision, Complete: true, Members: endpoints}
+	return membership.EndpointList{Revision: revision, Complete: true, Endpoints: endpoints}
 }
 
 // ListUpdate returns a list of the endpoints that changed.
 func ListUpdate(revision int64, endpoints ...membership.Endpoint) membership.EndpointList {
-	return membership.EndpointList{Revision: revision, Members: endpoints}
+	return membership.EndpointList{Revision: revision, Endpoints: endpoints}
 }
 
 // idFactor is a prime that spreads the numbers of endpoints over the digits of their IDs.
@@ -45,8 +45,8 @@
 	for i := range count {
 		endpoint := ReadyEndpoint(fmt.Sprintf("s-%08x", i*idFactor), addr)
 		endpoint.Cell = i / 2
-		endpoint.Locality = fmt.Sprintf("room-%d", 1+i%2)
-		list.Members = append(list.Members, endpoint)
+		endpoint.Zone = fmt.Sprintf("room-%d", 1+i%2)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list
 }
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -65,7 +65,7 @@
 // readyEndpoint returns the list entry of an endpoint that is ready at an address.
 func readyEndpoint(id EndpointID, address string) membership.Endpoint {
 	return membership.Endpoint{
-		ID: string(id), HostPort: address, Locality: zoneName, Flavor: kindName, Cell: 1, Phase: standin.PhaseReady, Size: 1,
+		ID: string(id), Address: address, Zone: zoneName, MachineType: kindName, Cell: 1, Phase: membership.PhaseReady, Rating: 1,
 	}
 }
 
--- a/internal/soak/event_drain.go
+++ b/internal/soak/event_drain.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"cindersaddle/internal/standin"
+	"cindersaddle/internal/membership"
 )
 
 // DrainEndpoint lists an endpoint as draining, and as gone after a length of time.
@@ -21,13 +21,13 @@
 
 func (a DrainEndpoint) carryOut(r *run) {
 	endpoint := r.endpoint(a.Endpoint)
-	r.setPhase(endpoint, standin.PhaseDraining)
+	r.setPhase(endpoint, membership.PhaseDraining)
 	time.Sleep(a.Length)
-	r.setPhase(endpoint, standin.PhaseGone)
+	r.setPhase(endpoint, membership.PhaseGone)
 }
 
 // setPhase has the discovery of each sidecar list an endpoint in another phase.
-func (r *run) setPhase(endpoint *endpoint, phase string) {
+func (r *run) setPhase(endpoint *endpoint, phase membership.Phase) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	endpoint.listEntry.Phase = phase
--- a/internal/soak/event_restart.go
+++ b/internal/soak/event_restart.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"time"
 
+	"cindersaddle/balance"
+	"cindersaddle/internal/membership"
 	"cindersaddle/internal/standin"
 )
 
@@ -25,7 +27,7 @@
 	endpoint := r.endpoint(a.Endpoint)
 	former := endpoint.server
 	former.Close()
-	r.setPhase(endpoint, standin.PhaseGone)
+	r.setPhase(endpoint, membership.PhaseGone)
 	time.Sleep(a.Downtime)
 	next, err := standin.NewServer(former.Addr(), r.behavior(endpoint))
 	if err != nil {
@@ -33,7 +35,7 @@
 		return
 	}
 	r.beginIncarnation(endpoint, next)
-	r.setPhase(endpoint, standin.PhaseReady)
+	r.setPhase(endpoint, membership.PhaseReady)
 }
 
 // beginIncarnation replaces the server of an endpoint, and records the start by the wall clock of the endpoint's machine.
@@ -43,6 +45,6 @@
 	endpoint.formerAttempts = append(endpoint.formerAttempts, endpoint.server.Attempts()...)
 	endpoint.server = server
 	startedAt := time.Now()
-	endpoint.listEntry.UpSince = float64(startedAt.Add(time.Duration(r.clockStep.Load())).UnixMilli())
+	endpoint.listEntry.StartedAt = balance.Milliseconds(startedAt.Add(time.Duration(r.clockStep.Load())).UnixMilli())
 	r.records.RestartedAt[endpoint.id] = startedAt
 }
--- a/internal/soak/rogue_exchange_test.go
+++ b/internal/soak/rogue_exchange_test.go
@@ -106,7 +106,7 @@
 
 // roundTrip sends a request over a connection of its own.
 func roundTrip(ctx context.Context, endpoint *membership.Endpoint, request *http.Request) ([]byte, error) {
-	conn, err := net.DialTimeout("tcp", endpoint.HostPort, time.Second)
+	conn, err := net.DialTimeout("tcp", endpoint.Address, time.Second)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/rogue_list_test.go
+++ b/internal/soak/rogue_list_test.go
@@ -49,11 +49,11 @@
 	defer s.mu.Unlock()
 	var ready []membership.Endpoint
 	var newest *membership.Endpoint
-	for _, endpoint := range s.list.Members {
+	for _, endpoint := range s.list.Endpoints {
 		if endpoint.Phase == "ready" || s.fault == rogueAnyEndpoint {
 			ready = append(ready, endpoint)
 		}
-		if endpoint.UpSince > 0 && (newest == nil || endpoint.UpSince > newest.UpSince) {
+		if endpoint.StartedAt > 0 && (newest == nil || endpoint.StartedAt > newest.StartedAt) {
 			newest = &endpoint
 		}
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -114,10 +114,10 @@
 }
 
 func (d *Discovery) listLocked() membership.EndpointList {
-	list := membership.EndpointList{Revision: d.revision, Complete: true, Members: []membership.Endpoint{}}
+	list := membership.EndpointList{Revision: d.revision, Complete: true, Endpoints: []membership.Endpoint{}}
 	for _, endpoint := range d.endpoints {
 		if endpoint.State() != balance.Gone {
-			list.Members = append(list.Members, endpoint)
+			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
 	return list
--- a/internal/standin/endpointchange.go
+++ b/internal/standin/endpointchange.go
@@ -6,13 +6,6 @@
 	"cindersaddle/balance"
 )
 
-// The phases of an endpoint on the wire of discovery.
-const (
-	PhaseReady    = "ready"
-	PhaseDraining = "draining"
-	PhaseGone     = "gone"
-)
-
 // EndpointChange is a change of an endpoint's list entry that discovery delivered to its sidecar.
 type EndpointChange struct {
 	EndpointID string
--- a/internal/upgrade/codec.go
+++ b/internal/upgrade/codec.go
@@ -39,7 +39,7 @@
 	Cell     int
 	Phase    string
 	Size     float64
-	UpSince  float64
+	UpSince  balance.Milliseconds
 }
 
 type encodedLearnedState struct {
@@ -109,20 +109,46 @@
 
 func encodeList(list *membership.EndpointList) encodedList {
 	encoded := encodedList{Revision: list.Revision, Complete: list.Complete}
-	for _, endpoint := range list.Members {
-		encoded.Members = append(encoded.Members, encodedListEntry(endpoint))
+	for i := range list.Endpoints {
+		encoded.Members = append(encoded.Members, encodeListEntry(&list.Endpoints[i]))
 	}
 	return encoded
 }
 
 func (l *encodedList) decode() membership.EndpointList {
 	list := membership.EndpointList{Revision: l.Revision, Complete: l.Complete}
-	for _, entry := range l.Members {
-		list.Members = append(list.Members, membership.Endpoint(entry))
+	for i := range l.Members {
+		list.Endpoints = append(list.Endpoints, l.Members[i].decode())
 	}
 	return list
 }
 
+func encodeListEntry(endpoint *membership.Endpoint) encodedListEntry {
+	return encodedListEntry{
+		ID:       endpoint.ID,
+		HostPort: endpoint.Address,
+		Locality: endpoint.Zone,
+		Flavor:   endpoint.MachineType,
+		Cell:     endpoint.Cell,
+		Phase:    string(endpoint.Phase),
+		Size:     endpoint.Rating,
+		UpSince:  endpoint.StartedAt,
+	}
+}
+
+func (e *encodedListEntry) decode() membership.Endpoint {
+	return membership.Endpoint{
+		ID:          e.ID,
+		Address:     e.HostPort,
+		Zone:        e.Locality,
+		MachineType: e.Flavor,
+		Cell:        e.Cell,
+		Phase:       membership.Phase(e.Phase),
+		Rating:      e.Size,
+		StartedAt:   e.UpSince,
+	}
+}
+
 func encodeLearned(learned *balance.LearnedState) encodedLearnedState {
 	encoded := encodedLearnedState{
 		Started:     learned.StartedAt,
--- a/internal/upgrade/compatibility_test.go
+++ b/internal/upgrade/compatibility_test.go
@@ -14,8 +14,8 @@
 // recordedState is what a process of the version before the renaming encoded into testdata/state-v1.gob.
 var recordedState = State{
 	Version: 1, Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500",
-	List: membership.EndpointList{Revision: 41, Complete: true, Members: []membership.Endpoint{{
-		ID: "s-1", HostPort: "127.0.0.1:9", Locality: "room-1", Flavor: "small", Cell: 2, Phase: "draining", Size: 1.5, UpSince: 77,
+	List: membership.EndpointList{Revision: 41, Complete: true, Endpoints: []membership.Endpoint{{
+		ID: "s-1", Address: "127.0.0.1:9", Zone: "room-1", MachineType: "small", Cell: 2, Phase: "draining", Rating: 1.5, StartedAt: 77,
 	}}},
 	Classes: []string{"read", "pay"}, Tenants: []string{"acme"},
 	Learned: balance.LearnedState{
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -238,7 +238,7 @@
 	for _, state := range []State{
 		{Version: StateVersion, Listen: "127.0.0.1:2"}, {Version: StateVersion + 1, Listen: "127.0.0.1:1"},
 		{Version: StateVersion, Listen: "127.0.0.1:1",
-			List: membership.EndpointList{Members: []membership.Endpoint{{ID: "s", Phase: "?"}}}},
+			List: membership.EndpointList{Endpoints: []membership.Endpoint{{ID: "s", Phase: "?"}}}},
 	} {
 		cfg := &config.Config{Listen: "127.0.0.1:1", AdminListen: "x", ScratchDir: t.TempDir()}
 		handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
