--- a/balance/actions.go
+++ b/balance/actions.go
@@ -11,7 +11,6 @@
 	CancelAttempt                    // Request, Attempt
 	SetTimer                         // Token, Delay
 	CheckHealth                      // Endpoint
-	CloseIdleConns                   // Endpoint
 	Log                              // Text
 	WatchEndpoints                   // poll the endpoint list, or subscribe to it
 )
--- a/balance/config.go
+++ b/balance/config.go
@@ -29,8 +29,6 @@
 	DedupWindow Milliseconds
 	// LatencyObjective is the latency within which a response earns the full priority weight.
 	LatencyObjective Milliseconds
-	// ObjectiveStretch is the multiple of the request's own work that is added to the latency objective.
-	ObjectiveStretch float64
 	// Deadline is how long a client waits at most, over all attempts of its own.
 	Deadline Milliseconds
 	// PriorityWeight is what a response within the latency objective earns.
@@ -43,7 +41,6 @@
 
 // Tenant is one customer of the service.
 type Tenant struct {
-	QuotaRate  float64 // requests per second within its quota, over all sidecars
 	QuotaShare float64 // quota as a fraction of the service's requests
 }
 
@@ -71,17 +68,6 @@
 	LoadFieldErrorRate             // errors per second
 )
 
-// RatingKind says what Endpoint.Rating means.
-type RatingKind uint8
-
-// The meanings of Endpoint.Rating.
-const (
-	RatingNone        RatingKind = iota // nothing; it is 1
-	RatingNominal                       // registered capacity
-	RatingApproximate                   // approximate capacity
-	RatingLive                          // capacity / (1 + requests in flight per core), sampled earlier
-)
-
 // Config holds the settings of one sidecar.
 type Config struct {
 	Seed            uint64 // of the random numbers
@@ -93,25 +79,20 @@
 	OverQuotaWeight float64 // priority of a request beyond its tenant's quota, as a fraction
 
 	MinBatchInterval    Milliseconds // shortest time between two batches of events
-	WeightByWork        bool         // the priority weight counts per unit of work instead of per request
 	ClientRetriesMarked bool         // clients mark their retries, so that Request.ClientRetry can be trusted
 	KeyCaching          bool         // an endpoint does less work for a key that it served recently
 
 	PolledDiscovery  bool           // the endpoint list has to be polled
 	LoadReports      LoadReportMode // how load reports arrive
 	LoadReportFields []LoadField    // the values of a load report, in order
-	Ratings          RatingKind
 
 	MaxAttempts     int          // attempts per request
-	Hedging         bool         // two attempts of a request may be in flight at the same time
 	Cancellation    bool         // attempts may be cancelled
 	HealthChecks    bool         // endpoints may be health-checked
 	RetryAfter      bool         // rejections carry a Retry-After time
 	MaxRetryAfter   Milliseconds // longest Retry-After time that a client obeys
 	ConnectTimeout  Milliseconds
 	ConnIdleTimeout Milliseconds // an unused connection is closed after this
-	StreamsPerConn  int          // concurrent attempts per connection
-	MaxOpenRequests int          // requests beyond this number never reach the balancer; 0: no limit
 
 	DrainGrace            Milliseconds // attempts to a draining or removed endpoint must stop within this
 	WarmUpInitialFraction float64      // least fraction of its capacity that an endpoint starts with
@@ -119,16 +100,13 @@
 	OverloadFactor        float64      // a warming-up endpoint fails above this multiple of its capacity
 	OverloadWindow        Milliseconds // ... if that lasts this long
 	MaxPollInterval       Milliseconds // without a subscription, how often the list has to be polled
-	AnswerGrace           Milliseconds // an answer this long after the client's deadline still counts
 
-	ScoreWeights ScoreWeights
-	Costs        Costs
+	Costs Costs
 }
 
-// ScoreWeights weighs the parts of the result; load shedding chooses the requests to reject by it.
-type ScoreWeights struct{ Whole, WorstWindow, WorstClass, WorstTenant, Nines float64 }
-
 // Costs are subtracted from the result, each per unit of what it names.
 type Costs struct {
-	CrossZone, WastedWork, NewConnection, HealthCheck, PeerTraffic, LateFailure, OpenConnection float64
+	CrossZone     float64 // attempts to endpoints of another zone
+	NewConnection float64 // connections opened
+	HealthCheck   float64 // health checks sent
 }
--- a/balance/events.go
+++ b/balance/events.go
@@ -95,9 +95,6 @@
 // String returns the name of a result for logs.
 func (r Result) String() string { return resultNames[r] }
 
-// NeverExecuted reports whether the result proves that the attempt was not executed.
-func (r Result) NeverExecuted() bool { return r == Rejected || r == ConnectFailed || r == NotAttempted }
-
 // Outcome is the end of an attempt. Every attempt gets exactly one.
 type Outcome struct {
 	Request       RequestID
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -31,7 +31,7 @@
 	eventsOfSmallFleet   = 6000 // for each configuration
 	eventsOfLargeFleet   = 3000
 	largeFleetOfScript   = 100                    // a configuration with as many endpoints has fewer events
-	actionKinds          = len(recordedKinds) + 2 // with two removed ones
+	actionKinds          = len(recordedKinds) + 3 // with three removed ones
 	resultKinds          = int(balance.NotAttempted) + 1
 	eventsBetweenChanges = 40 // between two changes of the endpoints, the update or the load
 )
@@ -39,7 +39,7 @@
 // recordedKinds are the numbers that the kinds of actions had when the golden file was recorded.
 var recordedKinds = [...]int{
 	balance.SendAttempt: 0, balance.RejectRequest: 1, balance.FailRequest: 2, balance.CancelAttempt: 3, balance.SetTimer: 4,
-	balance.CheckHealth: 5, balance.CloseIdleConns: 6, balance.Log: 8, balance.WatchEndpoints: 9,
+	balance.CheckHealth: 5, balance.Log: 8, balance.WatchEndpoints: 9,
 }
 
 var update = flag.Bool("update", false, "rewrite the golden file")
@@ -271,6 +271,13 @@
 	return s.chance(probability)
 }
 
+// retireDraws draws for removed settings, so that later draws stay as recorded.
+func (s *simulation) retireDraws(count int) {
+	for range count {
+		s.random.Float64()
+	}
+}
+
 // simulation is a fleet, its clients and its network around one balancer.
 type simulation struct {
 	t             *testing.T
@@ -296,6 +303,7 @@
 	lastEndpoint     balance.EndpointID
 	zones            int
 	endpointsPerCell int
+	rated            bool // new endpoints have a rating
 	silentUntil      []balance.Milliseconds
 	slowdown         float64
 	interval         balance.Milliseconds // mean time between requests
@@ -341,19 +349,26 @@
 func (s *simulation) drawConfig() balance.Config {
 	c := balance.Config{
 		Seed: s.random.Uint64(), InstanceCount: []int{1, 3, 20, 200}[s.number/2%4], Zone: s.random.IntN(3),
-		OverQuotaWeight: s.random.Float64(), MinBatchInterval: s.span(0, 6), WeightByWork: s.chance(0.5), ClientRetriesMarked: s.chance(0.5),
+		OverQuotaWeight: s.random.Float64(), MinBatchInterval: s.span(0, 6), ClientRetriesMarked: s.chanceAfterRetiredDraw(0.5),
 		KeyCaching: s.number%2 == 0, PolledDiscovery: s.number%4 != 3, LoadReports: balance.LoadReportMode(s.number % 3),
-		LoadReportFields: s.drawFields(), Ratings: balance.RatingKind(s.random.IntN(4)),
-		MaxAttempts: 1 + s.number%5, Hedging: s.chance(0.5), Cancellation: s.chance(0.7),
-		RetryAfter: s.chanceAfterRetiredDraw(0.5), MaxRetryAfter: s.span(20, 2000), ConnectTimeout: s.span(50, 500),
-		ConnIdleTimeout: s.span(0, 20000), StreamsPerConn: 1 + s.random.IntN(100), MaxOpenRequests: s.random.IntN(2) * 500,
-	}
+		LoadReportFields: s.drawFields(), MaxAttempts: 1 + s.number%5,
+	}
+	s.rated = s.random.IntN(4) > 0
+	c.Cancellation = s.chanceAfterRetiredDraw(0.7)
+	c.RetryAfter = s.chanceAfterRetiredDraw(0.5)
+	c.MaxRetryAfter, c.ConnectTimeout, c.ConnIdleTimeout = s.span(20, 2000), s.span(50, 500), s.span(0, 20000)
+	s.random.IntN(100) // two removed limits
+	s.random.IntN(2)
 	c.InstanceIndex = s.random.IntN(c.InstanceCount)
 	c.HealthChecks = c.LoadReports == balance.LoadReportsPolled && s.chance(0.8) || s.chance(0.6)
 	c.DrainGrace, c.WarmUpInitialFraction, c.WarmUpDuration = s.span(500, 5000), s.between(0.05, 0.5), s.span(0, 20000)
 	c.OverloadFactor, c.OverloadWindow = s.between(1, 4), s.span(300, 3000)
-	c.MaxPollInterval, c.AnswerGrace = balance.Milliseconds(s.random.IntN(3))*6000, s.span(0, 50)
-	c.ScoreWeights, c.Costs = s.drawScoreWeights(), s.drawCosts()
+	c.MaxPollInterval = balance.Milliseconds(s.random.IntN(3)) * 6000
+	s.retireDraws(1)
+	if !s.chance(0.4) { // the weights of the score, which were removed
+		s.retireDraws(5)
+	}
+	c.Costs = s.drawCosts()
 	for range 1 + s.random.IntN(6) {
 		c.Classes = append(c.Classes, s.drawClass())
 	}
@@ -372,37 +387,32 @@
 	return fields
 }
 
-func (s *simulation) drawScoreWeights() balance.ScoreWeights {
-	if s.chance(0.4) {
-		return balance.ScoreWeights{}
-	}
-	return balance.ScoreWeights{
-		Whole: s.random.Float64(), WorstWindow: s.random.Float64(), WorstClass: s.random.Float64(),
-		WorstTenant: s.random.Float64(), Nines: s.random.Float64(),
-	}
-}
-
 func (s *simulation) drawCosts() balance.Costs {
-	return balance.Costs{
-		CrossZone: s.between(0, 0.1), WastedWork: s.random.Float64(), NewConnection: s.between(0, 0.05),
-		HealthCheck: s.between(0, 0.02), PeerTraffic: s.between(0, 0.02), LateFailure: s.random.Float64(), OpenConnection: s.between(0, 0.01),
-	}
+	var costs balance.Costs
+	costs.CrossZone = s.between(0, 0.1)
+	s.retireDraws(1)
+	costs.NewConnection, costs.HealthCheck = s.between(0, 0.05), s.between(0, 0.02)
+	s.retireDraws(3)
+	return costs
 }
 
 func (s *simulation) drawClass() balance.Class {
-	objective := s.span(40, 800)
-	return balance.Class{
-		Idempotency: balance.Idempotency(s.random.IntN(3)), DedupScope: balance.DedupScope(s.random.IntN(3)), DedupWindow: s.span(100, 4000),
-		LatencyObjective: objective, ObjectiveStretch: s.between(0, 3), Deadline: objective * s.span(1, 5), PriorityWeight: s.between(0.1, 10),
-		LateWeight: s.random.Float64() * s.random.Float64(), Streaming: s.chance(0.2),
+	class := balance.Class{
+		LatencyObjective: s.span(40, 800), Idempotency: balance.Idempotency(s.random.IntN(3)),
+		DedupScope: balance.DedupScope(s.random.IntN(3)), DedupWindow: s.span(100, 4000),
 	}
+	s.retireDraws(1)
+	class.Deadline, class.PriorityWeight = class.LatencyObjective*s.span(1, 5), s.between(0.1, 10)
+	class.LateWeight, class.Streaming = s.random.Float64()*s.random.Float64(), s.chance(0.2)
+	return class
 }
 
 func (s *simulation) drawTenant() balance.Tenant {
 	if s.chance(0.3) {
 		return balance.Tenant{}
 	}
-	return balance.Tenant{QuotaRate: s.between(1, 100), QuotaShare: s.between(0.01, 0.5)}
+	s.retireDraws(1)
+	return balance.Tenant{QuotaShare: s.between(0.01, 0.5)}
 }
 
 // drawFleet draws the initial endpoints; a third of the configurations has many.
@@ -432,7 +442,7 @@
 	endpoint := &simulatedEndpoint{entry: balance.Endpoint{
 		ID: s.lastEndpoint*7919%100003 + 1, StartedAt: startedAt, Cell: cell, Zone: cell % s.zones, MachineType: s.random.IntN(3),
 	}}
-	if s.config.Ratings != balance.RatingNone {
+	if s.rated {
 		endpoint.entry.Rating = s.between(0.2, 3)
 	}
 	s.endpoints = append(s.endpoints, endpoint)
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -14,8 +14,8 @@
 // baseConfig returns the settings that most tests start from, with one class of each kind.
 func baseConfig() Config {
 	return Config{
-		Seed: 1, InstanceCount: 3, MaxAttempts: 4, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1000,
-		MinBatchInterval: 4, AnswerGrace: 16, WarmUpInitialFraction: 0.2, WarmUpDuration: 20000,
+		Seed: 1, InstanceCount: 3, MaxAttempts: 4, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1000,
+		MinBatchInterval: 4, WarmUpInitialFraction: 0.2, WarmUpDuration: 20000,
 		OverloadFactor: 2.5, OverloadWindow: 1000,
 		MaxPollInterval: 10000, DrainGrace: 2000,
 		Classes: []Class{
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -69,7 +69,7 @@
 			cfg = randomConfig(random)
 		}
 		cfg.Seed = uint64(seed)
-		cfg.Hedging, cfg.Cancellation = seed%2 == 0, seed%3 != 0
+		cfg.Cancellation = seed%3 != 0
 		cfg.MaxAttempts = 1 + int(seed%4)
 		cfg.PolledDiscovery = seed%5 == 0
 		if seed%4 == 1 {
@@ -103,7 +103,8 @@
 		k.PriorityWeight, k.LateWeight = 10*random.Float64(), random.Float64()
 	}
 	for range random.Intn(4) {
-		cfg.Tenants = append(cfg.Tenants, Tenant{QuotaShare: random.Float64(), QuotaRate: 50 * random.Float64()})
+		cfg.Tenants = append(cfg.Tenants, Tenant{QuotaShare: random.Float64()})
+		random.Float64() // drawn for a removed setting, so that the seeds give the same runs
 	}
 	cfg.OverQuotaWeight, cfg.MinBatchInterval = random.Float64(), 1+Milliseconds(6*random.Float64())
 	cfg.Zone, cfg.ConnIdleTimeout = random.Intn(2), Milliseconds(20000*random.Float64())
@@ -240,7 +241,7 @@
 	}
 	to := *checker.endpoints[a.Endpoint]
 	for _, p := range o.attempts {
-		if p.live && !checker.cfg.Hedging {
+		if p.live {
 			checker.t.Fatalf("request %d has two attempts in flight", a.Request)
 		}
 		if p.clean || c.Idempotency == Idempotent {
@@ -284,11 +285,14 @@
 	}
 }
 
+// answerGrace is how long after its deadline an answer may come: the time between two batches of events.
+const answerGrace Milliseconds = 16
+
 // checkFinalAnswer checks that a request gets one answer in time, and no rejection if it may have been
 // executed.
 func (checker *invariantChecker) checkFinalAnswer(a Action) {
 	o, c := checker.requests[a.Request], checker.cfg.Classes[checker.requests[a.Request].class]
-	if o.answered || checker.now > o.deadline+checker.cfg.AnswerGrace {
+	if o.answered || checker.now > o.deadline+answerGrace {
 		checker.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, checker.now, o.deadline)
 	}
 	o.answered = true
@@ -339,7 +343,7 @@
 	"one endpoint":    func(_ *Config, n *int) { *n = 1 },
 	"hundreds":        func(_ *Config, n *int) { *n = 300 },
 	"one attempt":     func(c *Config, _ *int) { c.MaxAttempts = 1 },
-	"no cancellation": func(c *Config, _ *int) { c.Cancellation, c.Hedging = false, false },
+	"no cancellation": func(c *Config, _ *int) { c.Cancellation = false },
 	"streams":         func(c *Config, _ *int) { c.Classes[idempotentClass].Streaming = true },
 	"tenants":         func(c *Config, _ *int) { c.Tenants = []Tenant{{QuotaShare: 0.9}, {QuotaShare: 0.1}, {}} },
 	"no slow start": func(c *Config, _ *int) {
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -20,9 +20,6 @@
 
 // applyConfig puts settings into force. Classes and tenants that existed before keep their statistics.
 func (b *Balancer) applyConfig(cfg Config, classes, tenants []int) {
-	if cfg.ScoreWeights == (ScoreWeights{}) {
-		cfg.ScoreWeights.Whole = 1
-	}
 	b.cfg = cfg
 	b.applyClasses(classes)
 	b.applyTenants(tenants)
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -19,6 +19,11 @@
 	maxResetRetries = 3
 )
 
+// NeverExecuted reports whether the result proves that the attempt was not executed.
+func (r Result) NeverExecuted() bool {
+	return r == Rejected || r == ConnectFailed || r == NotAttempted
+}
+
 // mayExecuteAgain reports whether the idempotency of the class allows another attempt at any endpoint at all.
 func (req *request) mayExecuteAgain(now Milliseconds) bool {
 	for _, a := range req.attempts {
--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -32,8 +32,6 @@
 		l.timers.schedule(timer{dueAt: l.clock.now + action.Delay, token: action.Token})
 	case balance.CheckHealth:
 		l.startHealthCheck(action.Endpoint)
-	case balance.CloseIdleConns:
-		l.closeIdleConns(action.Endpoint)
 	case balance.WatchEndpoints:
 		l.watcher.RequestWatch()
 	case balance.Log:
@@ -49,10 +47,3 @@
 	}
 	req.attempts[number].Cancel()
 }
-
-// closeIdleConns closes the idle connections to an endpoint, unless it has been removed.
-func (l *Loop) closeIdleConns(id balance.EndpointID) {
-	if endpoint := l.endpoints.byID[id]; endpoint != nil {
-		l.upstreamClient.CloseIdle(endpoint)
-	}
-}
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -7,6 +7,8 @@
 // and kinds of peers, the rest of family_info, the CPU limits (the pass over the servers is cheap enough for all of
 // them), nines_full, and the prices of what this module never does (moves, origin, fleet, discovery).
 //
+// Keys that no decision needs are here where a value of another type, or a negative one, is to be an error.
+//
 // A pointer is a key whose default is not the zero value.
 type document struct {
 	Classes         []classDocument      `json:"classes"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,6 @@
 const (
 	defaultOverQuotaWeight = 1.0
 	defaultMaxAttempts     = 1.0
-	defaultStreamsPerConn  = 1
 	defaultWarmUpFraction  = 1.0 // of the full load: no warm-up
 	defaultPriorityWeight  = 1.0
 	minInstances           = 1
@@ -45,34 +44,22 @@
 
 		MinBatchInterval:    d.Quantum,
 		OverQuotaWeight:     valueOr(d.OverQuotaWeight, defaultOverQuotaWeight),
-		WeightByWork:        d.WeightBy == weightByWork,
 		ClientRetriesMarked: d.Clients.MarkRetries,
 		KeyCaching:          d.Family.KeyCaching,
 
-		Ratings:          d.ratingKind(),
 		LoadReports:      loadReportModes[d.Report.Mode],
 		LoadReportFields: d.loadReportFields(),
 		PolledDiscovery:  d.Discovery == discoverySubscribe,
 
-		Classes:      d.classes(),
-		Tenants:      d.tenants(),
-		ScoreWeights: d.ScoreWeights.translate(),
-		Costs:        d.Costs.translate(),
+		Classes: d.classes(),
+		Tenants: d.tenants(),
+		Costs:   d.Costs.translate(),
 	}
 	d.Limits.apply(&cfg)
 	d.Rules.apply(&cfg)
 	return cfg
 }
 
-// ratingKind takes a word of a later version as some kind of size, as the list of servers says itself.
-func (d *document) ratingKind() balance.RatingKind {
-	kind, known := ratingKinds[d.Ratings]
-	if !known {
-		return balance.RatingApproximate
-	}
-	return kind
-}
-
 func (d *document) loadReportFields() []balance.LoadField {
 	var fields []balance.LoadField
 	for _, name := range d.Report.Fields {
@@ -92,7 +79,7 @@
 func (d *document) tenants() []balance.Tenant {
 	var tenants []balance.Tenant
 	for _, tenant := range d.Tenants {
-		tenants = append(tenants, balance.Tenant{QuotaRate: tenant.QuotaRate, QuotaShare: tenant.QuotaShare})
+		tenants = append(tenants, balance.Tenant{QuotaShare: tenant.QuotaShare})
 	}
 	return tenants
 }
@@ -108,7 +95,6 @@
 		DedupScope:       dedupScopes[c.DedupScope],
 		DedupWindow:      valueOr(c.DedupWindow, balance.Milliseconds(math.Inf(1))),
 		LatencyObjective: objective,
-		ObjectiveStretch: c.ObjectiveStretch,
 		Deadline:         c.Deadline,
 		PriorityWeight:   valueOr(c.PriorityWeight, defaultPriorityWeight),
 		LateWeight:       c.LateWeight,
@@ -122,15 +108,11 @@
 	cfg.ConnIdleTimeout = l.ConnIdleTimeout
 	cfg.MaxAttempts = int(valueOr(l.MaxAttempts, defaultMaxAttempts))
 	cfg.MaxRetryAfter = l.MaxRetryAfter
-	cfg.MaxOpenRequests = l.MaxOpenRequests
-	cfg.Hedging = l.Hedging
 	cfg.HealthChecks = l.HealthChecks
 	cfg.RetryAfter = l.RetryAfter
-	cfg.StreamsPerConn = valueOr(l.StreamsPerConn, defaultStreamsPerConn)
 }
 
 func (r *rulesDocument) apply(cfg *balance.Config) {
-	cfg.AnswerGrace = r.AnswerGrace
 	cfg.MaxPollInterval = r.MaxPollInterval
 	cfg.WarmUpInitialFraction = valueOr(r.WarmUpFraction, defaultWarmUpFraction)
 	cfg.WarmUpDuration = r.WarmUpDuration
@@ -139,24 +121,10 @@
 	cfg.OverloadFactor = r.OverloadFactor
 }
 
-func (s *scoreDocument) translate() balance.ScoreWeights {
-	return balance.ScoreWeights{
-		Whole:       s.Overall,
-		WorstWindow: s.WorstWindow,
-		WorstClass:  s.WorstClass,
-		WorstTenant: s.WorstTenant,
-		Nines:       s.Nines,
-	}
-}
-
 func (c *costsDocument) translate() balance.Costs {
 	return balance.Costs{
-		CrossZone:      c.CrossZone,
-		WastedWork:     c.WastedWork,
-		NewConnection:  c.NewConnection,
-		HealthCheck:    c.HealthCheck,
-		PeerTraffic:    c.PeerTraffic,
-		LateFailure:    c.LateFailure,
-		OpenConnection: c.OpenConnection,
+		CrossZone:     c.CrossZone,
+		NewConnection: c.NewConnection,
+		HealthCheck:   c.HealthCheck,
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,15 +1,30 @@
 package settings
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 
 	"cindersaddle/balance"
 )
 
+// readDocument parses a document and also returns it as it was read, with the keys that no decision needs.
+func readDocument(t *testing.T, seed uint64, text string) (balance.Config, document) {
+	t.Helper()
+	cfg, err := Parse(seed, []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read document
+	if err := json.Unmarshal([]byte(text), &read); err != nil {
+		t.Fatal(err)
+	}
+	return cfg, read
+}
+
 // TestParseTranslatesDocument checks the translation of a document, with defaults and unknown keys.
 func TestParseTranslatesDocument(t *testing.T) {
-	cfg, err := Parse(9, []byte(`{"classes": [
+	cfg, read := readDocument(t, 9, `{"classes": [
 		{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500, "worth": 2, "late_worth": 0.3},
 		{"effect": "idempotency_key", "group": "cell", "hard_limit_ms": 600, "window_ms": 700}],
 		"a_new_key": {"x": [1]}, "discovery": "subscribe", "my_number": 2, "peers_total": 5,
@@ -18,21 +33,18 @@
 		"rules": {"cold_from": 0.2, "cold_ms": 9000, "fall_multiple": 3, "fall_ms": 700},
 		"result_mix": {"whole": 0.4, "worst_window": 0.3, "worst_class": 0.2, "worst_tenant": 0.1},
 		"penalties": {"cross_zone": 1, "waste": 2, "handshake": 3, "probe": 4, "peer": 5, "late_fail": 6, "moves": 7},
-		"tenants": [{"share": 0.4, "allowance_per_s": 10}]}`))
-	if err != nil {
-		t.Fatal(err)
-	}
+		"tenants": [{"share": 0.4, "allowance_per_s": 10}]}`)
 	if cfg.Seed != 9 || !cfg.PolledDiscovery || cfg.InstanceIndex != 2 || cfg.InstanceCount != 5 ||
-		!cfg.Hedging || !cfg.HealthChecks ||
+		!read.Limits.Hedging || !cfg.HealthChecks ||
 		cfg.Cancellation || cfg.MaxAttempts != 4 || cfg.WarmUpInitialFraction != 0.2 || cfg.Tenants[0].QuotaShare != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
-	if want := (balance.ScoreWeights{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.ScoreWeights != want {
-		t.Errorf("score weights %+v", cfg.ScoreWeights)
+	if want := (scoreDocument{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); read.ScoreWeights != want {
+		t.Errorf("score weights %+v", read.ScoreWeights)
 	}
-	want := balance.Costs{CrossZone: 1, WastedWork: 2, NewConnection: 3, HealthCheck: 4, PeerTraffic: 5, LateFailure: 6}
-	if cfg.Costs != want {
-		t.Errorf("costs %+v", cfg.Costs)
+	want := costsDocument{CrossZone: 1, WastedWork: 2, NewConnection: 3, HealthCheck: 4, PeerTraffic: 5, LateFailure: 6}
+	if read.Costs != want || cfg.Costs != (balance.Costs{CrossZone: 1, NewConnection: 3, HealthCheck: 4}) {
+		t.Errorf("costs %+v of %+v", cfg.Costs, read.Costs)
 	}
 	secondClass := cfg.Classes[1]
 	if secondClass.Idempotency != balance.IdempotencyKey || secondClass.DedupScope != balance.DedupCell ||
@@ -61,21 +73,18 @@
 
 // TestParseTranslatesDeploymentKeys checks the keys that only some deployments set.
 func TestParseTranslatesDeploymentKeys(t *testing.T) {
-	cfg, err := Parse(1, []byte(`{"classes": [
+	cfg, read := readDocument(t, 1, `{"classes": [
 		{"effect": "idempotency_key", "group": "cell", "on_time_ms": 210, "hard_limit_ms": 700, "window_ms": 900},
 		{"effect": "non_idempotent", "group": "all", "on_time_ms": 250, "hard_limit_ms": 900, "window_ms": 900}],
 		"clients": {"marks_retry": true}, "value_by": "work", "weights": "nominal", "family_info": {"warm_keys": true},
 		"limits": {"open_cap": 77, "streams_per_conn": 8, "cpu_us_per_s": 9, "max_attempts": 2},
 		"result_mix": {"whole": 0.5, "nines_part": 0.3, "nines_full": 3}, "penalties": {"connection": 0.02},
-		"rules": {"cold_from": 0.1, "cold_ms": 8000, "fall_multiple": 2, "fall_ms": 900, "ask_within_ms": 7000}}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !cfg.ClientRetriesMarked || !cfg.KeyCaching || !cfg.WeightByWork || cfg.Ratings != balance.RatingNominal ||
-		cfg.MaxOpenRequests != 77 || cfg.StreamsPerConn != 8 {
-		t.Errorf("%+v", cfg)
+		"rules": {"cold_from": 0.1, "cold_ms": 8000, "fall_multiple": 2, "fall_ms": 900, "ask_within_ms": 7000}}`)
+	if !cfg.ClientRetriesMarked || !cfg.KeyCaching || read.WeightBy != "work" || read.Ratings != "nominal" ||
+		read.Limits.MaxOpenRequests != 77 || *read.Limits.StreamsPerConn != 8 {
+		t.Errorf("%+v of %+v", cfg, read)
 	}
-	if cfg.ScoreWeights.Nines != 0.3 || cfg.Costs.OpenConnection != 0.02 || cfg.MaxPollInterval != 7000 || cfg.OverloadFactor != 2 {
+	if read.ScoreWeights.Nines != 0.3 || read.Costs.OpenConnection != 0.02 || cfg.MaxPollInterval != 7000 || cfg.OverloadFactor != 2 {
 		t.Errorf("%+v", cfg)
 	}
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// validateWords checks the words outside the classes. An unknown word for the ratings is valid: see ratingKind.
+// validateWords checks the words outside the classes. Any word for the ratings is valid: each endpoint of the
+// list says its rating itself.
 func (d *document) validateWords() error {
 	switch d.Discovery {
 	case "", discoveryAutomatic, discoverySubscribe:
--- a/internal/settings/vocabulary.go
+++ b/internal/settings/vocabulary.go
@@ -6,7 +6,6 @@
 const (
 	discoveryAutomatic   = "automatic"
 	discoverySubscribe   = "subscribe"
-	weightByWork         = "work"
 	effectIdempotencyKey = "idempotency_key"
 )
 
@@ -30,14 +29,6 @@
 	"pull":      balance.LoadReportsPolled,
 }
 
-var ratingKinds = map[string]balance.RatingKind{
-	"":        balance.RatingNone,
-	"silent":  balance.RatingNone,
-	"nominal": balance.RatingNominal,
-	"rough":   balance.RatingApproximate,
-	"live":    balance.RatingLive,
-}
-
 // loadFields lacks the fields of later versions: those become balance.LoadFieldUnknown.
 var loadFields = map[string]balance.LoadField{
 	"rif":       balance.LoadFieldInFlight,
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -25,7 +25,6 @@
 	codeCancelAttempt  = 1030
 	codeSetTimer       = 1040
 	codeCheckHealth    = 1050
-	codeCloseIdleConns = 1060
 	codeLog            = 1080
 	codeFault          = 1090
 	codeWatchEndpoints = 1100
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -58,8 +58,6 @@
 		r.addSetTimer(instance, action)
 	case balance.CheckHealth:
 		r.addCheckHealth(instance, action)
-	case balance.CloseIdleConns:
-		r.addCloseIdleConns(instance, action)
 	case balance.Log:
 		r.addLog(instance, action)
 	case balance.WatchEndpoints:
@@ -102,11 +100,6 @@
 	r.putEndpointID(action.Endpoint)
 }
 
-func (r *Reply) addCloseIdleConns(instance uint16, action *balance.Action) {
-	r.putHeader(codeCloseIdleConns, instance)
-	r.putEndpointID(action.Endpoint)
-}
-
 func (r *Reply) addLog(instance uint16, action *balance.Action) {
 	r.putHeader(codeLog, instance)
 	r.putText(action.Text)
