--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -13,7 +13,6 @@
 	"sync/atomic"
 	"testing"
 
-	"cindersaddle/internal/config"
 	"cindersaddle/internal/membership"
 	"cindersaddle/internal/sidecartest"
 	"cindersaddle/internal/upgrade"
@@ -175,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 			addr, scratch := unusedHostAddr(t), t.TempDir()
-			occupy(t, upgrade.NewHandover(&config.Config{Listen: addr, AdminListen: "x", ScratchDir: scratch}, nil).SocketPath())
+			occupy(t, upgrade.SocketPath(scratch, addr))
 			process := startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
 			if resp, _ := process.do(process.newRequest("read")); resp.StatusCode != 200 {
 				t.Errorf("status %d, want 200", resp.StatusCode)
--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -49,12 +49,9 @@
 	if cfg.ScratchDir == "" || cfg.AdminListen == "" {
 		return nil
 	}
-	return &Handover{listen: cfg.Listen, socket: newUnixSocket(cfg.ScratchDir, cfg.Listen), log: log}
+	return &Handover{listen: cfg.Listen, socket: unixSocket(SocketPath(cfg.ScratchDir, cfg.Listen)), log: log}
 }
 
-// SocketPath returns the path at which a successor finds this process.
-func (h *Handover) SocketPath() string { return h.socket.path() }
-
 // Run sends the state to successors until ctx is done or this process has retired, and watches the predecessor.
 func (h *Handover) Run(ctx context.Context, process Process) {
 	var tasks sync.WaitGroup
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -200,7 +200,7 @@
 		return exportState()
 	}
 	runUntilCleanup(t, handover, process)
-	sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := os.Stat(handover.SocketPath()); return err == nil })
+	sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := os.Stat(string(handover.socket)); return err == nil })
 	if retireFirst {
 		outcome.succeeded = handover.Retire()
 	}
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -18,33 +18,28 @@
 	maxSocketPath = 100
 )
 
-// unixSocket is the Unix socket at which a successor finds the process that serves a clients' address. It does not change.
-type unixSocket struct {
-	dir  string // the scratch directory
-	name string
-}
-
-// newUnixSocket returns the socket in dir for the clients' address listen. It opens nothing.
-func newUnixSocket(dir, listen string) unixSocket {
+// SocketPath returns the path at which a successor finds the process that serves the clients' address listen. The path may
+// be too long for the kernel.
+func SocketPath(scratchDir, listen string) string {
 	hash := fnv.New64a()
 	io.WriteString(hash, listen)
-	return unixSocket{dir: dir, name: fmt.Sprintf(socketNameFormat, hash.Sum64())}
+	return filepath.Join(scratchDir, fmt.Sprintf(socketNameFormat, hash.Sum64()))
 }
 
-// path returns the path of the socket, which may be too long for the kernel.
-func (s unixSocket) path() string { return filepath.Join(s.dir, s.name) }
+// unixSocket is the path of a Unix socket, which may be too long for the kernel.
+type unixSocket string
 
 // open listens at the socket, in place of whatever was there. The file stays when the listener is closed: by then the
 // path may be a successor's.
 func (s unixSocket) open() (*net.UnixListener, error) {
-	temporary := unixSocket{dir: s.dir, name: fmt.Sprintf("%s.%d", s.name, os.Getpid())}
-	os.Remove(temporary.path())
+	temporary := unixSocket(fmt.Sprintf("%s.%d", s, os.Getpid()))
+	os.Remove(string(temporary))
 	listener, err := temporary.listen()
 	if err != nil {
 		return nil, err
 	}
 	listener.SetUnlinkOnClose(false)
-	if err := os.Rename(temporary.path(), s.path()); err != nil {
+	if err := os.Rename(string(temporary), string(s)); err != nil {
 		listener.Close()
 		return nil, err
 	}
@@ -76,13 +71,13 @@
 
 // withShortPath calls use with a path of the socket that is short enough for the kernel.
 func (s unixSocket) withShortPath(use func(path string) error) error {
-	if path := s.path(); len(path) <= maxSocketPath {
-		return use(path)
+	if len(s) <= maxSocketPath {
+		return use(string(s))
 	}
-	dir, err := os.Open(s.dir)
+	dir, err := os.Open(filepath.Dir(string(s)))
 	if err != nil {
 		return err
 	}
 	defer dir.Close()
-	return use(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), s.name))
+	return use(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(string(s))))
 }
