--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -11,18 +11,16 @@
 )
 
 const (
-	headerSize   = 16
+	headerSize   = 16      // bytes
 	maxFrameSize = 1 << 28 // bytes; far above any frame of the simulator
-	maxTables    = 16
 )
 
 // Reader reads frames. The server tables of a frame stay valid for all later frames.
 type Reader struct {
-	input     io.Reader
-	body      bytes.Buffer
-	tables    [maxTables][]balance.Endpoint
-	tableSent [maxTables]bool
-	report    []float32 // reused for the load report of each event
+	input  io.Reader
+	body   bytes.Buffer
+	tables tables
+	report []float32 // reused for the load report of each event
 }
 
 // NewReader returns a reader of the frames of input, which should be buffered.
@@ -35,8 +33,9 @@
 	clock   balance.Milliseconds
 }
 
-// Read calls handle for each record of the next frame that is for an instance, in order, with the clock of the frame. It returns io.EOF at the end of input between two frames. Slices in records are valid during the
-// call of handle only.
+// Read calls handle for each record of the next frame that is for an instance, in order, with the clock of the frame. It
+// returns io.EOF at the end of input between two frames; errors of a record are a *RecordError. Slices in records are
+// valid during the call of handle only.
 func (r *Reader) Read(handle func(clock balance.Milliseconds, record Record) error) error {
 	header, err := r.readHeader()
 	if err != nil {
@@ -49,7 +48,7 @@
 	for i := range header.records {
 		start := fields.pos
 		if err := r.handleRecord(&fields, header.clock, handle); err != nil {
-			return fmt.Errorf("record %d at byte %d: %w", i, start+headerSize, err)
+			return &RecordError{Index: i, Offset: start + headerSize, Err: err}
 		}
 	}
 	if rest := fields.remaining(); rest != 0 {
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// handleRecord decodes one record and hands it over, unless it is for no instance.
+// handleRecord decodes one record and passes it to handle, unless it is for no instance.
 func (r *Reader) handleRecord(fields *cursor, clock balance.Milliseconds, handle func(balance.Milliseconds, Record) error) error {
 	record, err := r.decodeRecord(fields)
 	if err != nil {
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -3,30 +3,28 @@
 import (
 	"encoding/binary"
 	"io"
-	"math"
 
 	"cindersaddle/balance"
 )
 
 const (
-	replyHeaderSize = 4
-	maxTextSize     = math.MaxUint16 // bytes; longer texts are cut
+	replyHeaderSize = 4 // bytes
 
 	watchEnabled = 1 // of codeWatchEndpoints
 )
 
-// Reply collects the actions that answer one frame. Reset must be called before each frame.
-type Reply struct{ buf []byte }
+// Reply collects the actions in response to one frame. Reset must be called before each frame.
+type Reply struct{ frame frame }
 
 // Reset removes all actions.
 func (r *Reply) Reset() {
-	r.buf = append(r.buf[:0], make([]byte, replyHeaderSize)...)
+	r.frame = append(r.frame[:0], make([]byte, replyHeaderSize)...)
 }
 
 // WriteTo writes the reply as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
-	binary.BigEndian.PutUint32(r.buf, uint32(len(r.buf)))
-	n, err := w.Write(r.buf)
+	binary.BigEndian.PutUint32(r.frame, uint32(len(r.frame)))
+	n, err := w.Write(r.frame)
 	return int64(n), err
 }
 
@@ -39,8 +37,8 @@
 
 // Fault reports that an instance cannot go on, or did not accept an event.
 func (r *Reply) Fault(instance uint16, text string) {
-	r.putHeader(codeFault, instance)
-	r.putText(text)
+	r.frame.putHeader(codeFault, instance)
+	r.frame.putText(text)
 }
 
 // addAction appends one action; kinds that the simulator does not know are left out.
@@ -66,76 +64,46 @@
 }
 
 func (r *Reply) addSendAttempt(instance uint16, action *balance.Action) {
-	r.putHeader(codeSendAttempt, instance)
-	r.putUint64(uint64(action.Request))
-	r.putMilliseconds(action.Deadline)
-	r.putEndpointID(action.Endpoint)
+	r.frame.putHeader(codeSendAttempt, instance)
+	r.frame.putUint64(uint64(action.Request))
+	r.frame.putMilliseconds(action.Deadline)
+	r.frame.putEndpointID(action.Endpoint)
 }
 
 func (r *Reply) addRejectRequest(instance uint16, action *balance.Action) {
-	r.putHeader(codeRejectRequest, instance)
-	r.putUint64(uint64(action.Request))
-	r.putMilliseconds(action.RetryAfter)
+	r.frame.putHeader(codeRejectRequest, instance)
+	r.frame.putUint64(uint64(action.Request))
+	r.frame.putMilliseconds(action.RetryAfter)
 }
 
 func (r *Reply) addFailRequest(instance uint16, action *balance.Action) {
-	r.putHeader(codeFailRequest, instance)
-	r.putUint64(uint64(action.Request))
+	r.frame.putHeader(codeFailRequest, instance)
+	r.frame.putUint64(uint64(action.Request))
 }
 
 func (r *Reply) addCancelAttempt(instance uint16, action *balance.Action) {
-	r.putHeader(codeCancelAttempt, instance)
-	r.putUint64(uint64(action.Request))
-	r.putUint8(uint8(action.Attempt))
+	r.frame.putHeader(codeCancelAttempt, instance)
+	r.frame.putUint64(uint64(action.Request))
+	r.frame.putUint8(uint8(action.Attempt))
 }
 
 func (r *Reply) addSetTimer(instance uint16, action *balance.Action) {
-	r.putHeader(codeSetTimer, instance)
-	r.putUint64(action.Token)
-	r.putMilliseconds(action.Delay)
+	r.frame.putHeader(codeSetTimer, instance)
+	r.frame.putUint64(action.Token)
+	r.frame.putMilliseconds(action.Delay)
 }
 
 func (r *Reply) addCheckHealth(instance uint16, action *balance.Action) {
-	r.putHeader(codeCheckHealth, instance)
-	r.putEndpointID(action.Endpoint)
+	r.frame.putHeader(codeCheckHealth, instance)
+	r.frame.putEndpointID(action.Endpoint)
 }
 
 func (r *Reply) addLog(instance uint16, action *balance.Action) {
-	r.putHeader(codeLog, instance)
-	r.putText(action.Text)
+	r.frame.putHeader(codeLog, instance)
+	r.frame.putText(action.Text)
 }
 
 func (r *Reply) addWatchEndpoints(instance uint16) {
-	r.putHeader(codeWatchEndpoints, instance)
-	r.putUint8(watchEnabled)
-}
-
-func (r *Reply) putHeader(code, instance uint16) {
-	r.putUint16(code)
-	r.putUint16(instance)
-}
-
-func (r *Reply) putUint8(value uint8) { r.buf = append(r.buf, value) }
-
-func (r *Reply) putUint16(value uint16) { r.buf = binary.BigEndian.AppendUint16(r.buf, value) }
-
-func (r *Reply) putUint32(value uint32) { r.buf = binary.BigEndian.AppendUint32(r.buf, value) }
-
-func (r *Reply) putUint64(value uint64) { r.buf = binary.BigEndian.AppendUint64(r.buf, value) }
-
-func (r *Reply) putFloat64(value float64) { r.putUint64(math.Float64bits(value)) }
-
-func (r *Reply) putMilliseconds(value balance.Milliseconds) { r.putFloat64(float64(value)) }
-
-// putEndpointID appends the address and the port that an ID holds.
-func (r *Reply) putEndpointID(id balance.EndpointID) {
-	r.putUint32(uint32(id >> portBits))
-	r.putUint16(uint16(id))
-}
-
-// putText appends the length of a text and its bytes.
-func (r *Reply) putText(text string) {
-	text = text[:min(len(text), maxTextSize)]
-	r.putUint16(uint16(len(text)))
-	r.buf = append(r.buf, text...)
+	r.frame.putHeader(codeWatchEndpoints, instance)
+	r.frame.putUint8(watchEnabled)
 }
