--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// DefaultConnReuseDelay is the default of Config.ConnReuseDelay. An upstream server may send more than the response,
+	// DefaultConnReuseDelay is the default of Config.ConnReuseDelay. An endpoint may send more than the response,
 	// in a packet of its own; bytes that arrive after the next request was written would be taken for its response.
 	DefaultConnReuseDelay = 3 * time.Millisecond
 	// DefaultAcceptDuringShutdown is the default of Config.AcceptDuringShutdown.
@@ -27,7 +27,7 @@
 	AdminListen    string // host and port for readiness and metrics; empty: none
 	Discovery      string // host and port of the discovery service
 	Limits         Limits
-	KnownEndpoints membership.EndpointList // the servers listed in the file, which may be out of date
+	KnownEndpoints membership.EndpointList // as listed in the file, which may be out of date
 
 	Balance          balance.Config
 	ClassNames       []string       // in the order of Balance.Classes
@@ -44,11 +44,11 @@
 	AcceptDuringShutdown time.Duration           // how long new connections are accepted after the shutdown signal
 
 	fileDiscovery string         // the discovery address in the file, before environment overrides
-	document      map[string]any // the parsed file, without the servers
+	document      map[string]any // the parsed file, without the known endpoints
 }
 
 // UsePredecessor applies what the predecessor process of an upgrade knew, where that is newer than the file: the
-// servers and, as the environment does not change with a reload, the discovery address that the file names. It must be
+// endpoints and, as the environment does not change with a reload, the discovery address that the file names. It must be
 // called before any other goroutine uses the configuration.
 func (c *Config) UsePredecessor(discovery string, known membership.EndpointList) {
 	if discovery != "" && discovery == c.fileDiscovery {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -22,6 +22,7 @@
 	keySettings  = "settings"
 )
 
+// errMissing is the error of a key that the file lacks.
 var errMissing = errors.New("missing")
 
 // fileDocument is the form of the configuration file. Other keys are ignored.
@@ -38,7 +39,7 @@
 
 // Parse checks the text of a configuration file, with the NODE_ variables of an environment as overrides. An error
 // about one key is a *KeyError or comes from package settings. The result has no Reload function.
-func Parse(text []byte, getenv func(string) string) (*Config, error) {
+func Parse(text []byte, getenv Getenv) (*Config, error) {
 	var file fileDocument
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
@@ -58,7 +59,7 @@
 }
 
 // newConfig returns the configuration of a file and an environment, without the settings and not checked.
-func newConfig(file *fileDocument, getenv func(string) string) *Config {
+func newConfig(file *fileDocument, getenv Getenv) *Config {
 	cfg := &Config{
 		Name:                 cmp.Or(getenv(envName), file.Name),
 		Listen:               cmp.Or(getenv(envListen), file.Listen),
@@ -82,7 +83,7 @@
 		return nil, err
 	}
 	if document[keyKnown] != nil {
-		document[keyKnown] = true // the servers change all the time: only the key itself is compared
+		document[keyKnown] = true // the endpoints change all the time: only the key itself is compared
 	}
 	return document, nil
 }
--- a/internal/config/missing.go
+++ b/internal/config/missing.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// notAList names, in the path of a missing key, a list that is no list any more.
+// notAList stands, in the path of a missing key, for a list that another value has replaced.
 const notAList = "its list"
 
 // CheckReload returns a *MissingKeyError for a key that the configuration file in use has and the next one lacks:
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -6,6 +6,7 @@
 	"slices"
 )
 
+// Errors of the names in the settings document.
 var (
 	errEmptyName     = errors.New("a class or tenant without name")
 	errDuplicateName = errors.New("two classes or tenants of the same name")
@@ -27,7 +28,7 @@
 	Name string `json:"name"`
 }
 
-// addNames reads the names that clients, servers and discovery use for what package balance numbers.
+// addNames reads the names that clients, endpoints and discovery use for what package balance numbers.
 func (c *Config) addNames(settings []byte) error {
 	var document namesDocument
 	if err := json.Unmarshal(settings, &document); err != nil {
@@ -54,6 +55,7 @@
 	return nil
 }
 
+// entryNames returns the names of entries, in their order.
 func entryNames(entries []namedEntry) []string {
 	names := make([]string, len(entries))
 	for i, entry := range entries {
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -4,7 +4,7 @@
 
 // document mirrors the settings document; its times are in milliseconds. Keys that are not here are ignored, those of
 // later versions too. Left out on purpose, as no decision needs them: names (decisions must not depend on one), tiers
-// and kinds of peers, the rest of family_info, the CPU limits (the pass over the servers is cheap enough for all of
+// and kinds of peers, the rest of family_info, the CPU limits (the pass over the endpoints is cheap enough for all of
 // them), nines_full, and the prices of what this module never does (moves, origin, fleet, discovery).
 //
 // Keys that no decision needs are here where a value of another type, or a negative one, is to be an error.
@@ -79,7 +79,7 @@
 	StreamsPerConn  *int                 `json:"streams_per_conn"`
 }
 
-// rulesDocument holds the rules of timing and of cold and overloaded servers.
+// rulesDocument holds the rules of timing and of endpoints that warm up or are overloaded.
 type rulesDocument struct {
 	AnswerGrace     balance.Milliseconds `json:"answer_slack_ms"`
 	MaxPollInterval balance.Milliseconds `json:"ask_within_ms"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,6 +60,7 @@
 	return cfg
 }
 
+// loadReportFields returns the fields of a load report in their order.
 func (d *document) loadReportFields() []balance.LoadField {
 	var fields []balance.LoadField
 	for _, name := range d.Report.Fields {
@@ -68,6 +69,7 @@
 	return fields
 }
 
+// classes returns the classes of requests in their order.
 func (d *document) classes() []balance.Class {
 	var classes []balance.Class
 	for i := range d.Classes {
@@ -76,6 +78,7 @@
 	return classes
 }
 
+// tenants returns the quotas of the tenants in their order.
 func (d *document) tenants() []balance.Tenant {
 	var tenants []balance.Tenant
 	for _, tenant := range d.Tenants {
@@ -84,7 +87,7 @@
 	return tenants
 }
 
-// translate returns one class. Without a window its servers remember a key for ever.
+// translate returns one class. Without a window its endpoints remember a key for ever.
 func (c *classDocument) translate() balance.Class {
 	objective := c.LatencyObjective
 	if objective == 0 {
@@ -102,6 +105,7 @@
 	}
 }
 
+// apply sets what a sidecar may do.
 func (l *limitsDocument) apply(cfg *balance.Config) {
 	cfg.Cancellation = l.Cancellation
 	cfg.ConnectTimeout = l.ConnectTimeout
@@ -112,6 +116,7 @@
 	cfg.RetryAfter = l.RetryAfter
 }
 
+// apply sets the rules of timing, warm-up and overload.
 func (r *rulesDocument) apply(cfg *balance.Config) {
 	cfg.MaxPollInterval = r.MaxPollInterval
 	cfg.WarmUpInitialFraction = valueOr(r.WarmUpFraction, defaultWarmUpFraction)
@@ -121,6 +126,7 @@
 	cfg.OverloadFactor = r.OverloadFactor
 }
 
+// translate returns the costs of what a sidecar does.
 func (c *costsDocument) translate() balance.Costs {
 	return balance.Costs{
 		CrossZone:     c.CrossZone,
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -6,6 +6,7 @@
 	"math"
 )
 
+// Reasons of a KeyError.
 var (
 	errNoClasses      = errors.New("no classes")
 	errNotPositive    = errors.New("want a number above 0")
@@ -95,6 +96,7 @@
 	})
 }
 
+// validateNotNegative checks numbers whose keys have the prefix.
 func validateNotNegative(prefix string, numbers []number) error {
 	for _, number := range numbers {
 		if number.value < 0 {
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// validateWarmUp checks the rules of cold servers, which need those of overload: they say when a cold server fails.
+// validateWarmUp checks the rules of the warm-up, which need those of overload: they say when an endpoint that warms up
+// fails.
 func (d *document) validateWarmUp() error {
 	rules := &d.Rules
 	fraction := valueOr(rules.WarmUpFraction, defaultWarmUpFraction)
@@ -118,6 +121,7 @@
 	return nil
 }
 
+// validateMaxAttempts checks that the limit of attempts is a whole number.
 func (d *document) validateMaxAttempts() error {
 	attempts := valueOr(d.Limits.MaxAttempts, defaultMaxAttempts)
 	if attempts < 1 || attempts != math.Trunc(attempts) || attempts > math.MaxInt32 {
@@ -126,6 +130,7 @@
 	return nil
 }
 
+// validateClasses checks all classes, of which there must be one at least.
 func (d *document) validateClasses() error {
 	if len(d.Classes) == 0 {
 		return &KeyError{Key: "classes", Err: errNoClasses}
--- a/internal/settings/vocabulary.go
+++ b/internal/settings/vocabulary.go
@@ -9,12 +9,14 @@
 	effectIdempotencyKey = "idempotency_key"
 )
 
+// idempotencies maps the effect of a class.
 var idempotencies = map[string]balance.Idempotency{
 	"read_like":          balance.Idempotent,
 	effectIdempotencyKey: balance.IdempotencyKey,
 	"non_idempotent":     balance.NonIdempotent,
 }
 
+// dedupScopes maps the group of endpoints that remember a key.
 var dedupScopes = map[string]balance.DedupScope{
 	"":     balance.DedupAll,
 	"all":  balance.DedupAll,
@@ -22,6 +24,7 @@
 	"cell": balance.DedupCell,
 }
 
+// loadReportModes maps how load reports come.
 var loadReportModes = map[string]balance.LoadReportMode{
 	"":          balance.LoadReportsNone,
 	"silent":    balance.LoadReportsNone,
