--- a/balance/doc.go
+++ b/balance/doc.go
@@ -7,5 +7,19 @@
 // the endpoint. A failed request that may be executed again goes to the healthiest endpoint that it has not
 // tried.
 //
-// All points in time and durations are of type [Milliseconds].
+// Each concern has a file, with a type that owns its state and the constants of its rules:
+//
+//   - request.go, progress.go, attempts.go: the life of a request, step by step, and its final response
+//   - loadshedding.go, priority.go: which requests are rejected in an overload
+//   - rotation.go, weights.go, sticky.go: which endpoint gets an attempt
+//   - retrypolicy.go: which request may be executed again, and where
+//   - outlier.go, zoneoutage.go, classhealth.go: which endpoints are avoided, and when they come back
+//   - slowstart.go: what an endpoint gets after its start
+//   - healthcheck.go, load.go: how loaded the endpoints are
+//   - capacity.go, latencystats.go, responserate.go, classstats.go, keycounter.go: what is learned from
+//     requests and responses; outcome.go passes the result of an attempt to all that learn
+//   - endpointset.go, polling.go: the endpoint list
+//   - reconfigure.go, transfer.go: new settings, and the state for a process that takes over
+//
+// All points in time and spans of time are of type [Milliseconds].
 package balance
