--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -13,10 +13,10 @@
 	hits := map[EndpointID]int{}
 	for range 1500 {
 		id, actions := h.request(idempotentClass)
-		s, _ := sendTarget(actions)
-		hits[s]++
+		target, _ := sendTarget(actions)
+		hits[target]++
 		h.now += 5
-		h.finishAttempt(id, 0, OK, map[bool]Milliseconds{true: 20, false: 40}[s > 2])
+		h.finishAttempt(id, 0, OK, map[bool]Milliseconds{true: 20, false: 40}[target > 2])
 	}
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
@@ -38,8 +38,8 @@
 			h := newHarness(t, baseConfig(), list...)
 			for end := h.now + 10000; h.now < end; h.now += gap {
 				id, actions := h.request(idempotentClass)
-				if s, ok := sendTarget(actions); ok {
-					h.finishAttempt(id, 0, OK, []Milliseconds{100, 50}[h.b.endpoints.byID[s].MachineType])
+				if target, ok := sendTarget(actions); ok {
+					h.finishAttempt(id, 0, OK, []Milliseconds{100, 50}[h.b.endpoints.byID[target].MachineType])
 				}
 			}
 			if fast, slow := h.b.endpoints.machineTypes[1].factor, h.b.endpoints.machineTypes[0].factor; fast < 1.2*slow {
--- a/balance/classhealth_test.go
+++ b/balance/classhealth_test.go
@@ -7,21 +7,21 @@
 // on using all of them, and the first returns to all after the failure.
 func TestClassUsesEndpointsThatServeIt(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
-	failing := func(s EndpointID) bool { return s%2 == 0 }
+	failing := func(target EndpointID) bool { return target%2 == 0 }
 	serve := func(class int, fails bool) (EndpointID, bool) {
 		h.now += 60
 		id, actions := h.request(class)
-		s, ok := sendTarget(actions)
+		target, ok := sendTarget(actions)
 		if !ok {
 			return 0, false
 		}
 		h.now += 150
-		if fails && class == nonIdempotentClass && failing(s) {
+		if fails && class == nonIdempotentClass && failing(target) {
 			h.finishAttempt(id, 0, ServerError, 40)
-			return s, true
+			return target, true
 		}
 		h.finishAttempt(id, 0, OK, 40)
-		return s, false
+		return target, false
 	}
 	used := map[EndpointID]bool{}
 	failed := 0
@@ -30,8 +30,8 @@
 		if i >= 60 && f {
 			failed++
 		}
-		s, _ := serve(idempotentClass, true)
-		used[s] = true
+		target, _ := serve(idempotentClass, true)
+		used[target] = true
 	}
 	if failed > 8 { // 14 by consecutive errors alone
 		t.Errorf("%d of the last 60 failed", failed)
@@ -41,8 +41,8 @@
 	}
 	back := map[EndpointID]bool{}
 	for range 400 {
-		s, _ := serve(nonIdempotentClass, false)
-		back[s] = true
+		target, _ := serve(nonIdempotentClass, false)
+		back[target] = true
 	}
 	if len(back) < 12 {
 		t.Errorf("after the failure %d of 12 endpoints are used", len(back))
--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -15,8 +15,8 @@
 		if checked := len(actions) - 1; i > 0 && checked > 1 {
 			t.Fatalf("request %d: %d endpoints checked though two are unreachable", id, checked)
 		}
-		if s, ok := sendTarget(h.answerHealthChecks(actions, 0, unreachable)); !ok || s != 3 {
-			t.Fatalf("request %d went to %d", id, s)
+		if target, ok := sendTarget(h.answerHealthChecks(actions, 0, unreachable)); !ok || target != 3 {
+			t.Fatalf("request %d went to %d", id, target)
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
@@ -24,8 +24,8 @@
 	used := map[EndpointID]bool{}
 	for range 6 {
 		id, actions := h.request(idempotentClass)
-		s, _ := sendTarget(h.answerHealthChecks(actions, 0, nil))
-		used[s] = true
+		target, _ := sendTarget(h.answerHealthChecks(actions, 0, nil))
+		used[target] = true
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	if !used[1] || !used[2] {
@@ -44,8 +44,8 @@
 	}
 	h.dispatch(HealthCheckResult{Endpoint: 1, LoadReport: []float32{5}})
 	h.dispatch(HealthCheckResult{Endpoint: 2, LoadReport: []float32{0}})
-	if s, ok := sendTarget(h.dispatch(HealthCheckResult{Endpoint: 3, LoadReport: []float32{4}})); !ok || s != 2 {
-		t.Fatalf("request %d went to %d, want the idle endpoint", id, s)
+	if target, ok := sendTarget(h.dispatch(HealthCheckResult{Endpoint: 3, LoadReport: []float32{4}})); !ok || target != 2 {
+		t.Fatalf("request %d went to %d, want the idle endpoint", id, target)
 	}
 }
 
@@ -89,15 +89,15 @@
 // connection hardly more. Only a timeout or a failure to connect ejects the endpoint; otherwise many resets
 // would eject most of the fleet.
 func TestFailedHealthCheckEjectsOnlyUnreachableEndpoint(t *testing.T) {
-	for res, ejects := range map[Result]bool{NotAttempted: false, ConnReset: false, TimedOut: true, ConnectFailed: true} {
-		t.Run(fmt.Sprintf("result %d", res), func(t *testing.T) {
+	for result, ejects := range map[Result]bool{NotAttempted: false, ConnReset: false, TimedOut: true, ConnectFailed: true} {
+		t.Run(fmt.Sprintf("result %d", result), func(t *testing.T) {
 			h := newHarness(t, healthCheckConfig(), newEndpoints(2)...)
 			if _, actions := h.request(idempotentClass); !hasAction(actions, CheckHealth) {
 				t.Fatal("no endpoint is checked")
 			}
-			h.dispatch(HealthCheckResult{Endpoint: 1, Result: res, Duration: 1})
+			h.dispatch(HealthCheckResult{Endpoint: 1, Result: result, Duration: 1})
 			if got := h.b.ejected(h.b.endpoints.byID[1]); got != ejects {
-				t.Errorf("result %d: ejected: %v", res, got)
+				t.Errorf("result %d: ejected: %v", result, got)
 			}
 		})
 	}
@@ -167,14 +167,14 @@
 	hits := map[EndpointID]int{}
 	for range 40 {
 		id, actions := h.request(idempotentClass)
-		s, _ := sendTarget(actions)
-		hits[s]++
+		target, _ := sendTarget(actions)
+		hits[target]++
 		h.now += 5
-		h.dispatch(Outcome{Request: id, Endpoint: s, Duration: 5, Finished: true, LoadReport: []float32{3}})
+		h.dispatch(Outcome{Request: id, Endpoint: target, Duration: 5, Finished: true, LoadReport: []float32{3}})
 	}
-	for s, n := range hits {
+	for target, n := range hits {
 		if n > 15 {
-			t.Errorf("endpoint %d got %d of 40", s, n)
+			t.Errorf("endpoint %d got %d of 40", target, n)
 		}
 	}
 }
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -45,16 +45,16 @@
 	h := &harness{t: t, b: New(cfg), now: 1000}
 	h.actions = append(h.actions, h.b.Start(h.now)...)
 	h.dispatch(EndpointUpdate{Kind: UpdateCachedSnapshot, Endpoints: endpoints})
-	for _, s := range h.b.endpoints.list {
-		s.rotation.value, s.rotation.active = 0, true // the random start would hide the sequence
+	for _, ep := range h.b.endpoints.list {
+		ep.rotation.value, ep.rotation.active = 0, true // the random start would hide the sequence
 	}
 	return h
 }
 
 // randomizeRotation restores the random start of the rotation, which newHarness removes.
 func (h *harness) randomizeRotation() {
-	for _, s := range h.b.endpoints.list {
-		s.rotation.active = false
+	for _, ep := range h.b.endpoints.list {
+		ep.rotation.active = false
 	}
 }
 
@@ -68,7 +68,7 @@
 }
 
 // health returns the health multiplier of an endpoint at the time of the last event.
-func (h *harness) health(s *endpoint) float64 { return s.outlier.health(h.b.now) }
+func (h *harness) health(ep *endpoint) float64 { return ep.outlier.health(h.b.now) }
 
 // dispatch gives the balancer an event and returns a copy of its actions.
 func (h *harness) dispatch(ev Event) []Action {
@@ -90,11 +90,11 @@
 }
 
 // finishAttempt ends an attempt with a result after the given duration.
-func (h *harness) finishAttempt(id RequestID, attempt int, res Result, took Milliseconds) []Action {
+func (h *harness) finishAttempt(id RequestID, attempt int, result Result, took Milliseconds) []Action {
 	h.t.Helper()
-	s := h.b.requests[id].attempts[attempt].endpoint
-	done := res == OK || h.b.requests[id].done
-	return h.dispatch(Outcome{Request: id, Attempt: attempt, Endpoint: s.ID, Result: res, Duration: took, Finished: done})
+	ep := h.b.requests[id].attempts[attempt].endpoint
+	done := result == OK || h.b.requests[id].done
+	return h.dispatch(Outcome{Request: id, Attempt: attempt, Endpoint: ep.ID, Result: result, Duration: took, Finished: done})
 }
 
 // sendTarget returns the endpoint of the first attempt that the actions send.
@@ -145,7 +145,7 @@
 func (h *harness) dueTimers() []TimerFired {
 	var list []TimerFired
 	for id := RequestID(1); id <= h.lastRequest; id++ {
-		if r := h.b.requests[id]; r != nil && r.nextTimerAt <= h.now && !r.done {
+		if req := h.b.requests[id]; req != nil && req.nextTimerAt <= h.now && !req.done {
 			list = append(list, TimerFired{Token: uint64(id)})
 		}
 	}
@@ -158,11 +158,11 @@
 	var ids []EndpointID
 	for range n {
 		id, actions := h.request(idempotentClass)
-		s, ok := sendTarget(actions)
+		target, ok := sendTarget(actions)
 		if !ok {
 			h.t.Fatal("nothing was sent")
 		}
-		ids = append(ids, s)
+		ids = append(ids, target)
 		h.b.requests[id].stats.samples = 0 // nothing is learned from these responses
 		h.finishAttempt(id, 0, OK, 10)
 	}
@@ -204,11 +204,11 @@
 	h.t.Helper()
 	h.lastRequest++
 	id := h.lastRequest
-	s, ok := sendTarget(h.dispatch(Request{ID: id, Class: idempotentClass, StickyKey: key, Remaining: 1500}))
+	target, ok := sendTarget(h.dispatch(Request{ID: id, Class: idempotentClass, StickyKey: key, Remaining: 1500}))
 	if !ok {
 		h.t.Fatalf("request %d was not sent", id)
 	}
 	h.now += 5
 	h.finishAttempt(id, 0, OK, 5)
-	return s
+	return target
 }
--- a/balance/loadshedding_test.go
+++ b/balance/loadshedding_test.go
@@ -143,11 +143,11 @@
 			h := newHarness(t, cfg, newEndpoints(4)...)
 			h.request(idempotentClass)
 			h.b.shedder.steadyFraction, h.b.latency.lateFraction = c.shed, 1
-			r := &request{
+			req := &request{
 				Request: Request{Remaining: c.remaining}, class: &h.b.cfg.Classes[idempotentClass],
 				stats: h.b.classes[idempotentClass],
 			}
-			if got := h.b.isLateRetry(r) && h.b.shedder.steadyFraction >= r.class.LateWeight; got != c.rejected {
+			if got := h.b.isLateRetry(req) && h.b.shedder.steadyFraction >= req.class.LateWeight; got != c.rejected {
 				t.Errorf("%+v: rejected %v", c, got)
 			}
 			if !c.rejected {
@@ -205,8 +205,8 @@
 			if hasAction(after, RejectRequest) != rejected || hasAction(after, SendAttempt) == rejected {
 				t.Fatalf("request %d, polled endpoints with %.0f in flight: %+v", id, inFlight, after)
 			}
-			if s, ok := sendTarget(after); len(checked) == 12 || ok && !checked[s] {
-				t.Fatalf("sent to %d, which was not polled (%d were)", s, len(checked))
+			if target, ok := sendTarget(after); len(checked) == 12 || ok && !checked[target] {
+				t.Fatalf("sent to %d, which was not polled (%d were)", target, len(checked))
 			}
 		})
 	}
@@ -249,9 +249,9 @@
 		h.now += 50
 		h.finishAttempt(id, 0, OK, 50)
 	}
-	for _, s := range h.b.endpoints.list {
-		if s.ID != at {
-			s.activity.lastSendAt = never // the connections to the others were closed
+	for _, ep := range h.b.endpoints.list {
+		if ep.ID != at {
+			ep.activity.lastSendAt = never // the connections to the others were closed
 		}
 	}
 	h.now += 100
@@ -266,8 +266,8 @@
 			after = append(after, h.dispatch(HealthCheckResult{Endpoint: a.Endpoint, LoadReport: []float32{n}})...)
 		}
 	}
-	if s, ok := sendTarget(after); !ok || s == at {
-		t.Errorf("sent to %d: %v, rejected: %v", s, ok, hasAction(after, RejectRequest))
+	if target, ok := sendTarget(after); !ok || target == at {
+		t.Errorf("sent to %d: %v, rejected: %v", target, ok, hasAction(after, RejectRequest))
 	}
 }
 
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -8,29 +8,29 @@
 // An endpoint that leaves several attempts unanswered is ejected, and is used again when the ejection ends.
 func TestConsecutiveErrorsEjectEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
-	s := h.b.endpoints.list[0]
+	ep := h.b.endpoints.list[0]
 	for range errorsToEject - 1 {
-		h.b.recordError(s, false)
+		h.b.recordError(ep, false)
 	}
-	if h.b.ejected(s) {
+	if h.b.ejected(ep) {
 		t.Fatal("ejected before the last error")
 	}
-	h.b.recordError(s, false)
-	if !h.b.ejected(s) {
+	h.b.recordError(ep, false)
+	if !h.b.ejected(ep) {
 		t.Fatal("not ejected after the last error")
 	}
 	for range 12 {
 		id, actions := h.request(idempotentClass)
-		if to, _ := sendTarget(actions); to == s.ID {
+		if to, _ := sendTarget(actions); to == ep.ID {
 			t.Fatal("an ejected endpoint got a request")
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	h.now = s.outlier.ejectedUntil
+	h.now = ep.outlier.ejectedUntil
 	for range 12 {
 		id, actions := h.request(idempotentClass)
 		to, _ := sendTarget(actions)
-		if h.finishAttempt(id, 0, OK, 10); to == s.ID && s.outlier.ejectedUntil == 0 && s.outlier.consecutiveErrors == 0 {
+		if h.finishAttempt(id, 0, OK, 10); to == ep.ID && ep.outlier.ejectedUntil == 0 && ep.outlier.consecutiveErrors == 0 {
 			return
 		}
 	}
@@ -40,8 +40,8 @@
 // When all endpoints are ejected the cause is hardly theirs, and requests are sent all the same.
 func TestAllEjectedEndpointsAreUsed(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
-	for _, s := range h.b.endpoints.list {
-		h.b.recordError(s, true)
+	for _, ep := range h.b.endpoints.list {
+		h.b.recordError(ep, true)
 	}
 	if _, actions := h.request(idempotentClass); !hasAction(actions, SendAttempt) {
 		t.Fatalf("nothing was sent: %+v", actions)
@@ -52,16 +52,16 @@
 // process.
 func TestRestartClearsErrorsAndEjection(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
-	s := h.b.endpoints.list[0]
-	h.dispatch(HealthCheckResult{Endpoint: s.ID, Result: TimedOut})
-	if !s.outlier.unreachable || !h.b.ejected(s) {
+	ep := h.b.endpoints.list[0]
+	h.dispatch(HealthCheckResult{Endpoint: ep.ID, Result: TimedOut})
+	if !ep.outlier.unreachable || !h.b.ejected(ep) {
 		t.Fatal("a health check without response does not eject the endpoint")
 	}
-	entry := s.Endpoint
+	entry := ep.Endpoint
 	entry.StartedAt = h.now
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
-	if s.outlier.unreachable || s.outlier.ejections != 0 || h.b.ejected(s) {
-		t.Fatalf("after the restart: unreachable %v, %d ejections", s.outlier.unreachable, s.outlier.ejections)
+	if ep.outlier.unreachable || ep.outlier.ejections != 0 || h.b.ejected(ep) {
+		t.Fatalf("after the restart: unreachable %v, %d ejections", ep.outlier.unreachable, ep.outlier.ejections)
 	}
 }
 
@@ -84,9 +84,9 @@
 		h.now += 10
 		h.finishAttempt(h.lastRequest, 0, TimedOut, 10)
 	}
-	for _, s := range h.b.endpoints.list {
-		if h.health(s) < 1 || h.b.ejected(s) {
-			t.Errorf("endpoint %d: health %.2f, ejected: %v", s.ID, h.health(s), h.b.ejected(s))
+	for _, ep := range h.b.endpoints.list {
+		if h.health(ep) < 1 || h.b.ejected(ep) {
+			t.Errorf("endpoint %d: health %.2f, ejected: %v", ep.ID, h.health(ep), h.b.ejected(ep))
 		}
 	}
 }
@@ -102,8 +102,8 @@
 			continue
 		}
 		end := h.now + times[i%3]
-		for r := h.b.requests[id]; !r.done && r.nextTimerAt < end; {
-			h.now = r.nextTimerAt
+		for req := h.b.requests[id]; !req.done && req.nextTimerAt < end; {
+			h.now = req.nextTimerAt
 			h.dispatch(TimerFired{Token: uint64(id)})
 		}
 		h.now = end
@@ -117,11 +117,11 @@
 		h.now += 50
 		id, actions = h.request(nonIdempotentClass)
 	}
-	r := h.b.requests[id]
-	if h.now = r.nextTimerAt; h.now >= r.deadline {
+	req := h.b.requests[id]
+	if h.now = req.nextTimerAt; h.now >= req.deadline {
 		t.Fatal("no timer checks the attempt before its deadline")
 	}
-	if h.dispatch(TimerFired{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].endpoint.outlier.consecutiveErrors != 1 {
+	if h.dispatch(TimerFired{Token: uint64(id)}); !req.attempts[0].overdue || req.attempts[0].endpoint.outlier.consecutiveErrors != 1 {
 		t.Fatal("an attempt far slower than all others is no error")
 	}
 }
@@ -138,11 +138,11 @@
 	for i := range 40 {
 		h.now += 1000
 		id, actions := h.request(idempotentClass)
-		s, ok := sendTarget(actions)
+		target, ok := sendTarget(actions)
 		if !ok {
 			t.Fatalf("request %d was not sent", i)
 		}
-		if s > 4 {
+		if target > 4 {
 			h.finishAttempt(id, 0, OK, 30)
 			continue
 		}
@@ -150,8 +150,8 @@
 			hung++
 		}
 		end := h.now + 900
-		for r := h.b.requests[id]; r.nextTimerAt < end; {
-			h.now = r.nextTimerAt
+		for req := h.b.requests[id]; req.nextTimerAt < end; {
+			h.now = req.nextTimerAt
 			h.dispatch(TimerFired{Token: uint64(id)})
 		}
 		h.now = end
@@ -169,31 +169,31 @@
 // Errors of one endpoint do not affect another.
 func TestHealthFallsRecoversAndHasAFloor(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
-	s := h.b.endpoints.list[0]
-	if m := h.health(s); m != 1 {
+	ep := h.b.endpoints.list[0]
+	if m := h.health(ep); m != 1 {
 		t.Fatalf("health without errors is %v", m)
 	}
-	s.outlier.consecutiveErrors, s.outlier.lastErrorAt = 2, h.now
-	if m := h.health(s); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
+	ep.outlier.consecutiveErrors, ep.outlier.lastErrorAt = 2, h.now
+	if m := h.health(ep); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
 		t.Fatalf("health after two errors is %v", m)
 	}
 	h.b.now += errorHalfLife
-	if m := h.health(s); math.Abs(m-(1-errorPenalty)) > 1e-9 {
+	if m := h.health(ep); math.Abs(m-(1-errorPenalty)) > 1e-9 {
 		t.Fatalf("health after a half-life is %v", m)
 	}
-	s.outlier.consecutiveErrors = 1000
-	if m := h.health(s); m != minHealth {
+	ep.outlier.consecutiveErrors = 1000
+	if m := h.health(ep); m != minHealth {
 		t.Fatalf("health after very many errors is %v, want the minimum", m)
 	}
 	if m := h.health(h.b.endpoints.list[1]); m != 1 {
 		t.Fatalf("errors of another endpoint changed health to %v", m)
 	}
-	s.outlier.consecutiveErrors = 2
+	ep.outlier.consecutiveErrors = 2
 	id, _ := h.request(idempotentClass)
-	h.b.requests[id].attempts[0].endpoint = s
-	s.load.inFlight, h.b.endpoints.list[1].load.inFlight = 1, 0
+	h.b.requests[id].attempts[0].endpoint = ep
+	ep.load.inFlight, h.b.endpoints.list[1].load.inFlight = 1, 0
 	h.finishAttempt(id, 0, OK, 10)
-	if m := h.health(s); m != 1 {
+	if m := h.health(ep); m != 1 {
 		t.Fatalf("health after a success is %v", m)
 	}
 }
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -16,11 +16,11 @@
 			h.dispatch(a)
 		}
 		id, actions := h.request(idempotentClass)
-		s, ok := sendTarget(actions)
+		target, ok := sendTarget(actions)
 		if !ok {
 			t.Fatalf("request %d was rejected: shed %v", id, h.b.shedder.steadyFraction)
 		}
-		if s == 1 {
+		if target == 1 {
 			hung++
 			continue
 		}
@@ -53,7 +53,7 @@
 				}
 				h.now += took
 				for _, id := range []RequestID{id, second} {
-					if r := h.b.requests[id]; r != nil && r.inFlight > 0 {
+					if req := h.b.requests[id]; req != nil && req.inFlight > 0 {
 						h.finishAttempt(id, 0, OK, took)
 					}
 				}
@@ -132,25 +132,25 @@
 				h.now += 40
 				for id := RequestID(1); id <= h.lastRequest; id++ {
 					end, out := ends[id]
-					r := h.b.requests[id]
-					if out && r.nextTimerAt <= h.now {
+					req := h.b.requests[id]
+					if out && req.nextTimerAt <= h.now {
 						h.dispatch(TimerFired{Token: uint64(id)})
 					}
 					if out && h.now >= end {
 						delete(ends, id)
-						if end == r.deadline {
-							h.finishAttempt(id, 0, TimedOut, end-r.arrivedAt)
+						if end == req.deadline {
+							h.finishAttempt(id, 0, TimedOut, end-req.arrivedAt)
 						} else {
 							h.finishAttempt(id, 0, OK, took)
 						}
 					}
 				}
 				id, actions := h.request(cellKeyClass)
-				switch r := h.b.requests[id]; {
+				switch req := h.b.requests[id]; {
 				case hasAction(actions, RejectRequest):
 					rejected++
 				case i%3 == 0: // its response is lost
-					ends[id] = r.deadline
+					ends[id] = req.deadline
 				default:
 					ends[id] = h.now + took
 				}
@@ -221,11 +221,11 @@
 		}
 		for attempt := 0; h.b.requests[id] != nil && attempt < len(h.b.requests[id].attempts); attempt++ {
 			h.now += 10
-			res, took := Rejected, Milliseconds(1)
+			result, took := Rejected, Milliseconds(1)
 			if i%5 == 0 {
-				res, took = OK, 250
+				result, took = OK, 250
 			}
-			h.finishAttempt(id, attempt, res, took)
+			h.finishAttempt(id, attempt, result, took)
 		}
 	}
 	if rejected < 30 { // 0 before
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -132,9 +132,9 @@
 		checker.updateEndpoints([]UpdateKind{UpdateSnapshot, UpdateDelta, UpdateCachedSnapshot}[checker.random.Intn(3)])
 	case n < 19:
 		if len(checker.healthChecks) > 0 {
-			s := checker.healthChecks[0]
+			target := checker.healthChecks[0]
 			checker.healthChecks = checker.healthChecks[1:]
-			checker.handle(HealthCheckResult{Endpoint: s, Duration: 1,
+			checker.handle(HealthCheckResult{Endpoint: target, Duration: 1,
 				LoadReport: []float32{float32(checker.random.Intn(6)), 0, 0.5}})
 		}
 	default:
@@ -155,11 +155,11 @@
 		}
 		for i := range o.attempts {
 			if a := &o.attempts[i]; a.live && checker.random.Intn(3) > 0 {
-				res := []Result{OK, OK, OK, OK, ServerError, Rejected, ConnectFailed, ConnReset, TimedOut}[checker.random.Intn(9)]
-				a.live, a.clean = false, res.NeverExecuted()
-				o.answered = o.answered || res == OK
+				result := []Result{OK, OK, OK, OK, ServerError, Rejected, ConnectFailed, ConnReset, TimedOut}[checker.random.Intn(9)]
+				a.live, a.clean = false, result.NeverExecuted()
+				o.answered = o.answered || result == OK
 				checker.handle(Outcome{
-					Request: id, Attempt: i, Endpoint: a.endpoint.ID, Result: res, Duration: checker.now - a.sent,
+					Request: id, Attempt: i, Endpoint: a.endpoint.ID, Result: result, Duration: checker.now - a.sent,
 					Finished: o.answered,
 				})
 				return
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -85,10 +85,10 @@
 	for id := RequestID(1); id <= 2; id++ {
 		b.Handle(4, Outcome{Request: id, Attempt: 1, Result: OK, Duration: 1})
 	}
-	for _, s := range b.endpoints.list {
-		for c, v := range s.classScores[:4] {
+	for _, ep := range b.endpoints.list {
+		for c, v := range ep.classScores[:4] {
 			if v.updatedAt != longAgo {
-				t.Errorf("endpoint %d: class %d has a score of %v", s.ID, c, v.updatedAt)
+				t.Errorf("endpoint %d: class %d has a score of %v", ep.ID, c, v.updatedAt)
 			}
 		}
 	}
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -56,14 +56,14 @@
 	cfg.Classes[idempotentClass].Streaming = true
 	h := newHarness(t, cfg, newEndpoints(3)...)
 	id, actions := h.request(idempotentClass)
-	s, _ := sendTarget(actions)
-	h.dispatch(StreamStarted{Request: id, Endpoint: s, Latency: 20})
+	target, _ := sendTarget(actions)
+	h.dispatch(StreamStarted{Request: id, Endpoint: target, Latency: 20})
 	h.now += 5000
 	actions = h.dispatch(TimerFired{Token: uint64(id)})
 	if hasAction(actions, FailRequest) || hasAction(actions, RejectRequest) || hasAction(actions, SendAttempt) {
 		t.Fatalf("a started stream got %+v", actions)
 	}
-	h.dispatch(Outcome{Request: id, Endpoint: s, Result: ConnReset, Duration: 5000, Finished: true})
+	h.dispatch(Outcome{Request: id, Endpoint: target, Result: ConnReset, Duration: 5000, Finished: true})
 	if len(h.b.requests) != 0 {
 		t.Fatal("a finished stream is not released")
 	}
@@ -98,9 +98,9 @@
 		t.Error("rejected for the duration of transfers")
 	}
 	id, actions := h.request(idempotentClass)
-	s, _ := sendTarget(h.answerHealthChecks(actions, 0, nil))
+	target, _ := sendTarget(h.answerHealthChecks(actions, 0, nil))
 	h.dispatch(ResponseStarted{Request: id, Attempt: 0, Latency: 20})
-	if h.finishAttempt(id, 0, ConnReset, 30); h.b.endpoints.byID[s].outlier.consecutiveErrors != 1 {
+	if h.finishAttempt(id, 0, ConnReset, 30); h.b.endpoints.byID[target].outlier.consecutiveErrors != 1 {
 		t.Error("an interrupted response is no error")
 	}
 }
@@ -112,10 +112,10 @@
 		t.Run(fmt.Sprintf("timer first %v", timerFirst), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(4)...)
 			id, _ := h.request(nonIdempotentClass)
-			s := h.b.requests[id].attempts[0].endpoint.ID
+			target := h.b.requests[id].attempts[0].endpoint.ID
 			h.now += 3000 // the deadline was at 600
 			h.actions = nil
-			late := Outcome{Request: id, Endpoint: s, Result: TimedOut, Duration: 600}
+			late := Outcome{Request: id, Endpoint: target, Result: TimedOut, Duration: 600}
 			if timerFirst {
 				h.dispatch(TimerFired{Token: uint64(id)})
 				late.Finished = true
@@ -144,11 +144,11 @@
 func TestNothingFollowsClientGone(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	id, _ := h.request(idempotentClass)
-	s := h.b.requests[id].attempts[0].endpoint.ID
+	target := h.b.requests[id].attempts[0].endpoint.ID
 	h.now += 10
 	h.actions = nil
 	h.dispatch(ClientGone{Request: id})
-	h.dispatch(Outcome{Request: id, Endpoint: s, Result: ConnReset, Duration: 10, Finished: true})
+	h.dispatch(Outcome{Request: id, Endpoint: target, Result: ConnReset, Duration: 10, Finished: true})
 	h.dispatch(TimerFired{Token: uint64(id)})
 	h.dispatch(ClientGone{Request: id})
 	for _, a := range h.actions {
--- a/balance/retrypolicy_test.go
+++ b/balance/retrypolicy_test.go
@@ -9,10 +9,10 @@
 // retry within the allowed scope, a rejection or a failure.
 func TestRetryAfterFirstAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
-		for _, res := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnReset, Cancelled} {
+		for _, result := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnReset, Cancelled} {
 			for _, late := range []bool{false, true} {
-				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
-					checkRetryAfterFirstAttempt(t, class, res, late)
+				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, result, late), func(t *testing.T) {
+					checkRetryAfterFirstAttempt(t, class, result, late)
 				})
 			}
 		}
@@ -21,7 +21,7 @@
 
 // checkRetryAfterFirstAttempt ends the first attempt of a request with a result and checks the retry or the
 // final answer.
-func checkRetryAfterFirstAttempt(t *testing.T, class int, res Result, late bool) {
+func checkRetryAfterFirstAttempt(t *testing.T, class int, result Result, late bool) {
 	t.Helper()
 	cfg := baseConfig()
 	for i := range cfg.Classes {
@@ -37,9 +37,9 @@
 	if h.now += 100; late {
 		h.now += 200
 	}
-	actions = h.finishAttempt(id, 0, res, 100)
+	actions = h.finishAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
-	mayRetry := c.Idempotency == Idempotent || res.NeverExecuted() || c.Idempotency == IdempotencyKey && !late
+	mayRetry := c.Idempotency == Idempotent || result.NeverExecuted() || c.Idempotency == IdempotencyKey && !late
 	second, sent := sendTarget(actions)
 	if sent != mayRetry {
 		t.Fatalf("retried: %v, want %v (%+v)", sent, mayRetry, actions)
@@ -52,7 +52,7 @@
 		return
 	}
 	a, b := h.b.endpoints.byID[first], h.b.endpoints.byID[second]
-	dirty := !res.NeverExecuted()
+	dirty := !result.NeverExecuted()
 	if a == b || dirty && class == cellKeyClass && a.Cell != b.Cell || dirty && class == zoneKeyClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Endpoint, a.Endpoint)
 	}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -23,18 +23,18 @@
 // yet, whatever the rotation says.
 func TestRetryUsesHealthiestUnusedEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
-	for _, s := range h.b.endpoints.list {
-		s.outlier.consecutiveErrors, s.outlier.lastErrorAt = 2, h.now
+	for _, ep := range h.b.endpoints.list {
+		ep.outlier.consecutiveErrors, ep.outlier.lastErrorAt = 2, h.now
 	}
 	h.b.endpoints.list[2].outlier.consecutiveErrors = 1
 	h.b.endpoints.list[1].rotation.value = 1000 // next in the rotation, though it is not the healthiest
 	id, actions := h.request(idempotentClass)
-	if s, _ := sendTarget(actions); s != 2 {
-		t.Fatalf("first sent to %d, want 2", s)
+	if target, _ := sendTarget(actions); target != 2 {
+		t.Fatalf("first sent to %d, want 2", target)
 	}
 	h.b.endpoints.list[3].rotation.value = 1000 // next in the rotation, which must not count for a retry
-	if s, ok := sendTarget(h.finishAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("retried at %d, want 3", s)
+	if target, ok := sendTarget(h.finishAttempt(id, 0, Rejected, 1)); !ok || target != 3 {
+		t.Fatalf("retried at %d, want 3", target)
 	}
 }
 
@@ -51,21 +51,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(4)...)
-			for i, s := range h.b.endpoints.list {
-				s.load.inFlight, s.rotation.value = c.inFlight[i], float64(10*(4-i))
+			for i, ep := range h.b.endpoints.list {
+				ep.load.inFlight, ep.rotation.value = c.inFlight[i], float64(10*(4-i))
 			}
 			h.b.endpoints.list[1].outlier.consecutiveErrors, h.b.endpoints.list[1].outlier.lastErrorAt = 1, h.now-5000
-			r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: h.b.classes[idempotentClass]}
+			req := &request{class: &h.b.cfg.Classes[idempotentClass], stats: h.b.classes[idempotentClass]}
 			if c.want == 2 {
-				if s := h.b.pick(r, true); s.ID == 2 {
+				if ep := h.b.pick(req, true); ep.ID == 2 {
 					t.Errorf("%v: the retry went to the endpoint of lowest health", c.inFlight)
 				}
-				for i, s := range h.b.endpoints.list {
-					s.rotation.value = float64(10 * (4 - i))
+				for i, ep := range h.b.endpoints.list {
+					ep.rotation.value = float64(10 * (4 - i))
 				}
 			}
-			if s := h.b.pick(r, false); s.ID != c.want {
-				t.Errorf("%v: sent to %d, not %d", c.inFlight, s.ID, c.want)
+			if ep := h.b.pick(req, false); ep.ID != c.want {
+				t.Errorf("%v: sent to %d, not %d", c.inFlight, ep.ID, c.want)
 			}
 		})
 	}
@@ -79,16 +79,16 @@
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{gone}})
 	for range 20 {
 		id, actions := h.request(idempotentClass)
-		if s, _ := sendTarget(actions); s != 2 {
-			t.Fatalf("sent to %d", s)
+		if target, _ := sendTarget(actions); target != 2 {
+			t.Fatalf("sent to %d", target)
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	gone.State = Ready
 	h.dispatch(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: []Endpoint{gone}}) // the other is omitted: it has gone
 	id, actions := h.request(idempotentClass)
-	if s, _ := sendTarget(actions); s != 1 {
-		t.Fatalf("sent to %d of request %d", s, id)
+	if target, _ := sendTarget(actions); target != 1 {
+		t.Fatalf("sent to %d of request %d", target, id)
 	}
 }
 
@@ -101,8 +101,8 @@
 			cfg.Costs.CrossZone, cfg.Zone = price, 1
 			h := newHarness(t, cfg, newEndpoints(8)...)
 			own := 0
-			for _, s := range sendSequence(h, 40) {
-				if s > 4 {
+			for _, target := range sendSequence(h, 40) {
+				if target > 4 {
 					own++
 				}
 			}
@@ -120,8 +120,8 @@
 	cfg.Costs.CrossZone, cfg.Zone = 0.005, 1
 	h := newHarness(t, cfg, newEndpoints(8)...)
 	own := 0
-	for _, s := range sendSequence(h, 70) {
-		if s > 4 {
+	for _, target := range sendSequence(h, 70) {
+		if target > 4 {
 			own++
 		}
 	}
@@ -146,8 +146,8 @@
 			cfg.Seed = seed + 1
 			h := newHarness(t, cfg, endpoints...)
 			h.randomizeRotation()
-			for _, s := range sendSequence(h, sends) {
-				if all++; s <= 15 {
+			for _, target := range sendSequence(h, sends) {
+				if all++; target <= 15 {
 					large++
 				}
 			}
@@ -166,8 +166,8 @@
 		cfg.ConnIdleTimeout, cfg.Costs.NewConnection = 10000, price
 		h := newHarness(t, cfg, newEndpoints(20)...)
 		used := map[EndpointID]bool{}
-		for _, s := range sendSequence(h, 20) {
-			used[s] = true
+		for _, target := range sendSequence(h, 20) {
+			used[target] = true
 		}
 		if len(used) > most || price == 0 && len(used) < 20 {
 			t.Errorf("cost %v: %d endpoints used by 20 requests", price, len(used))
@@ -176,18 +176,18 @@
 	cfg := baseConfig()
 	cfg.ConnIdleTimeout, cfg.Costs.NewConnection = 10000, 0.08
 	h := newHarness(t, cfg, newEndpoints(4)...)
-	s := h.b.endpoints.list[0]
-	plain := h.b.affinityFactor(s)
-	s.activity.lastSendAt = h.now
-	if h.b.affinityFactor(s) < 10*plain {
+	ep := h.b.endpoints.list[0]
+	plain := h.b.affinityFactor(ep)
+	ep.activity.lastSendAt = h.now
+	if h.b.affinityFactor(ep) < 10*plain {
 		t.Error("an open connection has no effect")
 	}
-	s.outlier.consecutiveErrors, s.outlier.lastErrorAt = 1, longAgo
-	if h.b.affinityFactor(s) != plain {
+	ep.outlier.consecutiveErrors, ep.outlier.lastErrorAt = 1, longAgo
+	if h.b.affinityFactor(ep) != plain {
 		t.Error("an endpoint that just failed is preferred")
 	}
-	s.outlier.consecutiveErrors = 0
-	if h.b.now += cfg.ConnIdleTimeout; h.b.affinityFactor(s) != plain {
+	ep.outlier.consecutiveErrors = 0
+	if h.b.now += cfg.ConnIdleTimeout; h.b.affinityFactor(ep) != plain {
 		t.Error("a closed connection is preferred")
 	}
 }
@@ -201,16 +201,16 @@
 		h := newHarness(t, cfg, newEndpoints(16)...)
 		h.randomizeRotation()
 		sendSequence(h, 6)
-		for _, s := range h.b.endpoints.list {
-			s.rotation.value = 0 // otherwise endpoints not used yet come first
+		for _, ep := range h.b.endpoints.list {
+			ep.rotation.value = 0 // otherwise endpoints not used yet come first
 		}
 		seen := map[EndpointID]bool{}
 		for range 12 {
 			h.now += 20
 			h.b.connectFailures.fraction = refusedPart
 			id, actions := h.request(idempotentClass)
-			if s, ok := sendTarget(actions); ok {
-				seen[s] = true
+			if target, ok := sendTarget(actions); ok {
+				seen[target] = true
 				h.finishAttempt(id, 0, OK, 20)
 			}
 		}
@@ -231,8 +231,8 @@
 		h := newHarness(t, cfg, newEndpoints(20)...)
 		h.randomizeRotation()
 		sendSequence(h, 20)
-		for _, s := range h.b.endpoints.list {
-			s.rotation.value -= 0.6
+		for _, ep := range h.b.endpoints.list {
+			ep.rotation.value -= 0.6
 		}
 		sendSequence(h, 5)
 		h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 99, Rating: 1}}})
@@ -249,18 +249,18 @@
 // then on the first endpoint would get all requests.
 func TestRotationContinuesAfterAllWereEjected(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
-	for _, s := range h.b.endpoints.list {
-		h.b.eject(s)
+	for _, ep := range h.b.endpoints.list {
+		h.b.eject(ep)
 	}
 	sendSequence(h, 1)
 	h.now += 60000
 	used := map[EndpointID]int{}
-	for _, s := range sendSequence(h, 30) {
-		used[s]++
+	for _, target := range sendSequence(h, 30) {
+		used[target]++
 	}
 	for id := EndpointID(1); id <= 3; id++ {
-		if s := h.b.endpoints.byID[id]; math.IsNaN(s.rotation.value) || used[id] < 5 {
-			t.Errorf("endpoint %d: %d of 30 requests, rotation value %v", id, used[id], s.rotation.value)
+		if ep := h.b.endpoints.byID[id]; math.IsNaN(ep.rotation.value) || used[id] < 5 {
+			t.Errorf("endpoint %d: %d of 30 requests, rotation value %v", id, used[id], ep.rotation.value)
 		}
 	}
 }
--- a/balance/simulation_test.go
+++ b/balance/simulation_test.go
@@ -41,11 +41,11 @@
 func (sim *instanceSimulation) handle(ev Event) {
 	sim.t.Helper()
 	if out, ok := ev.(Outcome); ok {
-		r := sim.b.requests[out.Request]
-		if r == nil || !r.attempts[out.Attempt].inFlight { // cancelled meanwhile
+		req := sim.b.requests[out.Request]
+		if req == nil || !req.attempts[out.Attempt].inFlight { // cancelled meanwhile
 			return
 		}
-		out.Finished = out.Result == OK || r.done
+		out.Finished = out.Result == OK || req.done
 		if ev = out; out.Result == OK {
 			sim.served++
 		}
@@ -63,9 +63,9 @@
 			}
 			sim.events = append(sim.events, timedEvent{sim.now + after, out})
 		case CancelAttempt:
-			s := sim.b.requests[a.Request].attempts[a.Attempt].endpoint.ID
+			target := sim.b.requests[a.Request].attempts[a.Attempt].endpoint.ID
 			sim.events = append(sim.events, timedEvent{sim.now, Outcome{Request: a.Request, Attempt: a.Attempt,
-				Endpoint: s, Result: Cancelled}})
+				Endpoint: target, Result: Cancelled}})
 		case SetTimer:
 			sim.events = append(sim.events, timedEvent{sim.now + a.Delay, TimerFired{Token: a.Token}})
 		case Log:
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -11,18 +11,18 @@
 func TestRecoveredEndpointIsWarmingUp(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	id, actions := h.request(idempotentClass)
-	s, _ := sendTarget(actions)
+	target, _ := sendTarget(actions)
 	h.finishAttempt(id, 0, ConnectFailed, 150)
 	h.now += 60000
 	for range 8 {
 		id, actions = h.request(idempotentClass)
-		if again, _ := sendTarget(actions); again == s {
+		if again, _ := sendTarget(actions); again == target {
 			h.finishAttempt(id, 0, OK, 10)
 			break
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	if !h.b.warmingUp(h.b.endpoints.byID[s]) {
+	if !h.b.warmingUp(h.b.endpoints.byID[target]) {
 		t.Fatal("the endpoint is treated as warm")
 	}
 }
@@ -33,10 +33,10 @@
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	for range 50 {
 		id, actions := h.request(idempotentClass)
-		if s, _ := sendTarget(actions); h.b.endpoints.byID[s].outlier.connectErrors == 0 {
+		if target, _ := sendTarget(actions); h.b.endpoints.byID[target].outlier.connectErrors == 0 {
 			again, _ := sendTarget(h.finishAttempt(id, 0, ConnectFailed, 1))
-			if again == 0 || again == s {
-				t.Fatalf("retried from %d to %d", s, again)
+			if again == 0 || again == target {
+				t.Fatalf("retried from %d to %d", target, again)
 			}
 			h.finishAttempt(id, 1, OK, 10)
 		} else {
@@ -44,9 +44,9 @@
 		}
 		h.now += 20
 	}
-	for _, s := range h.b.endpoints.list {
-		if h.b.warmingUp(s) {
-			t.Errorf("endpoint %d is treated as warming up", s.ID)
+	for _, ep := range h.b.endpoints.list {
+		if h.b.warmingUp(ep) {
+			t.Errorf("endpoint %d is treated as warming up", ep.ID)
 		}
 	}
 }
@@ -67,11 +67,11 @@
 				h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: endpoints[:1]})
 			}
 			id, actions := h.request(idempotentClass)
-			s, ok := sendTarget(actions)
+			target, ok := sendTarget(actions)
 			if !ok {
 				t.Fatal("nothing sent")
 			}
-			if s == 1 && i >= perSecond*3 && i < perSecond*4 {
+			if target == 1 && i >= perSecond*3 && i < perSecond*4 {
 				toWarmingUp++
 			}
 			h.finishAttempt(id, 0, OK, 10)
@@ -184,8 +184,8 @@
 		return sent
 	}
 	before := sendToWarmingUp(100)
-	for _, s := range h.b.endpoints.list[:2] {
-		s.outlier.ejectedUntil = h.now + 1000
+	for _, ep := range h.b.endpoints.list[:2] {
+		ep.outlier.ejectedUntil = h.now + 1000
 	}
 	if during := sendToWarmingUp(100); during > before+before/2+2 {
 		t.Errorf("the endpoint that warms up got %d of 100 while two others are ejected, %d before", during, before)
@@ -201,17 +201,17 @@
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
 	h.now += 2000
 	h.request(idempotentClass) // sets the weights
-	s := h.b.endpoints.list[0]
-	s.slowStart.tokens, s.slowStart.updatedAt = 0, h.now-2000
-	if h.b.refillSlowStart(s); s.slowStart.tokens > 0.2 { // 1 with ten assumed responses
-		t.Fatalf("%.2f sends in two seconds", s.slowStart.tokens)
+	ep := h.b.endpoints.list[0]
+	ep.slowStart.tokens, ep.slowStart.updatedAt = 0, h.now-2000
+	if h.b.refillSlowStart(ep); ep.slowStart.tokens > 0.2 { // 1 with ten assumed responses
+		t.Fatalf("%.2f sends in two seconds", ep.slowStart.tokens)
 	}
 	for range 400 { // a share of two hundred responses a second
 		h.b.responses.record()
 	}
-	s.slowStart.tokens, s.slowStart.updatedAt = 0, h.now-2000
-	if h.b.refillSlowStart(s); s.slowStart.tokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy instance", s.slowStart.tokens)
+	ep.slowStart.tokens, ep.slowStart.updatedAt = 0, h.now-2000
+	if h.b.refillSlowStart(ep); ep.slowStart.tokens < 0.5 {
+		t.Fatalf("%.2f sends in two seconds for a busy instance", ep.slowStart.tokens)
 	}
 }
 
@@ -256,11 +256,11 @@
 		b.Handle(now, EndpointUpdate{Kind: UpdateCachedSnapshot, Endpoints: endpoints})
 		actions, err := b.Handle(now+50, Request{ID: 1, Class: idempotentClass,
 			StickyKey: uint64(1 + i%200), Remaining: 1500})
-		s, ok := sendTarget(actions)
+		target, ok := sendTarget(actions)
 		if err != nil || !ok {
 			t.Fatalf("not sent: %v, %v", actions, err)
 		}
-		if b.warmingUp(b.endpoints.byID[s]) {
+		if b.warmingUp(b.endpoints.byID[target]) {
 			toWarmingUp++
 		}
 	}
--- a/balance/sticky_test.go
+++ b/balance/sticky_test.go
@@ -11,12 +11,12 @@
 	for round := range 100 {
 		for i, h := range all {
 			key := uint64(1 + (round*7+i*31)%200) // each instance gets many keys, and none of them often
-			s := h.serveKey(key)
+			target := h.serveKey(key)
 			if at[key] == nil {
 				at[key] = map[EndpointID]bool{}
 			}
-			at[key][s] = true
-			sent[s]++
+			at[key][target] = true
+			sent[target]++
 		}
 	}
 	for key, endpoints := range at {
@@ -46,14 +46,14 @@
 			if (round+i)%5 == 0 {
 				key = 1
 			}
-			s := h.serveKey(key)
+			target := h.serveKey(key)
 			if key != 1 {
 				if rare[key] == nil {
 					rare[key] = map[EndpointID]bool{}
 				}
-				rare[key][s] = true
+				rare[key][target] = true
 			} else if round >= 150 { // by then the traffic of the key is known
-				hot[s]++
+				hot[target]++
 				n++
 			}
 		}
@@ -101,9 +101,9 @@
 		}
 	}
 	for key, at := range endpointsByKey() {
-		for s := range before[key] {
-			if !lost[s] && !at[s] {
-				t.Fatalf("key %d left endpoint %x, which is still there", key, s)
+		for target := range before[key] {
+			if !lost[target] && !at[target] {
+				t.Fatalf("key %d left endpoint %x, which is still there", key, target)
 			}
 		}
 	}
--- a/balance/transfer_test.go
+++ b/balance/transfer_test.go
@@ -28,9 +28,9 @@
 	state := one.ExportState(10000)
 	two := start()
 	two.ImportState(10000, state, []int{1, -1}, nil) // its first class was the second of the old process, the other is new
-	if s := two.endpoints.byID[1]; s.outlier.consecutiveErrors != 2 || s.outlier.lastErrorAt != 9900 || s.outlier.ejectedUntil != 12000 ||
-		s.classScores[0].value != 0.25 {
-		t.Errorf("state of the failing endpoint: %+v", s)
+	if ep := two.endpoints.byID[1]; ep.outlier.consecutiveErrors != 2 || ep.outlier.lastErrorAt != 9900 || ep.outlier.ejectedUntil != 12000 ||
+		ep.classScores[0].value != 0.25 {
+		t.Errorf("state of the failing endpoint: %+v", ep)
 	}
 	if two.UnavailableCount(11000) != 1 || two.UnavailableCount(13000) != 0 {
 		t.Errorf("unavailable: %d, then %d", two.UnavailableCount(11000), two.UnavailableCount(13000))
