--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -1,10 +1,6 @@
 package eventloop
 
-import (
-	"net/http"
-
-	"cindersaddle/balance"
-)
+import "cindersaddle/balance"
 
 // perform performs the actions that the balancer returned, in their order. They are valid until the balancer's next call, so
 // that no action may call it: what follows from one at once is posted as a local event.
@@ -14,18 +10,15 @@
 	}
 }
 
+// performAction performs one action. A request or an endpoint that it names may not exist any more.
 func (l *Loop) performAction(action *balance.Action) {
 	switch action.Kind {
 	case balance.SendAttempt:
 		l.startAttempt(action)
 	case balance.RejectRequest:
-		req := l.requests.byID[action.Request]
-		l.logUnserved(req, "request rejected")
-		l.finish(req, l.rejection(action.RetryAfter))
+		l.rejectRequest(l.requests.byID[action.Request], action.RetryAfter)
 	case balance.FailRequest:
-		req := l.requests.byID[action.Request]
-		l.logUnserved(req, "request failed")
-		l.finish(req, textResponse(http.StatusBadGateway, "failed"))
+		l.failRequest(l.requests.byID[action.Request])
 	case balance.CancelAttempt:
 		l.cancelAttempt(action.Request, action.Attempt)
 	case balance.SetTimer:
@@ -41,15 +34,6 @@
 	}
 }
 
-// cancelAttempt cancels an attempt, unless its request has been released, or its response is on its way to the client.
-func (l *Loop) cancelAttempt(id balance.RequestID, number int) {
-	req := l.requests.byID[id]
-	if req == nil || number >= len(req.attempts) || req.attempts[number].StreamLatency > 0 {
-		return
-	}
-	req.attempts[number].Cancel()
-}
-
 // closeIdleConns closes the idle connections to an endpoint, unless it has been removed.
 func (l *Loop) closeIdleConns(id balance.EndpointID) {
 	if endpoint := l.endpoints.byID[id]; endpoint != nil {
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -2,33 +2,28 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"cindersaddle/balance"
-	"cindersaddle/internal/exchange"
 	"cindersaddle/internal/upstream"
 )
 
-// maxUploadTime is the limit, in milliseconds, of an attempt whose request's time has not begun.
-const maxUploadTime = 3600e3
-
-// startAttempt sends a request to an endpoint. An attempt that cannot be made any more ends at once, as a local event.
+// startAttempt sends a request to an endpoint. An attempt that cannot be made any more ends at once, as a local event: its
+// request is done, its endpoint has been removed, or the request has had all its attempts.
 func (l *Loop) startAttempt(action *balance.Action) {
 	req := l.requests.byID[action.Request]
 	if req == nil {
 		return
 	}
 	attempt := l.newAttempt(req, action)
-	req.attempts = append(req.attempts, attempt)
-	req.inFlight++
-	if req.done || attempt.Endpoint == nil || len(req.attempts) > req.maxAttempts {
-		l.postLocal(attemptEnd{attempt: attempt, result: upstream.Result{Outcome: balance.NotAttempted}})
+	req.attempts.add(attempt)
+	if !req.open() || attempt.Endpoint == nil || req.attempts.overLimit() {
+		l.inbox.postLocal(attemptEnd{attempt: attempt, result: upstream.Result{Outcome: balance.NotAttempted}})
 		return
 	}
 	l.running.Go(func() {
 		result := l.upstreamClient.Do(attempt)
-		l.post(attemptEnd{attempt: attempt, result: result, endedAt: time.Now()})
+		l.inbox.post(attemptEnd{attempt: attempt, result: result, endedAt: time.Now()})
 	})
 }
 
@@ -37,18 +32,14 @@
 	if upload := req.exchange.Message.Upload; upload != nil {
 		upload.CountPause()
 	}
-	timeAfterUpload := req.timeFromLastByte()
-	if !req.uploading {
-		timeAfterUpload = max(0, req.deadline-l.clock.now)
-	}
 	attempt := &upstream.Attempt{
 		RequestID:       req.id,
-		Number:          len(req.attempts),
+		Number:          len(req.attempts.byNumber),
 		Endpoint:        l.endpoints.byID[action.Endpoint],
 		Message:         req.exchange.Message,
 		SentAt:          l.clock.now,
-		Deadline:        l.clock.wallTime(l.attemptDeadline(req, action)),
-		TimeAfterUpload: timeAfterUpload.Duration(),
+		Deadline:        l.clock.timeOf(req.attemptDeadline(l.clock.now, action.Deadline)),
+		TimeAfterUpload: req.timeAfterUpload(l.clock.now).Duration(),
 		Observer:        l,
 		LoopDone:        l.ctx.Done(),
 	}
@@ -56,70 +47,18 @@
 	return attempt
 }
 
-// attemptDeadline returns when an attempt is given up: with its request, or sooner if the balancer says so.
-func (l *Loop) attemptDeadline(req *request, action *balance.Action) balance.Milliseconds {
-	deadline := req.deadline
-	if req.uploading {
-		deadline = l.clock.now + maxUploadTime
-		if upload := req.exchange.Message.Upload; upload != nil && upload.Complete.Load() {
-			deadline = l.clock.now + req.timeFromLastByte()
-		}
-	}
-	if action.Deadline > 0 {
-		deadline = min(deadline, action.Deadline)
-	}
-	return deadline
-}
-
-// endAttempt handles the end of an attempt. The first good response of a request's attempts goes to the client.
-func (l *Loop) endAttempt(ev attemptEnd) {
-	ev.attempt.Cancel()
-	req := l.requests.byID[ev.attempt.RequestID]
-	req.inFlight--
-	duration := ev.attempt.StreamLatency
-	if duration > 0 {
-		l.endStream(req, ev.result.Outcome)
-	} else if !ev.endedAt.IsZero() {
-		duration = l.clock.milliseconds(ev.endedAt) - ev.attempt.SentAt
-	}
-	l.logFailedAttempt(req, &ev, duration)
-	l.finishWithResult(req, &ev.result)
-	l.notifyBalancer(outcomeOf(ev, duration, req.done))
-	l.releaseIfEnded(req)
-}
-
-// finishWithResult finishes a request if the result of an attempt settles it.
-func (l *Loop) finishWithResult(req *request, result *upstream.Result) {
-	if result.Outcome == balance.OK {
-		l.finish(req, result.Response)
-	}
-	if result.ClientGone {
-		l.finish(req, &exchange.Response{Abort: true})
-	}
-	if result.UploadError != nil { // the client never completed the request
-		var fault *exchange.RequestError
-		errors.As(exchange.BodyError(result.UploadError), &fault)
-		l.finish(req, closingResponse(fault.Status, fault.Text))
-	}
-}
-
-// outcomeOf returns the balancer's event for the end of an attempt that took duration milliseconds.
-func outcomeOf(ev attemptEnd, duration balance.Milliseconds, finished bool) balance.Outcome {
-	attempt := ev.attempt
-	outcome := balance.Outcome{
-		Request:       attempt.RequestID,
-		Attempt:       attempt.Number,
-		Result:        ev.result.Outcome,
-		Duration:      duration,
-		Finished:      finished,
-		BodyDiscarded: attempt.ResponseTooLong,
-		LoadReport:    ev.result.LoadReport,
-	}
-	if upload := attempt.Message.Upload; upload != nil && upload.Discarded.Load() {
-		outcome.BodyDiscarded = true
+// cancelAttempt cancels an attempt because the balancer has decided so: its request has its response from another attempt, or
+// its endpoint is taken for unresponsive and another attempt is made. It cancels none of a request that has been released, and
+// none whose response is on its way to the client, as that would break off.
+//
+// An attempt is cancelled in three other cases: the client side cancels it (Download.Cancel) when the client of a long response
+// has left, all are cancelled when the loop ends, and endAttempt releases the context of one that has ended.
+func (l *Loop) cancelAttempt(id balance.RequestID, number int) {
+	req := l.requests.byID[id]
+	if req == nil {
+		return
 	}
-	if attempt.Endpoint != nil {
-		outcome.Endpoint = attempt.Endpoint.ID
+	if attempt := req.attempts.get(number); attempt != nil && attempt.StreamLatency == 0 {
+		attempt.Cancel()
 	}
-	return outcome
 }
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -8,7 +8,7 @@
 
 // clock is the loop's time: Unix milliseconds at the start of the process, advanced by the monotonic clock, so that steps of
 // the system's clock do not show. started and epoch do not change, so that the conversions are safe in any goroutine; now
-// belongs to the loop.
+// belongs to the loop, and does not decrease.
 type clock struct {
 	started time.Time            // the origin
 	epoch   balance.Milliseconds // the origin in Unix milliseconds
@@ -28,7 +28,7 @@
 	return c.epoch + balance.MillisecondsOf(moment.Sub(c.started))
 }
 
-// wallTime converts a loop time to a moment.
-func (c *clock) wallTime(milliseconds balance.Milliseconds) time.Time {
-	return c.started.Add((milliseconds - c.epoch).Duration())
+// timeOf converts a point in the loop's time to a moment, which is on the monotonic clock.
+func (c *clock) timeOf(point balance.Milliseconds) time.Time {
+	return c.started.Add((point - c.epoch).Duration())
 }
--- /dev/null
+++ b/internal/eventloop/clocksteps_faults_test.go
@@ -0,0 +1,39 @@
+//go:build faults
+
+package eventloop
+
+import (
+	"testing"
+	"time"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/fault"
+	"cindersaddle/internal/membership"
+	"cindersaddle/internal/sidecartest"
+)
+
+// The wall clock is stepped while a process runs, and a successor takes over what it has learned. The clocks of the two differ
+// by the step: the successor must take the learned times for as long ago as they are.
+func TestLearnedTimesAreShiftedByClockSteps(t *testing.T) {
+	predecessor := newTestLoop(t)
+	predecessor.upstreamClient = newTestUpstream(t)
+	predecessor.clock.update()
+	endpoint := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
+	endpoint.UpSince = float64(predecessor.clock.now - 1000)
+	predecessor.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
+	fault.SetClockStep(time.Hour)
+	t.Cleanup(func() { fault.SetClockStep(0) })
+	state := predecessor.exportState()
+
+	successor := newTestLoop(t)
+	successor.upstreamClient = newTestUpstream(t)
+	successor.clock.update()
+	successor.TakeOverFrom(state)
+	successor.cfg.KnownEndpoints = state.List
+	successor.applyList(endpointListUpdate{list: &successor.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
+	successor.importState()
+	learned := successor.balancer.ExportState(successor.clock.now)
+	if age := successor.clock.now - learned.Servers[0].ColdSince; age < 0 || age > 10e3 {
+		t.Errorf("the endpoint counts as started %v ms ago, want about 1000", age)
+	}
+}
--- a/internal/eventloop/starttimes_test.go
+++ b/internal/eventloop/clocksteps_test.go
@@ -9,17 +9,19 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-const hour = 3600e3 // in milliseconds
+// hour is the size of the steps of the wall clock.
+const hour balance.Milliseconds = 60 * 60 * 1000
 
-// TestStartTimeAcrossClockSteps checks that a server which has just started does not count as one that has run for long, or
-// will start in an hour, because the wall clock was stepped before or after its start.
+// The wall clock is stepped by an hour before or after the start of an endpoint, whose time discovery lists by that clock. An
+// endpoint that has just started must not count as one that has run for long, which would be overloaded, or as one that will
+// start in an hour.
 func TestStartTimeAcrossClockSteps(t *testing.T) {
 	const began, now = 1e12, 1e12 + 30e3
 	for name, test := range map[string]struct {
-		step       balance.Milliseconds // of the wall clock, 10 s after the process began
-		listed     balance.Milliseconds
-		want       balance.Milliseconds
-		toleration balance.Milliseconds
+		step      balance.Milliseconds // of the wall clock, 10 s after the process began
+		listed    balance.Milliseconds
+		want      balance.Milliseconds
+		tolerance balance.Milliseconds
 	}{
 		"no step":                      {0, now - 5000, now - 5000, 0},
 		"long ago":                     {0, 0, 0, 0},
@@ -31,34 +33,34 @@
 		"ahead of all clocks":          {0, now + 2*hour, now, 0},
 		"started long before the step": {hour, now - 20*hour, now - 20*hour, 0},
 	} {
-		var starts startTimes
-		starts.observe(began, began)
-		starts.observe(began+10e3, began+10e3+test.step)
-		starts.observe(now, now+test.step)
-		if got := starts.loopTime(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.toleration) {
+		var steps clockSteps
+		steps.observe(began, began)
+		steps.observe(began+10e3, began+10e3+test.step)
+		steps.observe(now, now+test.step)
+		if got := steps.startTime(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.tolerance) {
 			t.Errorf("%s: started %v ms before now, want %v", name, now-got, now-test.want)
 		}
 	}
 }
 
-// TestClockDifferencesAreForgotten checks that what many steps leave behind is bounded and does not last.
+// The wall clock is stepped every second. The differences that are remembered must be bounded, and must not last.
 func TestClockDifferencesAreForgotten(t *testing.T) {
-	var starts startTimes
+	var steps clockSteps
 	for i := range 100 {
 		moment := 1e12 + balance.Milliseconds(i)*1000
-		starts.observe(moment, moment+balance.Milliseconds(i)*hour)
+		steps.observe(moment, moment+balance.Milliseconds(i)*hour)
 	}
-	if len(starts.differences) > maxClockDifferences {
-		t.Errorf("%d differences remembered, want at most %d", len(starts.differences), maxClockDifferences)
+	if len(steps.differences) > maxClockDifferences {
+		t.Errorf("%d differences remembered, want at most %d", len(steps.differences), maxClockDifferences)
 	}
 	now := balance.Milliseconds(1e12 + 200e3 + clockStepMemory)
-	if got, want := starts.loopTime(now+98*hour, now), now-hour; got != want {
+	if got, want := steps.startTime(now+98*hour, now), now-hour; got != want {
 		t.Errorf("start at %v, want %v", got, want)
 	}
 }
 
-// TestRestartAfterClockWasSetBack checks that a restart is noticed although the time listed for it is earlier than the one
-// before: the old connections are discarded, and the server warms up.
+// The wall clock is set back, and an endpoint restarts after that: the time listed for its start is earlier than the one before.
+// The restart must be noticed: the old connections are discarded, and the endpoint warms up.
 func TestRestartAfterClockWasSetBack(t *testing.T) {
 	l := newTestLoop(t)
 	l.upstreamClient = newTestUpstream(t)
@@ -69,13 +71,13 @@
 	endpoint := l.endpoints.byName["s-1"]
 	address := endpoint.Address.Load()
 
-	l.starts.observe(l.clock.now, l.clock.now-hour)
+	l.clockSteps.observe(l.clock.now, l.clock.now-hour)
 	listed.UpSince = float64(l.clock.now - hour - 1000)
 	restarted := l.balancerEndpoint(l.updateEndpoint(&listed), &listed)
 	if endpoint.Address.Load() == address {
-		t.Error("connections to the previous process are still used")
+		t.Error("connections to the previous incarnation are still used")
 	}
 	if age := l.clock.now - restarted.StartedAt; age > 2000 {
-		t.Errorf("the server counts as started %v ms ago, want 1000", age)
+		t.Errorf("the endpoint counts as started %v ms ago, want 1000", age)
 	}
 }
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -2,27 +2,15 @@
 
 import (
 	"strings"
-	"time"
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/membership"
 	"cindersaddle/internal/upstream"
 )
 
-// listVersion says which endpoint list the table holds.
-type listVersion struct {
-	source   string // the address of the discovery that it came from
-	revision int64  // discovery's number for it
-	complete bool   // the list was complete, or discovery has updated it since
-}
-
 // applyList applies an endpoint list to the table and passes it to the balancer.
 func (l *Loop) applyList(ev endpointListUpdate, kind balance.UpdateKind) {
-	l.list = listVersion{
-		source:   ev.source,
-		revision: ev.list.Revision,
-		complete: l.list.complete || kind != balance.UpdateCachedSnapshot || ev.list.Complete,
-	}
+	l.list = l.list.next(ev, kind)
 	l.observeClocks()
 	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEndpoints(ev.list.Members)}
 	if kind != balance.UpdateDelta {
@@ -32,12 +20,6 @@
 	l.notifyBalancer(update)
 }
 
-// observeClocks notices steps of the wall clock.
-func (l *Loop) observeClocks() {
-	moment := time.Now()
-	l.starts.observe(l.clock.milliseconds(moment), wallMilliseconds(moment))
-}
-
 // applyEndpoints adds, updates and removes the listed endpoints, and returns them as the balancer needs them.
 func (l *Loop) applyEndpoints(list []membership.Endpoint) []balance.Endpoint {
 	var updates []balance.Endpoint
@@ -69,27 +51,33 @@
 	}
 }
 
-// updateEndpoint returns the table's entry for a listed endpoint, which may be new or have another address or a new process.
+// updateEndpoint returns the table's entry for a listed endpoint, which may be new or have another address or a new incarnation.
 func (l *Loop) updateEndpoint(listed *membership.Endpoint) *upstream.Endpoint {
 	endpoint := l.endpoints.byName[listed.ID]
 	if endpoint == nil {
 		endpoint = l.endpoints.add(listed.ID)
 	}
 	address := endpoint.Address.Load()
-	restarted := listed.UpSince > 0 && listed.UpSince != endpoint.Listed.UpSince // less, if the wall clock was set back
+	restarted := hasRestarted(endpoint, listed)
 	if restarted || address == nil {
-		endpoint.StartedAt = l.starts.loopTime(balance.Milliseconds(listed.UpSince), l.clock.now)
+		endpoint.StartedAt = l.clockSteps.startTime(balance.Milliseconds(listed.UpSince), l.clock.now)
 	}
 	if address == nil || restarted || *address != listed.HostPort {
 		current := strings.Clone(listed.HostPort) // a substring would keep the text of the whole list in memory
 		endpoint.Address.Store(&current)
-		l.upstreamClient.CloseIdle(endpoint) // they lead to the previous process
+		l.upstreamClient.CloseIdle(endpoint) // they lead to the previous incarnation
 	}
 	endpoint.Listed = listed.Clone()
 	endpoint.Closed.Store(listed.State() != balance.Ready)
 	return endpoint
 }
 
+// hasRestarted reports whether a listed endpoint is another incarnation than the one listed before. Its start time is then
+// earlier than the previous one if the wall clock was set back in between.
+func hasRestarted(endpoint *upstream.Endpoint, listed *membership.Endpoint) bool {
+	return listed.UpSince > 0 && listed.UpSince != endpoint.Listed.UpSince
+}
+
 // stopSending ends sending to an endpoint that is draining or gone. What is in flight there goes on.
 func (l *Loop) stopSending(endpoint *upstream.Endpoint) {
 	endpoint.Closed.Store(true)
--- /dev/null
+++ b/internal/eventloop/endpointtable_test.go
@@ -0,0 +1,69 @@
+package eventloop
+
+import (
+	"fmt"
+	"maps"
+	"runtime"
+	"testing"
+	"time"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/membership"
+	"cindersaddle/internal/sidecartest"
+	"cindersaddle/internal/upstream"
+)
+
+// Sidecars learn of the endpoints in different orders. All must hash a sticky key to the same endpoints, so that an endpoint's ID
+// may not depend on that order.
+func TestEndpointIDsDoNotDependOnListOrder(t *testing.T) {
+	endpoints := []membership.Endpoint{
+		sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"),
+		sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2"),
+		sidecartest.ReadyEndpoint("s-3", "127.0.0.1:3"),
+	}
+	idsInOrder := func(order ...int) map[string]balance.EndpointID {
+		l := newTestLoop(t)
+		l.upstreamClient = newTestUpstream(t)
+		for _, i := range order {
+			l.applyList(endpointListUpdate{list: &membership.EndpointList{Members: endpoints[i : i+1]}}, balance.UpdateDelta)
+		}
+		ids := map[string]balance.EndpointID{}
+		for name, endpoint := range l.endpoints.byName {
+			ids[name] = endpoint.ID
+		}
+		return ids
+	}
+	first, second := idsInOrder(0, 1, 2), idsInOrder(2, 0, 1)
+	if !maps.Equal(first, second) || len(first) != 3 || first["s-1"] == first["s-2"] {
+		t.Errorf("IDs %v and %v, want three equal ones that differ by name", first, second)
+	}
+}
+
+// A sidecar may be limited to 32 MB, and each complete list brings hundreds of endpoints. They must take a small part of it, also
+// after many lists, of which each replaces all endpoints.
+func TestMemoryOfManyEndpoints(t *testing.T) {
+	const endpointCount, maxBytes = 400, 4 << 20
+	l := newTestLoop(t)
+	l.upstreamClient = upstream.NewClient(upstream.NewPool(time.Second, time.Minute, 0, 116), nil, "", l.metrics)
+	heapBytes := func() uint64 {
+		var stats runtime.MemStats
+		runtime.GC()
+		runtime.GC()
+		runtime.ReadMemStats(&stats)
+		return stats.HeapAlloc
+	}
+	before := heapBytes()
+	for round := range 20 { // each list replaces the previous one
+		list := sidecartest.NumberedEndpoints(endpointCount, "127.0.0.1:1")
+		for i := range list.Members {
+			list.Members[i].ID += fmt.Sprint(round)
+		}
+		l.applyList(endpointListUpdate{&list, "127.0.0.1:2"}, 0)
+	}
+	if grown := int64(heapBytes()) - int64(before); grown > maxBytes || l.endpoints.len() != endpointCount {
+		t.Errorf("%d endpoints take %d bytes, want %d endpoints in %d bytes at most", l.endpoints.len(), grown, endpointCount, maxBytes)
+	} else {
+		t.Logf("%d endpoints take %d bytes", endpointCount, grown)
+	}
+	runtime.KeepAlive(l)
+}
--- /dev/null
+++ b/internal/eventloop/events_client.go
@@ -0,0 +1,24 @@
+package eventloop
+
+import "cindersaddle/internal/exchange"
+
+// requestArrival is a request of a client, read and checked.
+type requestArrival struct{ exchange *exchange.Exchange }
+
+func (ev requestArrival) apply(l *Loop) { l.admitRequest(ev.exchange) }
+
+// RequestArrived posts a new request. The loop owns it from then on.
+func (l *Loop) RequestArrived(incoming *exchange.Exchange) {
+	l.inbox.post(requestArrival{exchange: incoming})
+}
+
+// clientDeparture is a client that closed its connection before it got its response.
+type clientDeparture struct{ exchange *exchange.Exchange }
+
+func (ev clientDeparture) apply(l *Loop) { l.clientLeft(ev.exchange) }
+
+// ClientLeft posts that the client of a request has closed its connection. The loop sends no response once
+// it has handled this.
+func (l *Loop) ClientLeft(departed *exchange.Exchange) {
+	l.inbox.post(clientDeparture{exchange: departed})
+}
--- a/internal/eventloop/state.go
+++ b/internal/eventloop/handover.go
@@ -10,6 +10,14 @@
 	"cindersaddle/internal/upgrade"
 )
 
+// TakeOverFrom sets the state that the predecessor in an upgrade has learned; nil: there is none. It comes before Run.
+func (l *Loop) TakeOverFrom(predecessor *upgrade.State) { l.predecessor = predecessor }
+
+// stateExport is a call for the learned state, for the successor in an upgrade.
+type stateExport struct{ state chan<- *upgrade.State }
+
+func (ev stateExport) apply(l *Loop) { ev.state <- l.exportState() }
+
 // StateTimeoutError is returned by ExportState when the loop is too busy to respond, or has ended.
 type StateTimeoutError struct{ Timeout time.Duration }
 
@@ -18,11 +26,11 @@
 	return fmt.Sprintf("export state: event loop did not respond within %v", e.Timeout)
 }
 
-// ExportState returns a copy of the learned state, for a process that takes over. It waits for the loop for
+// ExportState returns a copy of the learned state, for the successor in an upgrade. It waits for the loop for
 // upgrade.StateTimeout; the error is a StateTimeoutError. Any goroutine but the loop's may call it.
 func (l *Loop) ExportState() (*upgrade.State, error) {
 	exported := make(chan *upgrade.State, 1)
-	l.post(stateExport{state: exported})
+	l.inbox.post(stateExport{state: exported})
 	select {
 	case state := <-exported:
 		return state, nil
@@ -31,7 +39,7 @@
 	}
 }
 
-// exportState returns what the next process needs: the endpoint list and what the balancer has learned.
+// exportState returns what the successor needs: the endpoint list and what the balancer has learned.
 func (l *Loop) exportState() *upgrade.State {
 	l.observeClocks()
 	state := &upgrade.State{
@@ -42,7 +50,7 @@
 		Classes:   l.settings.ClassNames,
 		Tenants:   l.settings.TenantNames,
 		Memory:    l.balancer.ExportState(l.clock.now),
-		WallAhead: l.starts.wallAhead(),
+		WallAhead: l.clockSteps.wallAhead(),
 	}
 	for _, endpoint := range l.endpoints.sorted() {
 		state.List.Members = append(state.List.Members, endpoint.Listed)
@@ -50,13 +58,13 @@
 	return state
 }
 
-// importState gives the balancer what the previous process has learned, if there was one.
+// importState gives the balancer what the predecessor has learned, if there is one.
 func (l *Loop) importState() {
 	if l.predecessor == nil {
 		return
 	}
-	// Its times are on the clock of the previous process, which does not follow steps of the wall clock.
-	l.predecessor.Memory.ShiftTimes(l.predecessor.WallAhead - l.starts.wallAhead())
+	// Its times are on the clock of the predecessor, which does not follow steps of the wall clock.
+	l.predecessor.Memory.ShiftTimes(l.predecessor.WallAhead - l.clockSteps.wallAhead())
 	l.balancer.ImportState(
 		l.clock.now,
 		l.predecessor.Memory,
--- a/internal/eventloop/healthchecks.go
+++ b/internal/eventloop/healthchecks.go
@@ -16,6 +16,6 @@
 	l.running.Go(func() {
 		result := l.upstreamClient.CheckHealth(l.ctx, endpoint)
 		duration := l.clock.milliseconds(time.Now()) - sentAt
-		l.post(healthCheckEnd{endpoint: endpoint, result: result, duration: duration})
+		l.inbox.post(healthCheckEnd{endpoint: endpoint, result: result, duration: duration})
 	})
 }
--- /dev/null
+++ b/internal/eventloop/helpers_test.go
@@ -0,0 +1,87 @@
+package eventloop
+
+import (
+	"log/slog"
+	"net/http"
+	"testing"
+	"time"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/exchange"
+	"cindersaddle/internal/membership"
+	"cindersaddle/internal/metrics"
+	"cindersaddle/internal/sidecartest"
+	"cindersaddle/internal/upstream"
+)
+
+// newTestUpstream returns a client whose limits no test reaches.
+func newTestUpstream(t *testing.T) *upstream.Client {
+	t.Helper()
+	pool := upstream.NewPool(sidecartest.Timeout, sidecartest.Timeout, 0, 500)
+	t.Cleanup(pool.CloseAll)
+	return upstream.NewClient(pool, nil, "/alive", &metrics.Metrics{})
+}
+
+// newTestLoop returns a loop that discards its log, has no upstream client and no watcher, and does not run.
+func newTestLoop(t *testing.T) *Loop {
+	t.Helper()
+	return New(t.Context(), sidecartest.Config(t), &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.DiscardHandler))
+}
+
+// newOpenRequest returns a request of newTestExchange that the loop knows, but its balancer does not.
+func newOpenRequest(l *Loop) *request { return openExchange(l, newTestExchange(l, time.Now())) }
+
+// openExchange returns the request of an exchange, as newOpenRequest does.
+func openExchange(l *Loop, incoming *exchange.Exchange) *request {
+	l.clock.update()
+	req := newRequest(l.requests.nextID(), incoming)
+	l.requests.add(req)
+	return req
+}
+
+// addAttempt adds an attempt of a request at a new endpoint, without sending it.
+func addAttempt(l *Loop, req *request) *upstream.Attempt {
+	endpoint := l.endpoints.add("s-1")
+	attempt := l.newAttempt(req, &balance.Action{Kind: balance.SendAttempt, Request: req.id, Endpoint: endpoint.ID})
+	req.attempts.add(attempt)
+	return attempt
+}
+
+// newTestExchange returns a GET request with 20 s to its deadline, whose client stays connected.
+func newTestExchange(l *Loop, receivedAt time.Time) *exchange.Exchange {
+	return &exchange.Exchange{
+		Responses:  make(chan *exchange.Response, 1),
+		TraceID:    "7",
+		ReceivedAt: receivedAt,
+		Settings:   l.settings,
+		Request:    balance.Request{Remaining: 20000},
+		Message: &exchange.Message{
+			Method:     "GET",
+			RequestURI: "/api",
+			Host:       "app.svc",
+			Header:     http.Header{},
+			ClientGone: func() bool { return false },
+		},
+	}
+}
+
+// completeList returns an endpoint list with one ready endpoint.
+func completeList(address string) endpointListUpdate {
+	endpoints := []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", address)}
+	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: endpoints}}
+}
+
+// runUntilResponse handles events and timers in the test's goroutine until the request has its response.
+func runUntilResponse(l *Loop, incoming *exchange.Exchange) {
+	for len(incoming.Responses) == 0 {
+		select {
+		case ev := <-l.inbox.posted:
+			l.clock.update()
+			ev.apply(l)
+		case <-time.After(time.Millisecond):
+			l.clock.update()
+			l.fireTimers()
+		}
+		l.handleLocalEvents()
+	}
+}
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -1,31 +1,52 @@
 package eventloop
 
-import "cindersaddle/balance"
+import (
+	"log/slog"
 
-// logFailedAttempt logs an attempt that brought no good response.
+	"cindersaddle/balance"
+)
+
+// failureLogInterval is the least time between two log lines about failed calls to discovery: an unresponsive agent is called
+// several times a second.
+const failureLogInterval balance.Milliseconds = 1000
+
+// logLimiter bounds how often something is logged: at most one line in each interval.
+type logLimiter struct {
+	interval balance.Milliseconds
+	lastAt   balance.Milliseconds // when the last line was allowed
+}
+
+// allow reports whether a line may be logged now, and counts it if so.
+func (l *logLimiter) allow(now balance.Milliseconds) bool {
+	if now < l.lastAt+l.interval {
+		return false
+	}
+	l.lastAt = now
+	return true
+}
+
+// logFailedAttempt logs an attempt that brought no good response. duration is from its sending to its end, or to the start of
+// its response if that was streamed.
 func (l *Loop) logFailedAttempt(req *request, ev *attemptEnd, duration balance.Milliseconds) {
 	if ev.result.Outcome == balance.OK {
 		return
 	}
-	server := ""
+	endpoint := ""
 	if ev.attempt.Endpoint != nil {
-		server = ev.attempt.Endpoint.Name
+		endpoint = ev.attempt.Endpoint.Name
 	}
 	l.log.Info("attempt failed",
-		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "server", server,
-		"outcome", ev.result.Outcome, "after_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
-		"client_gone", ev.result.ClientGone, "answered", req.done, "error", ev.result.Err)
+		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "endpoint", endpoint,
+		"outcome", ev.result.Outcome, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
+		"client_left", ev.result.ClientGone, "request_done", !req.open(), "error", ev.result.Err)
 }
 
-// logUnserved logs a request that is answered without a server's response.
-func (l *Loop) logUnserved(req *request, event string) {
-	if req == nil || req.done {
+// logUnserved logs why a request gets no endpoint's response. It logs nothing if the request has its final response already.
+func (l *Loop) logUnserved(req *request, level slog.Level, reason unservedReason) {
+	if req == nil || !req.open() {
 		return
 	}
-	left := req.exchange.Request.Remaining // while its long body comes, its time has not begun
-	if !req.uploading {
-		left = req.deadline - l.clock.now
-	}
-	l.log.Info(event, "request", req.exchange.TraceID, "attempts", len(req.attempts), "in_flight", req.inFlight,
-		"uploading", req.uploading, "left_ms", left)
+	l.log.Log(l.ctx, level, "request not served", "reason", reason, "request", req.exchange.TraceID,
+		"attempts", len(req.attempts.byNumber), "in_flight", req.attempts.inFlight,
+		"uploading", req.uploading(), "remaining_ms", req.remaining(l.clock.now))
 }
--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -27,7 +27,7 @@
 // failureMode is how discovery fails while it is down.
 type failureMode string
 
-// The failure modes. A call that discovery received before or during the outage and did not answer is never answered.
+// The failure modes. A call that discovery received before or during the outage and did not respond to gets no response.
 const (
 	noResponse        failureMode = "no response"        // accepts calls and stays silent
 	unreachable       failureMode = "unreachable"        // connections are neither accepted nor refused
@@ -159,8 +159,8 @@
 	return limit
 }
 
-// After an outage of discovery, of any length and in any failure mode, the sidecar stops sending to an endpoint that drains
-// before it counts as announced.
+// Discovery is down for a while, in one of the failure modes, and an endpoint begins to drain meanwhile. Requests that are still
+// sent there would be lost when it exits: the sidecar must stop sending before the drain counts as announced.
 func TestDrainIsNoticedInTimeAfterDiscoveryOutage(t *testing.T) {
 	for _, mode := range failureModes {
 		for name, c := range map[string]drainCase{
--- a/internal/eventloop/reload.go
+++ b/internal/eventloop/reload.go
@@ -14,13 +14,14 @@
 // configuration is in force at once, and its discovery is followed from then on. If it cannot be loaded or may not replace
 // the running one, the error is logged and counted, and nothing changes. WatchReloads runs in a goroutine of its own.
 func (l *Loop) WatchReloads(ctx context.Context, cfg *config.Config, signals <-chan os.Signal) {
+	running := cfg
 	for {
 		select {
 		case <-signals:
 		case <-ctx.Done():
 			return
 		}
-		next, err := loadSuccessor(cfg)
+		next, err := loadReplacement(running)
 		if err != nil {
 			l.metrics.ReloadErrors.Add(1)
 			l.log.Error("configuration reload failed, keeping the running configuration", "error", err)
@@ -32,26 +33,37 @@
 		l.metrics.Reloads.Add(1)
 		l.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", next.ClassNames)
 		l.watcher.SetAddress(next.Discovery)
-		cfg = next
+		running = next
 	}
 }
 
-// loadSuccessor loads the configuration that is to replace current.
-func loadSuccessor(current *config.Config) (*config.Config, error) {
-	next, err := current.Reload()
+// loadReplacement loads the configuration that is to replace the running one.
+func loadReplacement(running *config.Config) (*config.Config, error) {
+	next, err := running.Reload()
 	if err != nil {
 		return nil, err
 	}
-	if err := current.CheckReload(next); err != nil {
+	if err := running.CheckReload(next); err != nil {
 		return nil, fmt.Errorf("compare with the running configuration: %w", err)
 	}
 	return next, nil
 }
 
+// configChange is a new configuration.
+type configChange struct {
+	cfg  *config.Config
+	done chan<- struct{} // closed when it is in force
+}
+
+func (ev configChange) apply(l *Loop) {
+	l.applyConfig(ev.cfg)
+	close(ev.done)
+}
+
 // switchConfig puts a configuration in force and returns when that is done; false: ctx was done before.
 func (l *Loop) switchConfig(ctx context.Context, next *config.Config) bool {
 	done := make(chan struct{})
-	l.post(configChange{cfg: next, done: done})
+	l.inbox.post(configChange{cfg: next, done: done})
 	select {
 	case <-done:
 		return true
@@ -60,12 +72,12 @@
 	}
 }
 
-// applyConfig puts a configuration in force. The balancer keeps what it has learned, and open requests keep the settings that
-// they were read under.
+// applyConfig puts a configuration in force. The balancer retains what it has learned, and open requests retain the settings
+// that they were read under.
 func (l *Loop) applyConfig(next *config.Config) {
 	previous := l.cfg
 	previousSettings := l.settings
-	keepUntilRestart(next, previous)
+	copyRestartOnly(next, previous)
 	l.cfg = next
 	l.settings = exchange.NewSettings(next, l.metrics)
 	l.balancer.Reconfigure(
@@ -79,9 +91,9 @@
 	}
 }
 
-// keepUntilRestart copies to next what only a restart can change: the seed, the times of connections, the way that discovery
+// copyRestartOnly copies to next what only a restart can change: the seed, the times of connections, the way that discovery
 // is followed, the form of load reports and the admin address.
-func keepUntilRestart(next, running *config.Config) {
+func copyRestartOnly(next, running *config.Config) {
 	next.Balance.Seed = running.Balance.Seed
 	next.Balance.ConnIdleTimeout = running.Balance.ConnIdleTimeout
 	next.Balance.ConnectTimeout = running.Balance.ConnectTimeout
--- a/internal/eventloop/responses.go
+++ b/internal/eventloop/responses.go
@@ -8,17 +8,22 @@
 	"cindersaddle/internal/exchange"
 )
 
-// millisecondsPerSecond converts to the unit of the Retry-After header.
-const millisecondsPerSecond = 1000
+const (
+	// retryAfterUnit is the unit of the Retry-After header: a second.
+	retryAfterUnit balance.Milliseconds = 1000
+	// retryAfterDecimals is how many digits after the point the header has, which are down to milliseconds.
+	retryAfterDecimals = 3
+)
 
 // rejection returns the response of a request that was not executed and may be retried. retryAfter is how long
 // the client should wait; 0: it may retry at once.
+// The texts of the responses are part of the wire protocol.
 func (l *Loop) rejection(retryAfter balance.Milliseconds) *exchange.Response {
 	response := textResponse(http.StatusServiceUnavailable, "refused, trying again is harmless")
 	limits := &l.cfg.Balance
 	if limits.RetryAfter && retryAfter > 0 {
-		seconds := min(retryAfter, limits.MaxRetryAfter) / millisecondsPerSecond
-		response.Header.Set("Retry-After", strconv.FormatFloat(float64(seconds), 'f', 3, 64))
+		seconds := float64(min(retryAfter, limits.MaxRetryAfter) / retryAfterUnit)
+		response.Header.Set("Retry-After", strconv.FormatFloat(seconds, 'f', retryAfterDecimals, 64))
 	}
 	return response
 }
--- /dev/null
+++ b/internal/eventloop/shutdown_test.go
@@ -0,0 +1,51 @@
+package eventloop
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/exchange"
+	"cindersaddle/internal/sidecartest"
+)
+
+// A request comes late in a shutdown, and the process is killed while its response is on its way: the client sees a reset
+// connection. It must be rejected in time if there is no response by then, or if the response is long and would not end in time.
+func TestLateRequestsDuringShutdown(t *testing.T) {
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(sidecartest.LongBody))
+	for name, c := range map[string]struct {
+		response   sidecartest.Step
+		late       bool
+		wantStatus int
+	}{
+		"long response, late":    {sidecartest.RespondRaw(head + sidecartest.LongBody[:100]), true, 503},
+		"short response, late":   {sidecartest.Respond(200, "ok"), true, 200},
+		"no response, late":      {sidecartest.RespondRaw(""), true, 503},
+		"long response, in time": {sidecartest.RespondRaw(head + sidecartest.LongBody[:100]), false, 200},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := sidecartest.NewScriptedServer(t, c.response)
+			l := newTestLoop(t)
+			l.upstreamClient = newTestUpstream(t)
+			now := time.Now()
+			l.clock.now = l.clock.milliseconds(now)
+			shutdown := &exchange.ShutdownTimes{LateAfter: now.Add(time.Hour), AnswerBy: now.Add(300 * time.Millisecond)}
+			if c.late {
+				shutdown.LateAfter = now.Add(-time.Millisecond)
+			}
+			l.state.Shutdown.Store(shutdown)
+			l.applyList(completeList(server.Addr), balance.UpdateSnapshot)
+			incoming := newTestExchange(l, now)
+			l.admitRequest(incoming)
+			runUntilResponse(l, incoming)
+			response := <-incoming.Responses
+			if response.Status != c.wantStatus || l.clock.now > l.clock.milliseconds(shutdown.AnswerBy)+deadlineSlack+1000 {
+				t.Errorf("status %d after %v ms, want %d in time", response.Status, l.clock.now-l.clock.milliseconds(now), c.wantStatus)
+			}
+			if response.Download != nil {
+				response.Download.Finish(exchange.ErrClientStopped)
+			}
+		})
+	}
+}
--- a/internal/eventloop/streams.go
+++ b/internal/eventloop/streams.go
@@ -1,44 +1,24 @@
 package eventloop
 
 import (
-	"net/http"
-
 	"cindersaddle/balance"
 	"cindersaddle/internal/exchange"
-	"cindersaddle/internal/upstream"
 )
 
-// minStreamLatency, in milliseconds, keeps the latency of a stream above 0, which means that no stream has started.
-const minStreamLatency = 1e-3
-
-// finishUpload starts the time of a request whose long body has been sent to its last byte.
-func (l *Loop) finishUpload(attempt *upstream.Attempt) {
-	attempt.SentAt = l.clock.now
-	req := l.requests.byID[attempt.RequestID]
-	if req == nil || !req.uploading || req.done {
-		return
-	}
-	req.uploading = false
-	req.exchange.Request.Remaining = req.timeFromLastByte()
-	l.limitLateRequest(req, l.clock.wallTime(l.clock.now))
-	l.startDeadline(req)
-	l.notifyBalancer(balance.UploadComplete{
-		Request:       req.id,
-		Remaining:     req.exchange.Request.Remaining,
-		BodyDiscarded: attempt.Message.Upload.Discarded.Load(),
-	})
-}
+// minStreamLatency, a microsecond, keeps the latency of a stream above 0, which means that no stream has started.
+const minStreamLatency balance.Milliseconds = 1e-3
 
-// startStream gives a request a long response, which ends with its attempt.
+// startStream gives a request a long response, which ends with its attempt. A late request of a shutdown gets none:
+// the process would be killed before its end.
 func (l *Loop) startStream(ev streamStart) {
 	attempt := ev.attempt
 	req := l.requests.byID[attempt.RequestID]
-	if req.afterShutdown { // the process would be killed before its end
+	if req.lateInShutdown {
 		attempt.ResponseTooLong = true
 	}
 	// The rest of a response whose attempt the balancer has cancelled cannot be read any more, and the request is retried.
 	cancelled := attempt.Context.Err() != nil
-	if req.done || req.afterShutdown || cancelled {
+	if !req.open() || req.lateInShutdown || cancelled {
 		ev.response.Download.Finish(exchange.ErrClientStopped)
 		return
 	}
@@ -51,19 +31,3 @@
 		Latency:  attempt.StreamLatency,
 	})
 }
-
-// endStream counts a request whose long response has ended.
-func (l *Loop) endStream(req *request, outcome balance.Result) {
-	if !req.streaming {
-		return
-	}
-	req.streaming = false
-	l.metrics.PendingRequests.Add(-1)
-	switch outcome {
-	case balance.OK:
-		req.counters.CountStatus(http.StatusOK)
-	case balance.Cancelled: // its client has gone: not counted
-	default:
-		req.counters.CountStatus(http.StatusBadGateway)
-	}
-}
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -9,11 +9,12 @@
 // timer is a timer of the balancer, or the deadline of a request.
 type timer struct {
 	dueAt   balance.Milliseconds
-	token   uint64   // the balancer's name for it; unused if request is set
+	token   uint64   // the balancer's identifier of it; unused if request is set
 	request *request // the request that expires; nil: a timer of the balancer
 }
 
-// timerQueue holds the timers that have not fired. The zero value is empty.
+// timerQueue holds the timers that have not fired. None is removed before it is due: the balancer ignores a token that it does
+// not wait for any more, and expireRequest a request that has ended. The zero value is empty.
 type timerQueue struct{ heap timerHeap }
 
 // schedule adds a timer.
--- a/internal/eventloop/upload_test.go
+++ b/internal/eventloop/upload_test.go
@@ -9,37 +9,37 @@
 	"cindersaddle/internal/exchange"
 )
 
-// TestRetriedUploadHasTheTimeLeft checks that an attempt which begins some time after the last byte of a long body has come gets,
-// and tells the server, only what the client has left; and the first attempt, before that byte, all of it.
-func TestRetriedUploadHasTheTimeLeft(t *testing.T) {
-	const waits, since = 1000.0, 400 * time.Millisecond
+// The first attempt of a request with a long body fails, and the next one begins some time after the last byte: its endpoint
+// must not work for a client that has given up. The attempt gets, and announces to the endpoint, only the time that remains for
+// the client; a first attempt, before the last byte, gets all of it.
+func TestRetriedUploadGetsRemainingTime(t *testing.T) {
+	const (
+		timeout = balance.Milliseconds(1000)
+		since   = 400 * time.Millisecond
+	)
 	for name, test := range map[string]struct {
 		complete bool
 		want     balance.Milliseconds
 	}{
-		"before the last byte": {false, waits},
+		"before the last byte": {false, timeout},
 		"after the last byte":  {true, 600},
 	} {
 		l := newTestLoop(t)
-		l.clock.update()
 		incoming := newTestExchange(l, time.Now())
-		incoming.Request.Uploading, incoming.Request.Remaining = true, waits
+		incoming.Request.Uploading, incoming.Request.Remaining = true, timeout
 		incoming.Message.Upload = &exchange.Upload{}
 		if test.complete {
 			incoming.Message.Upload.MarkComplete(time.Now().Add(-since))
 		}
-		req := newRequest(l.requests.nextID(), incoming)
-		l.requests.add(req)
-		endpoint := l.endpoints.add("s-1")
-		attempt := l.newAttempt(req, &balance.Action{Kind: balance.SendAttempt, Request: req.id, Endpoint: endpoint.ID})
-		left := balance.MillisecondsOf(attempt.TimeAfterUpload)
-		if left > test.want || left < test.want-100 {
-			t.Errorf("%s: the server is told %v ms, want %v", name, left, test.want)
+		req := openExchange(l, incoming)
+		attempt := addAttempt(l, req)
+		remaining := balance.MillisecondsOf(attempt.TimeAfterUpload)
+		if remaining > test.want || remaining < test.want-100 {
+			t.Errorf("%s: %v ms are announced to the endpoint, want %v", name, remaining, test.want)
 		}
 		if ends := time.Until(attempt.Deadline); test.complete && ends > 600*time.Millisecond {
 			t.Errorf("%s: the attempt ends in %v, want 600 ms", name, ends)
 		}
-		req.attempts = append(req.attempts, attempt)
 		l.finishUpload(attempt)
 		if deadline := req.deadline - l.clock.now; deadline > test.want || deadline < test.want-100 {
 			t.Errorf("%s: the request ends in %v ms, want %v", name, deadline, test.want)
@@ -47,29 +47,31 @@
 	}
 }
 
-// TestUploadPausedBetweenAttemptsHasTheTimeLeft checks that an attempt which begins some time after a failed one tells its server no
-// more than the client can have left. Nobody reads the body between two attempts: its last byte may have come at any moment since.
-func TestUploadPausedBetweenAttemptsHasTheTimeLeft(t *testing.T) {
-	const waits, pause, slack = 1000.0, 300 * time.Millisecond, 150.0
+// An attempt fails in the middle of a long body, and the next one begins some time later. Nobody reads the body between the two:
+// its last byte may have come at any moment since. The attempt must not announce more time to its endpoint than can remain for
+// the client.
+func TestUploadPausedBetweenAttemptsGetsRemainingTime(t *testing.T) {
+	const (
+		timeout = balance.Milliseconds(1000)
+		pause   = 300 * time.Millisecond
+		slack   = balance.Milliseconds(150)
+	)
 	l := newTestLoop(t)
-	l.clock.update()
 	incoming := newTestExchange(l, time.Now())
-	incoming.Request.Uploading, incoming.Request.Remaining = true, waits
+	incoming.Request.Uploading, incoming.Request.Remaining = true, timeout
 	upload := &exchange.Upload{
 		Length: 20, Source: strings.NewReader("a body, all of it"), Budget: &exchange.BufferBudget{}, SetReadTimeout: func(time.Duration) {},
 	}
 	incoming.Message.Upload = upload
-	req := newRequest(l.requests.nextID(), incoming)
-	l.requests.add(req)
+	req := openExchange(l, incoming)
 	if _, err := exchange.NewUploadReader(upload).Read(make([]byte, 5)); err != nil { // the first attempt, which fails then
 		t.Fatal(err)
 	}
 	time.Sleep(pause)
 	l.clock.update()
-	endpoint := l.endpoints.add("s-1")
-	attempt := l.newAttempt(req, &balance.Action{Kind: balance.SendAttempt, Request: req.id, Endpoint: endpoint.ID})
-	want := waits - balance.MillisecondsOf(pause) + slack
-	if told := balance.MillisecondsOf(attempt.TimeAfterUpload); told > want {
-		t.Errorf("the server is told %v ms, want at most %v", told, want)
+	attempt := addAttempt(l, req)
+	want := timeout - balance.MillisecondsOf(pause) + slack
+	if announced := balance.MillisecondsOf(attempt.TimeAfterUpload); announced > want {
+		t.Errorf("%v ms are announced to the endpoint, want at most %v", announced, want)
 	}
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -93,7 +93,7 @@
 // checkDisconnectInEventQueue disconnects while the request is queued for the event loop.
 func checkDisconnectInEventQueue(t *testing.T, disconnect func(net.Conn)) {
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
-	barrier := logBarrier{slog.DiscardHandler, "list of servers", make(chan bool), make(chan bool)}
+	barrier := logBarrier{slog.DiscardHandler, "endpoint list not received", make(chan bool), make(chan bool)}
 	sidecar, blocker, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), barrier)
 	sidecar.discovery.Lists <- membership.EndpointList{Members: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
 	sidecartest.Next(t, barrier.reached)
