--- a/internal/eventloop/clocksteps_faults_test.go
+++ b/internal/eventloop/clocksteps_faults_test.go
@@ -33,7 +33,7 @@
 	successor.applyList(endpointListUpdate{list: &successor.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
 	successor.importState()
 	learned := successor.balancer.ExportState(successor.clock.now)
-	if age := successor.clock.now - learned.Servers[0].ColdSince; age < 0 || age > 10e3 {
+	if age := successor.clock.now - learned.Endpoints[0].WarmUpSince; age < 0 || age > 10e3 {
 		t.Errorf("the endpoint counts as started %v ms ago, want about 1000", age)
 	}
 }
