--- /dev/null
+++ b/internal/eventloop/balancerendpoint.go
@@ -0,0 +1,38 @@
+package eventloop
+
+import (
+	"cindersaddle/balance"
+	"cindersaddle/internal/membership"
+	"cindersaddle/internal/upstream"
+)
+
+// resendEndpoints passes the endpoints of the table to the balancer again, after their zones or machine types got other
+// indexes.
+func (l *Loop) resendEndpoints() {
+	update := balance.EndpointUpdate{Kind: balance.UpdateDelta}
+	for _, endpoint := range l.endpoints.sorted() {
+		update.Endpoints = append(update.Endpoints, l.balancerEndpoint(endpoint, &endpoint.Listed))
+	}
+	l.notifyBalancer(update)
+}
+
+// balancerEndpoint returns a listed endpoint in the balancer's form.
+func (l *Loop) balancerEndpoint(endpoint *upstream.Endpoint, listed *membership.Endpoint) balance.Endpoint {
+	return balance.Endpoint{
+		ID:          endpoint.ID,
+		State:       listed.State(),
+		StartedAt:   endpoint.StartedAt,
+		Rating:      listed.Size,
+		Cell:        listed.Cell,
+		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Locality),
+		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.Flavor),
+	}
+}
+
+// indexOrUnknown returns the index of a name. All names that the configuration does not have share the index after its last.
+func indexOrUnknown(known map[string]int, name string) int {
+	if index, ok := known[name]; ok {
+		return index
+	}
+	return len(known)
+}
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpointlist.go
@@ -52,6 +52,7 @@
 }
 
 // updateEndpoint returns the table's entry for a listed endpoint, which may be new or have another address or a new incarnation.
+// It and stopSending are the only functions that change an entry.
 func (l *Loop) updateEndpoint(listed *membership.Endpoint) *upstream.Endpoint {
 	endpoint := l.endpoints.byName[listed.ID]
 	if endpoint == nil {
@@ -83,34 +84,3 @@
 	endpoint.Closed.Store(true)
 	l.upstreamClient.CloseIdle(endpoint)
 }
-
-// resendEndpoints passes the endpoints of the table to the balancer again, after their zones or machine types got other
-// indexes.
-func (l *Loop) resendEndpoints() {
-	update := balance.EndpointUpdate{Kind: balance.UpdateDelta}
-	for _, endpoint := range l.endpoints.sorted() {
-		update.Endpoints = append(update.Endpoints, l.balancerEndpoint(endpoint, &endpoint.Listed))
-	}
-	l.notifyBalancer(update)
-}
-
-// balancerEndpoint returns a listed endpoint in the balancer's form.
-func (l *Loop) balancerEndpoint(endpoint *upstream.Endpoint, listed *membership.Endpoint) balance.Endpoint {
-	return balance.Endpoint{
-		ID:          endpoint.ID,
-		State:       listed.State(),
-		StartedAt:   endpoint.StartedAt,
-		Rating:      listed.Size,
-		Cell:        listed.Cell,
-		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Locality),
-		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.Flavor),
-	}
-}
-
-// indexOrUnknown returns the index of a name. All names that the configuration does not have share the index after its last.
-func indexOrUnknown(known map[string]int, name string) int {
-	if index, ok := known[name]; ok {
-		return index
-	}
-	return len(known)
-}
--- a/internal/eventloop/endpointtable.go
+++ b/internal/eventloop/endpointtable.go
@@ -10,7 +10,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// endpointTable holds the endpoints that discovery lists.
+// endpointTable holds the endpoints that discovery lists, each in both maps. Attempts and health checks that are in flight may
+// still refer to an endpoint that has been removed; one that is listed again later is a new entry with the same ID.
 type endpointTable struct {
 	byName map[string]*upstream.Endpoint
 	byID   map[balance.EndpointID]*upstream.Endpoint
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -1,6 +1,7 @@
 package eventloop
 
 import (
+	"fmt"
 	"log/slog"
 	"net/http"
 	"testing"
@@ -41,7 +42,7 @@
 
 // addAttempt adds an attempt of a request at a new endpoint, without sending it.
 func addAttempt(l *Loop, req *request) *upstream.Attempt {
-	endpoint := l.endpoints.add("s-1")
+	endpoint := l.endpoints.add(fmt.Sprint("s-", l.endpoints.len()+1))
 	attempt := l.newAttempt(req, &balance.Action{Kind: balance.SendAttempt, Request: req.id, Endpoint: endpoint.ID})
 	req.attempts.add(attempt)
 	return attempt
--- a/internal/eventloop/log_test.go
+++ b/internal/eventloop/log_test.go
@@ -2,20 +2,28 @@
 
 import (
 	"errors"
+	"fmt"
 	"log/slog"
 	"strings"
 	"testing"
 
+	"cindersaddle/balance"
 	"cindersaddle/internal/discovery"
 	"cindersaddle/internal/exchange"
 	"cindersaddle/internal/metrics"
 	"cindersaddle/internal/sidecartest"
 )
 
+// newLoggingLoop returns a loop of newTestLoop that logs to text.
+func newLoggingLoop(t *testing.T, text *strings.Builder) *Loop {
+	t.Helper()
+	return New(t.Context(), sidecartest.Config(t), &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.NewTextHandler(text, nil)))
+}
+
 // Discovery is down, and is called several times a second. The log must have one line a second about it.
 func TestDiscoveryFailuresAreLoggedOncePerSecond(t *testing.T) {
 	var text strings.Builder
-	l := New(t.Context(), sidecartest.Config(t), &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.NewTextHandler(&text, nil)))
+	l := newLoggingLoop(t, &text)
 	l.watcher = discovery.NewWatcher(l.cfg, l)
 	for range 40 { // ten seconds
 		l.clock.now += 250
@@ -25,3 +33,27 @@
 		t.Errorf("%d log lines in ten seconds, want 10", got)
 	}
 }
+
+// A request ends without an endpoint's response, and an on-call engineer asks why. The log must have one line with the reason;
+// what the balancer decides after the end must not add another.
+func TestReasonOfUnservedRequestIsLogged(t *testing.T) {
+	for reason, end := range map[unservedReason]func(*Loop, *request){
+		reasonRejected:         func(l *Loop, req *request) { l.rejectRequest(req, 0) },
+		reasonFailed:           func(l *Loop, req *request) { l.failRequest(req) },
+		reasonClientLeft:       func(l *Loop, req *request) { l.clientLeft(req.exchange) },
+		reasonDeadlineExceeded: func(l *Loop, req *request) { l.expireRequest(req) },
+	} {
+		var text strings.Builder
+		l := newLoggingLoop(t, &text)
+		req := newOpenRequest(l)
+		end(l, req)
+		l.perform([]balance.Action{{Kind: balance.RejectRequest, Request: req.id}, {Kind: balance.FailRequest, Request: req.id}})
+		want := fmt.Sprintf("reason=%s request=7 ", reason)
+		if strings.Contains(string(reason), " ") {
+			want = fmt.Sprintf("reason=%q request=7 ", reason)
+		}
+		if got := text.String(); strings.Count(got, "request not served") != 1 || !strings.Contains(got, want) {
+			t.Errorf("log %q, want one line with %q", got, want)
+		}
+	}
+}
