--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -29,7 +29,7 @@
 		l.finish(req, result.Response)
 	}
 	if result.ClientGone {
-		l.endForLeftClient(req)
+		l.abortDisconnected(req)
 	}
 	if result.UploadError != nil {
 		l.failUpload(req, result.UploadError)
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -52,7 +52,7 @@
 // none whose response is on its way to the client, as that would break off.
 //
 // An attempt is cancelled in three other cases: the client side cancels it (Download.Cancel) when the client of a long response
-// has left, all are cancelled when the loop ends, and endAttempt releases the context of one that has ended.
+// has disconnected, all are cancelled when the loop ends, and endAttempt releases the context of one that has ended.
 func (l *Loop) cancelAttempt(id balance.RequestID, number int) {
 	req := l.requests.byID[id]
 	if req == nil {
--- a/internal/eventloop/endpointlist.go
+++ b/internal/eventloop/endpointlist.go
@@ -16,7 +16,7 @@
 	if kind != balance.UpdateDelta {
 		l.removeUnlisted(ev.list.Members)
 	}
-	l.state.Ready.Store(l.endpoints.len() > 0)
+	l.service.Ready.Store(l.endpoints.len() > 0)
 	l.notifyBalancer(update)
 }
 
--- a/internal/eventloop/events_client.go
+++ b/internal/eventloop/events_client.go
@@ -12,13 +12,13 @@
 	l.inbox.post(requestArrival{exchange: incoming})
 }
 
-// clientDeparture is a client that closed its connection before it got its response.
-type clientDeparture struct{ exchange *exchange.Exchange }
+// clientDisconnect is a client that closed its connection before it got its response.
+type clientDisconnect struct{ exchange *exchange.Exchange }
 
-func (ev clientDeparture) apply(l *Loop) { l.clientLeft(ev.exchange) }
+func (ev clientDisconnect) apply(l *Loop) { l.endForDisconnect(ev.exchange) }
 
 // ClientLeft posts that the client of a request has closed its connection. The loop sends no response once
 // it has handled this.
-func (l *Loop) ClientLeft(departed *exchange.Exchange) {
-	l.inbox.post(clientDeparture{exchange: departed})
+func (l *Loop) ClientLeft(disconnected *exchange.Exchange) {
+	l.inbox.post(clientDisconnect{exchange: disconnected})
 }
--- a/internal/eventloop/finish.go
+++ b/internal/eventloop/finish.go
@@ -39,7 +39,7 @@
 	switch outcome {
 	case balance.OK:
 		req.counters.CountStatus(http.StatusOK)
-	case balance.Cancelled: // its client has left: not counted
+	case balance.Cancelled: // its client has disconnected: not counted
 	default:
 		req.counters.CountStatus(http.StatusBadGateway)
 	}
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -6,25 +6,6 @@
 	"cindersaddle/balance"
 )
 
-// failureLogInterval is the least time between two log lines about failed calls to discovery: an unresponsive agent is called
-// several times a second.
-const failureLogInterval balance.Milliseconds = 1000
-
-// logLimiter bounds how often something is logged: at most one line in each interval.
-type logLimiter struct {
-	interval balance.Milliseconds
-	lastAt   balance.Milliseconds // when the last line was allowed
-}
-
-// allow reports whether a line may be logged now, and counts it if so.
-func (l *logLimiter) allow(now balance.Milliseconds) bool {
-	if now < l.lastAt+l.interval {
-		return false
-	}
-	l.lastAt = now
-	return true
-}
-
 // logFailedAttempt logs an attempt that brought no good response. duration is from its sending to its end, or to the start of
 // its response if that was streamed.
 func (l *Loop) logFailedAttempt(req *request, ev *attemptEnd, duration balance.Milliseconds) {
@@ -38,7 +19,7 @@
 	l.log.Info("attempt failed",
 		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "endpoint", endpoint,
 		"outcome", ev.result.Outcome, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
-		"client_left", ev.result.ClientGone, "request_done", !req.open(), "error", ev.result.Err)
+		"client_disconnected", ev.result.ClientGone, "request_done", !req.open(), "error", ev.result.Err)
 }
 
 // logUnserved logs why a request gets no endpoint's response. It logs nothing if the request has its final response already.
--- a/internal/eventloop/log_test.go
+++ b/internal/eventloop/log_test.go
@@ -38,10 +38,10 @@
 // what the balancer decides after the end must not add another.
 func TestReasonOfUnservedRequestIsLogged(t *testing.T) {
 	for reason, end := range map[unservedReason]func(*Loop, *request){
-		reasonRejected:         func(l *Loop, req *request) { l.rejectRequest(req, 0) },
-		reasonFailed:           func(l *Loop, req *request) { l.failRequest(req) },
-		reasonClientLeft:       func(l *Loop, req *request) { l.clientLeft(req.exchange) },
-		reasonDeadlineExceeded: func(l *Loop, req *request) { l.expireRequest(req) },
+		reasonRejected:           func(l *Loop, req *request) { l.rejectRequest(req, 0) },
+		reasonFailed:             func(l *Loop, req *request) { l.failRequest(req) },
+		reasonClientDisconnected: func(l *Loop, req *request) { l.endForDisconnect(req.exchange) },
+		reasonDeadlineExceeded:   func(l *Loop, req *request) { l.expireRequest(req) },
 	} {
 		var text strings.Builder
 		l := newLoggingLoop(t, &text)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -26,7 +26,7 @@
 	ctx            context.Context // ends Run and all attempts
 	upstreamClient *upstream.Client
 	watcher        *discovery.Watcher
-	state          *exchange.ServiceState // shared with the other packages
+	service        *exchange.ServiceState // shared with the other packages
 	metrics        *metrics.Metrics       // shared with the other packages
 	log            *slog.Logger
 
@@ -38,7 +38,7 @@
 	balancer    *balance.Balancer
 	cfg         *config.Config     // in force; replaced by applyConfig only
 	settings    *exchange.Settings // those of cfg, for new requests
-	predecessor *upgrade.State     // learned by the previous process; nil: there is none, or Run has imported it
+	predecessor *upgrade.State     // learned by the predecessor in an upgrade; nil: there is none, or Run has imported it
 
 	clock      clock
 	timers     timerQueue
@@ -51,11 +51,11 @@
 
 // New returns a loop that runs until ctx is done. Attach must be called before Run.
 func New(
-	ctx context.Context, cfg *config.Config, state *exchange.ServiceState, registry *metrics.Metrics, log *slog.Logger,
+	ctx context.Context, cfg *config.Config, service *exchange.ServiceState, registry *metrics.Metrics, log *slog.Logger,
 ) *Loop {
 	l := &Loop{
 		ctx:        ctx,
-		state:      state,
+		service:    service,
 		metrics:    registry,
 		log:        log,
 		inbox:      newInbox(ctx.Done()),
@@ -67,7 +67,7 @@
 		endpoints:  newEndpointTable(),
 		failureLog: logLimiter{interval: failureLogInterval},
 	}
-	l.state.Settings.Store(l.settings)
+	l.service.Settings.Store(l.settings)
 	return l
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// start starts the balancer with the endpoints of the configuration and what the previous process has learned.
+// start starts the balancer with the endpoints of the configuration and what the predecessor has learned.
 func (l *Loop) start() {
 	l.clock.update()
 	l.perform(l.balancer.Start(l.clock.now))
--- a/internal/eventloop/reload.go
+++ b/internal/eventloop/reload.go
@@ -85,7 +85,7 @@
 		exchange.OldIndexes(l.settings.ClassNames, previousSettings.ClassIndex),
 		exchange.OldIndexes(l.settings.TenantNames, previousSettings.TenantIndex),
 	)
-	l.state.Settings.Store(l.settings)
+	l.service.Settings.Store(l.settings)
 	if !maps.Equal(previous.ZoneIndex, next.ZoneIndex) || !maps.Equal(previous.MachineTypeIndex, next.MachineTypeIndex) {
 		l.resendEndpoints()
 	}
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -8,7 +8,7 @@
 
 // requestState is the stage of a request's life. A request never returns to an earlier state:
 //
-//	state      the client waits for  deadline  left when                      next
+//	state      the client waits for  deadline  ends when                      next
 //	uploading  the response          none      its last body byte was sent    waiting
 //	                                           its final response was made    streaming, done
 //	waiting    the response          set       its final response was made    streaming, done
@@ -23,7 +23,7 @@
 	stateUploading requestState = iota // its long body is on its way to an endpoint: its time has not begun
 	stateWaiting                       // its time runs
 	stateStreaming                     // a long response is on its way to the client
-	stateDone                          // the client has its response, or has left
+	stateDone                          // the client has its response, or has disconnected
 	stateReleased                      // forgotten: only its timer still refers to it
 )
 
@@ -31,11 +31,11 @@
 // deadline are changed by the methods of this file and of requesttime.go only.
 type request struct {
 	id       balance.RequestID
-	state    requestState
 	exchange *exchange.Exchange     // nil once released
 	counters *metrics.ClassCounters // of the class that it arrived with
 	attempts attemptSet
 	deadline balance.Milliseconds // see requestState
+	state    requestState
 	// lateInShutdown means that the request must have ended before the process may be killed.
 	lateInShutdown bool
 }
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -66,7 +66,7 @@
 	incoming.Message.Upload = &exchange.Upload{}
 	req := openExchange(l, incoming)
 	attempt := addAttempt(l, req)
-	l.clientLeft(incoming)
+	l.endForDisconnect(incoming)
 	expectState(t, req, stateDone)
 	l.finishUpload(attempt)
 	expectState(t, req, stateDone)
--- a/internal/eventloop/shutdown_test.go
+++ b/internal/eventloop/shutdown_test.go
@@ -34,7 +34,7 @@
 			if c.late {
 				shutdown.LateAfter = now.Add(-time.Millisecond)
 			}
-			l.state.Shutdown.Store(shutdown)
+			l.service.Shutdown.Store(shutdown)
 			l.applyList(completeList(server.Addr), balance.UpdateSnapshot)
 			incoming := newTestExchange(l, now)
 			l.admitRequest(incoming)
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -12,24 +12,24 @@
 // unservedReason says why a request ended without the response of an endpoint, in the log line "request not served".
 //
 // This is the complete list of such ends. The balancer decides on the first two, and why it did is its own; the others are
-// decided here. Those without a line of their own are not logged as unserved: an attempt that found its client gone, or a body
-// that its client did not send to the end, is logged as a failed attempt.
+// decided here. Those without a line of their own are not logged as unserved: an attempt that found its client disconnected, or
+// a body that its client did not send to the end, is logged as a failed attempt.
 //
 //	end                     response                    function           reason in the log
 //	rejected by balancer    503, perhaps Retry-After    rejectRequest      rejected
 //	failed by balancer      502                         failRequest        failed
 //	trace identifier open   409, connection closed      rejectDuplicate    -
 //	upload incomplete       a RequestError, closed      failUpload         -
-//	client left             none                        clientLeft         client left
-//	client found gone       none, connection closed     endForLeftClient   -
+//	client disconnected     none                        endForDisconnect   client disconnected
+//	the same, found late    none, connection closed     abortDisconnected  -
 //	not finished in time    504                         expireRequest      deadline exceeded
 type unservedReason string
 
 const (
-	reasonRejected         unservedReason = "rejected"          // by the balancer: a retry by the client is harmless
-	reasonFailed           unservedReason = "failed"            // by the balancer: a retry might execute the request twice
-	reasonClientLeft       unservedReason = "client left"       // before its response
-	reasonDeadlineExceeded unservedReason = "deadline exceeded" // the balancer has not finished it in time
+	reasonRejected           unservedReason = "rejected"            // by the balancer: a retry by the client is harmless
+	reasonFailed             unservedReason = "failed"              // by the balancer: a retry might execute the request twice
+	reasonClientDisconnected unservedReason = "client disconnected" // before its response
+	reasonDeadlineExceeded   unservedReason = "deadline exceeded"   // the balancer has not finished it in time
 )
 
 // rejectRequest finishes a request that the balancer rejected: no endpoint has executed it, or it may be executed again.
@@ -58,9 +58,9 @@
 	l.finish(req, closingResponse(clientFault.Status, clientFault.Text))
 }
 
-// endForLeftClient finishes a request whose client was found to have left when its attempt was to be sent. The client side may
-// not notice that itself, and closes the connection.
-func (l *Loop) endForLeftClient(req *request) { l.finish(req, &exchange.Response{Abort: true}) }
+// abortDisconnected finishes a request whose client was found to have disconnected when its attempt was to be sent. The client
+// side may not notice that itself, and closes the connection.
+func (l *Loop) abortDisconnected(req *request) { l.finish(req, &exchange.Response{Abort: true}) }
 
 // expireRequest fails a request that is still open after its deadline. It guards against a balancer that never finishes a
 // request, by a fault of its own: its client would wait for ever.
@@ -72,14 +72,14 @@
 	l.abandonRequest(req, textResponse(http.StatusGatewayTimeout, "out of time"))
 }
 
-// clientLeft ends the request of a client that has closed its connection.
-func (l *Loop) clientLeft(departed *exchange.Exchange) {
-	if req := l.requests.byExchange[departed]; req != nil {
-		l.logUnserved(req, slog.LevelInfo, reasonClientLeft)
+// endForDisconnect ends the request of a client that has closed its connection.
+func (l *Loop) endForDisconnect(disconnected *exchange.Exchange) {
+	if req := l.requests.byExchange[disconnected]; req != nil {
+		l.logUnserved(req, slog.LevelInfo, reasonClientDisconnected)
 		l.abandonRequest(req, nil)
 	}
-	select { // a long response may have been sent just before the client left: nobody else ends it
-	case response := <-departed.Responses:
+	select { // a long response may have been sent just before the client disconnected: nobody else ends it
+	case response := <-disconnected.Responses:
 		if response.Download != nil {
 			response.Download.Finish(exchange.ErrClientStopped)
 		}
