--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -45,7 +45,7 @@
 		Result:        ev.result.Outcome,
 		Duration:      duration,
 		Finished:      finished,
-		BodyDiscarded: attempt.ResponseTooLong,
+		BodyDiscarded: attempt.MustNotRetry,
 		LoadReport:    ev.result.LoadReport,
 	}
 	if upload := attempt.Message.Upload; upload != nil && upload.Discarded.Load() {
--- a/internal/eventloop/attemptset.go
+++ b/internal/eventloop/attemptset.go
@@ -33,7 +33,7 @@
 // markRequestDone keeps the attempts that have not sent anything yet from doing so.
 func (s *attemptSet) markRequestDone() {
 	for _, attempt := range s.byNumber {
-		attempt.Answered.Store(true)
+		attempt.RequestDone.Store(true)
 	}
 }
 
--- a/internal/eventloop/endpointtable_test.go
+++ b/internal/eventloop/endpointtable_test.go
@@ -44,7 +44,7 @@
 func TestMemoryOfManyEndpoints(t *testing.T) {
 	const endpointCount, maxBytes = 400, 4 << 20
 	l := newTestLoop(t)
-	l.upstreamClient = upstream.NewClient(upstream.NewPool(time.Second, time.Minute, 0, 116), nil, "", l.metrics)
+	l.upstreamClient = upstream.NewClient(upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116}), nil, "", l.metrics)
 	heapBytes := func() uint64 {
 		var stats runtime.MemStats
 		runtime.GC()
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -18,7 +18,7 @@
 // newTestUpstream returns a client whose limits no test reaches.
 func newTestUpstream(t *testing.T) *upstream.Client {
 	t.Helper()
-	pool := upstream.NewPool(sidecartest.Timeout, sidecartest.Timeout, 0, 500)
+	pool := upstream.NewPool(upstream.PoolConfig{ConnectTimeout: sidecartest.Timeout, IdleTimeout: sidecartest.Timeout, MaxConns: 500})
 	t.Cleanup(pool.CloseAll)
 	return upstream.NewClient(pool, nil, "/alive", &metrics.Metrics{})
 }
--- a/internal/eventloop/shutdown.go
+++ b/internal/eventloop/shutdown.go
@@ -24,5 +24,5 @@
 	if shutdown == nil || !completeAt.After(shutdown.LateAfter) {
 		return
 	}
-	req.limitTime(l.clock.milliseconds(shutdown.AnswerBy) - l.clock.now)
+	req.limitTime(l.clock.milliseconds(shutdown.RespondBy) - l.clock.now)
 }
