--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -35,7 +35,6 @@
 		return
 	}
 	req.markUploaded()
-	req.exchange.Request.Remaining = req.timeFromLastByte()
 	l.startTime(req, l.clock.timeOf(l.clock.now))
 	l.notifyBalancer(balance.UploadComplete{
 		Request:       req.id,
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -13,6 +13,7 @@
 //
 // # Where to look
 //
+//   - the loop itself: Loop in loop.go, Run in run.go
 //   - the states of a request: requestState in request.go
 //   - how long a request and its attempts may take: requesttime.go
 //   - why a request got no response of an endpoint: unservedReason in unserved.go
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -16,7 +16,8 @@
 //	done       nothing               unused    its last attempt has ended     released
 //	released   nothing               unused    -
 //
-// A done request only waits for the end of its attempts that are in flight.
+// A done request only waits for the end of its attempts that are in flight. The metrics count a request as pending until it is
+// done.
 type requestState uint8
 
 const (
@@ -61,8 +62,11 @@
 // uploading reports whether the end of its long body has not been sent.
 func (r *request) uploading() bool { return r.state == stateUploading }
 
-// markUploaded ends stateUploading.
-func (r *request) markUploaded() { r.state = stateWaiting }
+// markUploaded ends stateUploading: the last byte of the long body has been sent. Remaining counts from now on.
+func (r *request) markUploaded() {
+	r.state = stateWaiting
+	r.exchange.Request.Remaining = r.timeFromLastByte()
+}
 
 // markFinished records the final response of an open request.
 func (r *request) markFinished(streaming bool) {
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -53,9 +53,9 @@
 
 // failUpload finishes a request whose client has not sent its long body to the end.
 func (l *Loop) failUpload(req *request, uploadError error) {
-	var clientFault *exchange.RequestError
-	errors.As(exchange.BodyError(uploadError), &clientFault)
-	l.finish(req, closingResponse(clientFault.Status, clientFault.Text))
+	var requestError *exchange.RequestError
+	errors.As(exchange.BodyError(uploadError), &requestError)
+	l.finish(req, closingResponse(requestError.Status, requestError.Text))
 }
 
 // abortDisconnected finishes a request whose client was found to have disconnected when its attempt was to be sent. The client
