--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -14,7 +14,7 @@
 // TestIndentedAndTruncatedLists checks that an indented list is read, and that a truncated response is dropped and followed by a call
 // for the complete list.
 func TestIndentedAndTruncatedLists(t *testing.T) {
-	complete := membership.EndpointList{Revision: 42, Complete: true, Members: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")}}
+	complete := membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")}}
 	text, err := json.MarshalIndent(complete, "\t", "    ")
 	if err != nil {
 		t.Fatal(err)
@@ -45,9 +45,9 @@
 					<-r.Context().Done()
 				}
 			}))
-			event, ok := sidecartest.Next(t, startWatcher(t, cfg)).(recordedList)
-			if !ok || event.list.Revision != 42 || len(event.list.Members) != 2 {
-				t.Errorf("got the event %+v, want revision 42 with 2 endpoints", event)
+			event := sidecartest.Next(t, startWatcher(t, cfg))
+			if !event.isList(42) || len(event.list.Endpoints) != 2 {
+				t.Errorf("got the event %v, want revision 42 with 2 endpoints", event)
 			}
 		})
 	}
@@ -89,11 +89,11 @@
 				}
 			}))
 			events := startWatcher(t, cfg)
-			if event, ok := sidecartest.Next(t, events).(recordedFailure); !ok {
-				t.Fatalf("got the event %+v, want a failure", event)
+			if event := sidecartest.Next(t, events); event.err == nil {
+				t.Fatalf("got the event %v, want a failure", event)
 			}
-			if event, ok := sidecartest.Next(t, events).(recordedList); !ok || event.list.Revision != 42 || len(event.list.Members) != 1 {
-				t.Errorf("then got the event %+v, want revision 42 with 1 endpoint", event)
+			if event := sidecartest.Next(t, events); !event.isList(42) || len(event.list.Endpoints) != 1 {
+				t.Errorf("then got the event %v, want revision 42 with 1 endpoint", event)
 			}
 		})
 	}
--- a/internal/eventloop/balancerendpoint.go
+++ b/internal/eventloop/balancerendpoint.go
@@ -22,10 +22,10 @@
 		ID:          endpoint.ID,
 		State:       listed.State(),
 		StartedAt:   endpoint.StartedAt,
-		Rating:      listed.Size,
+		Rating:      listed.Rating,
 		Cell:        listed.Cell,
-		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Locality),
-		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.Flavor),
+		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Zone),
+		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.MachineType),
 	}
 }
 
--- a/internal/eventloop/clocksteps_faults_test.go
+++ b/internal/eventloop/clocksteps_faults_test.go
@@ -19,8 +19,8 @@
 	predecessor.upstreamClient = newTestUpstream(t)
 	predecessor.clock.update()
 	endpoint := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
-	endpoint.UpSince = float64(predecessor.clock.now - 1000)
-	predecessor.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
+	endpoint.StartedAt = predecessor.clock.now - 1000
+	predecessor.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
 	fault.SetClockStep(time.Hour)
 	t.Cleanup(func() { fault.SetClockStep(0) })
 	state := predecessor.exportState()
--- a/internal/eventloop/endpointlist.go
+++ b/internal/eventloop/endpointlist.go
@@ -12,9 +12,9 @@
 func (l *Loop) applyList(ev endpointListUpdate, kind balance.UpdateKind) {
 	l.list = l.list.next(ev, kind)
 	l.observeClocks()
-	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEndpoints(ev.list.Members)}
+	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEndpoints(ev.list.Endpoints)}
 	if kind != balance.UpdateDelta {
-		l.removeUnlisted(ev.list.Members)
+		l.removeUnlisted(ev.list.Endpoints)
 	}
 	l.service.Ready.Store(l.endpoints.len() > 0)
 	l.notifyBalancer(update)
@@ -61,10 +61,10 @@
 	address := endpoint.Address.Load()
 	restarted := hasRestarted(endpoint, listed)
 	if restarted || address == nil {
-		endpoint.StartedAt = l.clockSteps.startTime(balance.Milliseconds(listed.UpSince), l.clock.now)
+		endpoint.StartedAt = l.clockSteps.startTime(listed.StartedAt, l.clock.now)
 	}
-	if address == nil || restarted || *address != listed.HostPort {
-		current := strings.Clone(listed.HostPort) // a substring would keep the text of the whole list in memory
+	if address == nil || restarted || *address != listed.Address {
+		current := strings.Clone(listed.Address) // a substring would keep the text of the whole list in memory
 		endpoint.Address.Store(&current)
 		l.upstreamClient.CloseIdle(endpoint) // they lead to the previous incarnation
 	}
@@ -76,7 +76,7 @@
 // hasRestarted reports whether a listed endpoint is another incarnation than the one listed before. Its start time is then
 // earlier than the previous one if the wall clock was set back in between.
 func hasRestarted(endpoint *upstream.Endpoint, listed *membership.Endpoint) bool {
-	return listed.UpSince > 0 && listed.UpSince != endpoint.Listed.UpSince
+	return listed.StartedAt > 0 && listed.StartedAt != endpoint.Listed.StartedAt
 }
 
 // stopSending ends sending to an endpoint that is draining or gone. What is in flight there goes on.
--- a/internal/eventloop/endpointtable_test.go
+++ b/internal/eventloop/endpointtable_test.go
@@ -25,7 +25,7 @@
 		l := newTestLoop(t)
 		l.upstreamClient = newTestUpstream(t)
 		for _, i := range order {
-			l.applyList(endpointListUpdate{list: &membership.EndpointList{Members: endpoints[i : i+1]}}, balance.UpdateDelta)
+			l.applyList(endpointListUpdate{list: &membership.EndpointList{Endpoints: endpoints[i : i+1]}}, balance.UpdateDelta)
 		}
 		ids := map[string]balance.EndpointID{}
 		for name, endpoint := range l.endpoints.byName {
@@ -55,8 +55,8 @@
 	before := heapBytes()
 	for round := range 20 { // each list replaces the previous one
 		list := sidecartest.NumberedEndpoints(endpointCount, "127.0.0.1:1")
-		for i := range list.Members {
-			list.Members[i].ID += fmt.Sprint(round)
+		for i := range list.Endpoints {
+			list.Endpoints[i].ID += fmt.Sprint(round)
 		}
 		l.applyList(endpointListUpdate{&list, "127.0.0.1:2"}, 0)
 	}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -69,7 +69,7 @@
 // completeList returns an endpoint list with one ready endpoint.
 func completeList(address string) endpointListUpdate {
 	endpoints := []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", address)}
-	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Members: endpoints}}
+	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: endpoints}}
 }
 
 // runUntilResponse handles events and timers in the test's goroutine until the request has its response.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -82,7 +82,7 @@
 
 // takeOver gets the state and the listener of the process that serves now, if there is one.
 func (env *environment) takeOver(cfg *config.Config, log *slog.Logger) {
-	state, err := env.upgrade.RequestState()
+	state, listener, err := env.upgrade.RequestState()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -91,9 +91,9 @@
 		return
 	}
 	env.predecessor = state
-	env.clients = env.upgrade.PredecessorListener()
+	env.clients = listener
 	cfg.UsePredecessor(state.Discovery, state.List)
-	log.Info("taking over", "endpoints", len(state.List.Members), "revision", state.List.Revision)
+	log.Info("taking over", "endpoints", len(state.List.Endpoints), "revision", state.List.Revision)
 }
 
 // listen opens the listeners that the environment does not have yet. Where there is an admin address, the clients' address
@@ -209,8 +209,8 @@
 		tasks.Go(func() { server.Serve(ctx, s.env.admin, s.log) })
 	}
 	if s.env.upgrade != nil {
-		s.env.upgrade.Attach(s.env.clients, s.applyLimits)
-		tasks.Go(func() { s.env.upgrade.Run(ctx, s.loop.ExportState) })
+		process := upgrade.Process{Listener: s.env.clients, ExportState: s.loop.ExportState, CountChanged: s.applyLimits}
+		tasks.Go(func() { s.env.upgrade.Run(ctx, process) })
 	}
 }
 
