--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -49,11 +49,10 @@
 	}
 }
 
-// unterminated reports whether a body extends to the end of the connection although the endpoint did not announce that it
-// would end the connection: reading such a body may never finish.
-func unterminated(resp *http.Response, closes bool) bool {
-	closes = closes || !resp.ProtoAtLeast(1, 1)
-	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !closes
+// unterminated reports whether the body of a response extends to the end of the connection, which HTTP/1.1 does not close
+// by itself: reading such a body may never finish, unless the endpoint announced that it would close the connection.
+func unterminated(resp *http.Response) bool {
+	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.ProtoAtLeast(1, 1)
 }
 
 // hasCloseToken reports whether a Connection header in head lists "close".
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -106,7 +106,7 @@
 		if resp.StatusCode < firstFinalStatus {
 			continue
 		}
-		if unterminated(resp, closes) {
+		if unterminated(resp) && !closes {
 			return ignoreBody(resp)
 		}
 		if len(resp.TransferEncoding) > 0 { // "chunked": ReadResponse rejects all others
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -52,6 +52,15 @@
 		return Result{Outcome: balance.NotAttempted, ClientGone: clientGone}
 	}
 	end := interruptible(attempt.Context, conn, attempt.Deadline, func() exchangeEnd { return c.exchange(attempt, conn) })
-	c.pool.giveBack(conn, end.reusable)
+	return c.finish(conn, end)
+}
+
+// finish ends the use of a connection and returns the result of its exchange.
+func (c *Client) finish(conn *endpointConn, end exchangeEnd) Result {
+	if end.reusable {
+		c.pool.put(conn)
+	} else {
+		c.pool.closeConn(conn)
+	}
 	return end.result
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -72,11 +72,15 @@
 	if complete {
 		<-upload.done // it still sets deadlines of the connection and reports that the last byte was written
 	}
-	if err != nil {
-		return exchangeEnd{result: upload.failure(attempt, complete, err)}
+	switch {
+	case err == nil:
+		end.reusable = end.reusable && complete
+		return end
+	case complete:
+		return failedExchange(attempt.readOutcome(err), err)
+	default:
+		return exchangeEnd{result: upload.incompleteResult(attempt, err)}
 	}
-	end.reusable = end.reusable && complete
-	return end
 }
 
 // uploadComplete reports that the last byte of a streamed request was written. From now on the response is due.
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -26,8 +26,7 @@
 		return Result{Outcome: balance.NotAttempted}
 	}
 	end := interruptible(ctx, conn, deadline, func() exchangeEnd { return c.requestHealth(conn) })
-	c.pool.giveBack(conn, end.reusable)
-	return end.result
+	return c.finish(conn, end)
 }
 
 // requestHealth sends the request of a health check and reads its response.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -78,15 +78,6 @@
 	return p.idle.takeLatest(endpoint, p.reuseDelay)
 }
 
-// giveBack ends the use of a connection.
-func (p *Pool) giveBack(conn *endpointConn, reusable bool) {
-	if reusable {
-		p.put(conn)
-	} else {
-		p.closeConn(conn)
-	}
-}
-
 // put makes a connection idle, or closes it if its endpoint has changed.
 func (p *Pool) put(conn *endpointConn) {
 	conn.SetDeadline(time.Time{})
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -109,11 +109,9 @@
 	return w.complete
 }
 
-// failure returns the result of an attempt whose response could not be read. The upload was abandoned.
-func (w *uploadWriter) failure(attempt *Attempt, complete bool, err error) Result {
-	if complete {
-		return Result{Outcome: attempt.readOutcome(err), Err: err}
-	}
+// incompleteResult returns the result of an attempt whose response could not be read because of err, and whose upload was
+// abandoned before the last byte was written.
+func (w *uploadWriter) incompleteResult(attempt *Attempt, err error) Result {
 	if attempt.Context.Err() != nil {
 		return Result{Outcome: balance.Cancelled}
 	}
