--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -57,12 +57,11 @@
 	conns    *ConnTracker
 	upstream Evictor
 
-	// Shared means that another process accepts from the same listen queue. It must be set before Drain is called.
-	Shared   atomic.Bool
-	draining atomic.Bool
-	drainEnd context.Context // the limit of a drain; set before draining
-	closed   chan struct{}   // closed when Accept returns net.ErrClosed, so that all drained connections are tracked
-	closing  sync.Once       // closes closed
+	sharesQueue atomic.Bool     // another process accepts from the same listen queue
+	draining    atomic.Bool     // Drain was called
+	drainEnd    context.Context // the limit of a drain; set before draining
+	closed      chan struct{}   // closed when Accept returns net.ErrClosed, so that all drained connections are tracked
+	closing     sync.Once       // closes closed
 
 	// Only the accepting goroutine uses the fields below.
 	queueDrained bool       // the listen queue is empty and the listener closed
@@ -91,12 +90,12 @@
 		if socket.ListenerBroken(err) {
 			return nil, err
 		}
-		l.recover(err)
+		l.handleAcceptError(err)
 	}
 }
 
-// recover prepares for another accept after one that failed.
-func (l *Listener) recover(err error) {
+// handleAcceptError prepares for another accept after one that failed.
+func (l *Listener) handleAcceptError(err error) {
 	if time.Since(l.errorLogged) >= acceptLogInterval {
 		l.errorLogged = time.Now()
 		l.conns.Log.Info("connection not accepted", "error", err)
--- a/internal/downstream/listener_drain.go
+++ b/internal/downstream/listener_drain.go
@@ -5,7 +5,6 @@
 	"net"
 	"os"
 	"syscall"
-	"time"
 
 	"cindersaddle/internal/fault"
 	"cindersaddle/internal/socket"
@@ -20,7 +19,7 @@
 		l.draining.Store(true)
 	}
 	if ln, ok := l.Listener.(*net.TCPListener); ok {
-		ln.SetDeadline(time.Unix(1, 0)) // interrupts Accept
+		ln.SetDeadline(socket.PastDeadline) // interrupts Accept
 	}
 	select {
 	case <-l.closed:
@@ -28,6 +27,10 @@
 	}
 }
 
+// ShareQueue records that another process accepts from the same listen queue, and goes on doing so after Drain. It must be
+// called before Drain.
+func (l *Listener) ShareQueue() { l.sharesQueue.Store(true) }
+
 // drainQueue accepts all connections from the listen queue and closes the listener.
 func (l *Listener) drainQueue(ln *net.TCPListener) {
 	l.queueDrained = true
@@ -50,9 +53,9 @@
 		if err == syscall.EAGAIN || socket.ListenerBroken(err) || l.drainEnd.Err() != nil {
 			break
 		}
-		l.recover(err)
+		l.handleAcceptError(err)
 	}
-	if !l.Shared.Load() { // a shutdown would end the listening of the other process too
+	if !l.sharesQueue.Load() { // a shutdown would end the listening of the other process too
 		syscall.Shutdown(listenerFD, syscall.SHUT_RD)
 	}
 }
@@ -77,7 +80,7 @@
 			l.drained = append(l.drained, conn)
 			return
 		}
-		l.recover(err)
+		l.handleAcceptError(err)
 		if !socket.Exhausted(err) || l.drainEnd.Err() != nil {
 			return
 		}
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -28,7 +28,7 @@
 // requests that are lost because their connection is closed while they are on their way, which clients see as a reset:
 // until ShutdownTimes.LateAfter it closes none, and each connection ends with its next response.
 func (s *Server) ShutdownAfterUpgrade(ctx context.Context, server *http.Server, listener *Listener) error {
-	listener.Shared.Store(true)
+	listener.ShareQueue()
 	listener.Drain(ctx)
 	early, cancel := context.WithDeadline(ctx, s.state.Shutdown.Load().LateAfter)
 	defer cancel()
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -211,7 +211,9 @@
 	t.Helper()
 	tracker := downstream.NewConnTracker(10)
 	clientListener := downstream.NewListener(listener, tracker, upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
-	clientListener.Shared.Store(shared)
+	if shared {
+		clientListener.ShareQueue()
+	}
 	go clientListener.Drain(t.Context())
 	for {
 		if _, err := clientListener.Accept(); err != nil {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -8,11 +8,9 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/exchange"
+	"cindersaddle/internal/socket"
 )
 
-// pastDeadline is a deadline that has passed: set on a connection, it wakes those who read and write.
-var pastDeadline = time.Unix(1, 0)
-
 // Attempt is one attempt of a request at an endpoint. The event loop creates it. The first group of fields does not
 // change once Client.Do has been called, and may be read by any goroutine.
 type Attempt struct {
@@ -67,7 +65,7 @@
 func (a *Attempt) setReadDeadline(conn net.Conn, deadline time.Time) {
 	conn.SetReadDeadline(deadline)
 	if a.Context.Err() != nil {
-		conn.SetReadDeadline(pastDeadline)
+		conn.SetReadDeadline(socket.PastDeadline)
 	}
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -6,6 +6,7 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/http1"
+	"cindersaddle/internal/socket"
 )
 
 // exchangeEnd is how an exchange of a request and a response ended.
@@ -23,7 +24,7 @@
 // connection returns with an error, and the connection is not used again.
 func interruptible(ctx context.Context, conn *endpointConn, deadline time.Time, exchange func() exchangeEnd) exchangeEnd {
 	conn.SetDeadline(deadline)
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(socket.PastDeadline) })
 	end := exchange()
 	interrupted := !stop()
 	end.reusable = end.reusable && !interrupted
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -10,6 +10,7 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/exchange"
+	"cindersaddle/internal/socket"
 )
 
 // earlyResponseGrace is how long the response of an endpoint that stopped reading the request may take.
@@ -103,7 +104,7 @@
 func (w *uploadWriter) abandon() (complete bool) {
 	w.source.Stopped.Store(true)
 	w.abandoned.Store(true)
-	w.conn.SetWriteDeadline(pastDeadline) // interrupts a write in progress
+	w.conn.SetWriteDeadline(socket.PastDeadline) // interrupts a write in progress
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.complete
