--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -10,6 +10,7 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/exchange"
+	"cindersaddle/internal/socket"
 )
 
 // earlyResponseGrace is how long the response of an endpoint that stopped reading the request may take.
@@ -103,17 +104,15 @@
 func (w *uploadWriter) abandon() (complete bool) {
 	w.source.Stopped.Store(true)
 	w.abandoned.Store(true)
-	w.conn.SetWriteDeadline(pastDeadline) // interrupts a write in progress
+	w.conn.SetWriteDeadline(socket.PastDeadline) // interrupts a write in progress
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.complete
 }
 
-// failure returns the result of an attempt whose response could not be read. The upload was abandoned.
-func (w *uploadWriter) failure(attempt *Attempt, complete bool, err error) Result {
-	if complete {
-		return Result{Outcome: attempt.readOutcome(err), Err: err}
-	}
+// incompleteResult returns the result of an attempt whose response could not be read because of err, and whose upload was
+// abandoned before the last byte was written.
+func (w *uploadWriter) incompleteResult(attempt *Attempt, err error) Result {
 	if attempt.Context.Err() != nil {
 		return Result{Outcome: balance.Cancelled}
 	}
