--- a/internal/sidecar/config_file_test.go
+++ b/internal/sidecar/config_file_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bytes"
 	"os"
 	"path/filepath"
 	"strings"
@@ -37,20 +36,29 @@
 	}
 }
 
+// discoveryReplacement changes the address of the discovery service.
+func discoveryReplacement(addr string) replacement {
+	return replacement{`"discovery": "127.0.0.1:9"`, `"discovery": "` + addr + `"`}
+}
+
 // setDiscovery writes the file with another address of the discovery service.
 func (file *configFile) setDiscovery(addr string) {
 	file.t.Helper()
-	oldSetting, newSetting := []byte(`"discovery": "127.0.0.1:9"`), []byte(`"discovery": "`+addr+`"`)
-	file.write(string(bytes.Replace([]byte(file.text), oldSetting, newSetting, 1)))
+	file.write(file.replace(discoveryReplacement(addr)))
 }
 
-// replace returns the original content with replacements, given as pairs of old and new text. Each old text must occur.
-func (file *configFile) replace(pairs ...string) string {
+// replacement is a change of the content of a file.
+type replacement struct{ old, new string }
+
+// replace returns the original content with replacements. Each old text must occur.
+func (file *configFile) replace(replacements ...replacement) string {
 	file.t.Helper()
-	for i := 0; i < len(pairs); i += 2 {
-		if !strings.Contains(file.text, pairs[i]) {
-			file.t.Fatalf("the configuration file does not contain %s", pairs[i])
+	var pairs []string
+	for _, change := range replacements {
+		if !strings.Contains(file.text, change.old) {
+			file.t.Fatalf("the configuration file does not contain %s", change.old)
 		}
+		pairs = append(pairs, change.old, change.new)
 	}
 	return strings.NewReplacer(pairs...).Replace(file.text)
 }
--- a/internal/sidecar/descriptor_limit_test.go
+++ b/internal/sidecar/descriptor_limit_test.go
@@ -106,12 +106,7 @@
 	if _, body := sidecar.do(sidecar.newRequest("read")); body != "one" {
 		t.Fatalf("response from endpoint %q, want %q", body, "one")
 	}
-	stop, done := make(chan bool), make(chan bool)
-	go func() {
-		defer close(done)
-		connectIdleClients(sidecar.addr, stop)
-	}()
-	defer func() { close(stop); <-done }()
+	defer startIdleClients(sidecar.addr)()
 	for range 3 { // polls without a response
 		sidecartest.Next(t, sidecar.discovery.Cancelled)
 	}
@@ -133,6 +128,19 @@
 	}
 }
 
+// startIdleClients runs connectIdleClients until stop is called, which waits for its end.
+func startIdleClients(addr string) (stop func()) {
+	stopping, done := make(chan bool), make(chan bool)
+	go func() {
+		defer close(done)
+		connectIdleClients(addr, stopping)
+	}()
+	return func() {
+		close(stopping)
+		<-done
+	}
+}
+
 // connectIdleClients opens connections without a complete request until stop is closed. It keeps more of them open than
 // the process under test has descriptors, and replaces the oldest ones.
 func connectIdleClients(addr string, stop <-chan bool) {
--- a/internal/sidecar/endpoint_restart_test.go
+++ b/internal/sidecar/endpoint_restart_test.go
@@ -9,22 +9,36 @@
 	"cindersaddle/internal/sidecartest"
 )
 
+// connRecorder records the connection of each request that a server receives.
+type connRecorder struct {
+	mu    sync.Mutex
+	conns []net.Conn
+}
+
+// record returns a step that records the connection, and then runs another one.
+func (r *connRecorder) record(next sidecartest.Step) sidecartest.Step {
+	return func(conn net.Conn) bool {
+		r.mu.Lock()
+		r.conns = append(r.conns, conn)
+		r.mu.Unlock()
+		return next(conn)
+	}
+}
+
+// recorded returns the connections in the order of the requests.
+func (r *connRecorder) recorded() []net.Conn {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]net.Conn(nil), r.conns...)
+}
+
 // TestEndpointRestartDiscardsConnectionInUse tests the failure in which an endpoint restarts while one of its connections carries a
 // request. The connection belongs to the previous incarnation, and may end in a reset with the next request. When discovery has
 // reported the restart, the connection must not carry another one.
 func TestEndpointRestartDiscardsConnectionInUse(t *testing.T) {
 	gate := sidecartest.NewGate()
-	var mu sync.Mutex
-	var conns []net.Conn
-	recordConn := func(next sidecartest.Step) sidecartest.Step {
-		return func(conn net.Conn) bool {
-			mu.Lock()
-			conns = append(conns, conn)
-			mu.Unlock()
-			return next(conn)
-		}
-	}
-	server := sidecartest.NewScriptedServer(t, recordConn(gate.Hold(sidecartest.Respond(200, "held"))), recordConn(sidecartest.Respond(200, "served")))
+	var recorder connRecorder
+	server := sidecartest.NewScriptedServer(t, recorder.record(gate.Hold(sidecartest.Respond(200, "held"))), recorder.record(sidecartest.Respond(200, "served")))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	first := make(chan *http.Response, 1)
@@ -49,8 +63,7 @@
 			t.Fatalf("status %d, want 200", resp.StatusCode)
 		}
 	}
-	mu.Lock()
-	defer mu.Unlock()
+	conns := recorder.recorded()
 	for i, conn := range conns[1:] {
 		if conn == conns[0] {
 			t.Errorf("request %d used the connection from before the restart", i+2)
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -71,8 +71,11 @@
 	if resp, _ := sidecar.do(sidecar.newRequestNamed("read", "pay-2")); resp.StatusCode != 400 {
 		t.Errorf("class of the new file before the reload: status %d, want 400", resp.StatusCode)
 	}
-	file.write(file.replace(`"name": "read"`, `"name": "pay-2"`, `"max_attempts": 6`, `"max_attempts": 1.0`,
-		`"name": "pay", "effect": "non_idempotent"`, `"name": "pay", "effect": "read_like"`))
+	file.write(file.replace(
+		replacement{`"name": "read"`, `"name": "pay-2"`},
+		replacement{`"max_attempts": 6`, `"max_attempts": 1.0`},
+		replacement{`"name": "pay", "effect": "non_idempotent"`, `"name": "pay", "effect": "read_like"`},
+	))
 	sidecar.reloads <- syscall.SIGHUP
 	sidecartest.WaitFor(t, "the file is loaded", func() bool { return sidecar.metric("config_reloads_total") == "1" })
 	gate.Open()
@@ -93,6 +96,40 @@
 	}
 }
 
+// invalidReplacements each make the configuration file invalid.
+var invalidReplacements = []replacement{
+	{`"hard_limit_ms": 20000`, `"hard_limit_ms": 0`},
+	{`"hard_limit_ms": 20000`, `"hard_limit_ms": -5`},
+	{`"hard_limit_ms": 20000`, `"hard_limit_ms": "20000"`},
+	{`"hard_limit_ms": 20000`, `"hard_limit_ms": null`},
+	{`"hard_limit_ms": 20000`, `"hard_limit_ms": 1e999`},
+	{`"hard_limit_ms": 20000, `, ``},
+	{`"max_attempts": 6`, `"max_attempts": 0`},
+	{`"max_attempts": 6`, `"max_attempts": -1`},
+	{`"max_attempts": 6`, `"max_attempts": 2.5`},
+	{`"max_attempts": 6`, `"max_attempts": null`},
+	{`"max_attempts": 6`, `"max_attempts": "6"`},
+	{`"max_attempts": 6,`, ``},
+	{`"settings"`, `"other"`},
+	{`"seed"`, `"other"`},
+	{`"limits": {"cancel"`, `"other": {"cancel"`},
+	{`"known"`, `"other"`},
+	{`"probes": true,`, ``},
+	{`"name": "read"`, `"name": ""`},
+	{`"name": "read"`, `"name": "pay"`},
+	{`"effect": "read_like"`, `"effect": "x"`},
+}
+
+// invalidFiles returns contents of the configuration file that must be rejected. Where the file can be parsed, also has been
+// replaced in it.
+func invalidFiles(file *configFile, also replacement) []string {
+	contents := []string{"", "{", "null", "[]", "{}", file.text[:len(file.text)/2], strings.TrimSpace(file.text) + "}"}
+	for _, invalid := range invalidReplacements {
+		contents = append(contents, file.replace(invalid, also))
+	}
+	return contents
+}
+
 // TestReloadRejectsInvalidFile tests the failure in which SIGHUP comes with a configuration file that is invalid, or only partly
 // written. A part of its settings must not apply: a file with any error changes nothing, not even the address of discovery.
 func TestReloadRejectsInvalidFile(t *testing.T) {
@@ -103,20 +140,7 @@
 	cfg.AcceptDuringShutdown = 0
 	sidecar := startSidecar(t, cfg)
 	other := sidecartest.NewDiscoveryServer(t)
-	moved := `"discovery": "` + other.Addr + `"`
-	bad := []string{"", "{", "null", "[]", "{}", file.text[:len(file.text)/2], strings.TrimSpace(file.text) + "}"}
-	for _, change := range []string{
-		`"hard_limit_ms": 20000=>"hard_limit_ms": 0`, `"hard_limit_ms": 20000=>"hard_limit_ms": -5`,
-		`"hard_limit_ms": 20000=>"hard_limit_ms": "20000"`, `"hard_limit_ms": 20000=>"hard_limit_ms": null`,
-		`"hard_limit_ms": 20000=>"hard_limit_ms": 1e999`, `"hard_limit_ms": 20000, =>`, `"max_attempts": 6=>"max_attempts": 0`,
-		`"max_attempts": 6=>"max_attempts": -1`, `"max_attempts": 6=>"max_attempts": 2.5`,
-		`"max_attempts": 6=>"max_attempts": null`, `"max_attempts": 6=>"max_attempts": "6"`, `"max_attempts": 6,=>`,
-		`"settings"=>"other"`, `"seed"=>"other"`, `"limits": {"cancel"=>"other": {"cancel"`, `"known"=>"other"`,
-		`"probes": true,=>`, `"name": "read"=>"name": ""`, `"name": "read"=>"name": "pay"`, `"effect": "read_like"=>"effect": "x"`,
-	} {
-		from, to, _ := strings.Cut(change, "=>")
-		bad = append(bad, file.replace(from, to, `"discovery": "127.0.0.1:9"`, moved))
-	}
+	bad := invalidFiles(file, discoveryReplacement(other.Addr))
 	for i, text := range bad {
 		file.write(text)
 		sidecar.reloads <- syscall.SIGHUP
