--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -9,8 +9,8 @@
 	"cindersaddle/internal/http1"
 )
 
-// A body may take bodyGrace and the time that its bytes take at bodyRate. Clients send at least 64 kB a second; one
-// that stalls must get an error or a close within 3 s of connecting.
+// A body may take bodyGrace and the time that its bytes take at bodyRate. Clients send 64 kB a second at least; one that
+// stalls must get an error or a close within 3 s of connecting.
 const (
 	bodyGrace = 700 * time.Millisecond
 	bodyRate  = 48 << 10 // bytes a second
@@ -40,9 +40,9 @@
 	return nil, s.newUpload(r, conn, controller, limited, body), nil
 }
 
-// newUpload returns the upload of a long body, of which buffered was read from source.
+// newUpload returns the upload of a long body, of which the first bytes were read from source.
 func (s *Server) newUpload(
-	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, buffered []byte,
+	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, first []byte,
 ) *exchange.Upload {
 	number := conn.requests
 	controller.EnableFullDuplex() // the response may precede the end of the body
@@ -51,14 +51,13 @@
 		Length:        r.ContentLength,
 		Source:        source,
 		Budget:        &s.replayBudget,
-		Buffered:      buffered,
-		BytesRead:     int64(len(buffered)),
 		AwaitResponse: func() error { return conn.AwaitResponse(number) },
 		SetReadTimeout: func(timeout time.Duration) {
 			controller.SetReadDeadline(time.Now().Add(timeout))
 		},
 	}
-	upload.Pause(time.Now())
+	upload.SetFirstBytes(first)
+	upload.PauseReading(time.Now())
 	return upload
 }
 
@@ -71,6 +70,7 @@
 	setDeadline    func(time.Time) error
 }
 
+// Read implements io.Reader.
 func (r *pacedReader) Read(buffer []byte) (int, error) {
 	n, err := r.source.Read(buffer)
 	r.bytesRead += int64(n)
