--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -42,39 +42,45 @@
 		"to the end of the connection": {"Connection: close\r\n", sidecartest.LongBody[:half], sidecartest.LongBody[half:]},
 	} {
 		t.Run(name, func(t *testing.T) {
-			more := make(chan bool)
 			head := "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n" + test.head + "\r\n"
-			server := sidecartest.NewScriptedServer(t, respondInParts(more, head+test.first, test.second))
-			sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
-			request := sidecar.newRequest("read")
-			request.Header.Set(exchange.ExpiryHeader, "300m")
-			start := time.Now()
-			resp, err := sidecar.client.Do(request)
-			if err != nil || resp.StatusCode != 200 {
-				t.Fatalf("response %v, error %v", resp, err)
-			}
-			defer resp.Body.Close()
-			got := make([]byte, half)
-			if _, err := io.ReadFull(resp.Body, got); err != nil {
-				t.Fatalf("first half of the body: %v", err)
-			}
-			if sidecar.metric("pending") != "1" || sidecar.resultCounts("read") != "0 0 0" {
-				t.Errorf("after the first half: %s pending, results %s", sidecar.metric("pending"), sidecar.resultCounts("read"))
-			}
-			time.Sleep(time.Until(start.Add(400 * time.Millisecond))) // past the deadline of the request
-			more <- true
-			rest, err := io.ReadAll(resp.Body)
-			if err != nil || string(got)+string(rest) != sidecartest.LongBody {
-				t.Errorf("second half of the body: %d bytes, error %v", len(rest), err)
-			}
-			sidecar.waitForPending(0)
-			if got := sidecar.resultCounts("read"); got != "1 0 0" {
-				t.Errorf("completed, rejected and failed requests are %s, want 1 0 0", got)
-			}
+			checkLongResponseStreaming(t, head+test.first, test.second)
 		})
 	}
 }
 
+// checkLongResponseStreaming checks the streaming of LongBody from a response whose second half comes after the deadline.
+func checkLongResponseStreaming(t *testing.T, firstHalf, secondHalf string) {
+	t.Helper()
+	more := make(chan bool)
+	server := sidecartest.NewScriptedServer(t, respondInParts(more, firstHalf, secondHalf))
+	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
+	request := sidecar.newRequest("read")
+	request.Header.Set(exchange.ExpiryHeader, "300m")
+	start := time.Now()
+	resp, err := sidecar.client.Do(request)
+	if err != nil || resp.StatusCode != 200 {
+		t.Fatalf("response %v, error %v", resp, err)
+	}
+	defer resp.Body.Close()
+	got := make([]byte, len(sidecartest.LongBody)/2)
+	if _, err := io.ReadFull(resp.Body, got); err != nil {
+		t.Fatalf("first half of the body: %v", err)
+	}
+	if sidecar.metric("pending") != "1" || sidecar.resultCounts("read") != "0 0 0" {
+		t.Errorf("after the first half: %s pending, results %s", sidecar.metric("pending"), sidecar.resultCounts("read"))
+	}
+	time.Sleep(time.Until(start.Add(400 * time.Millisecond))) // past the deadline of the request
+	more <- true
+	rest, err := io.ReadAll(resp.Body)
+	if err != nil || string(got)+string(rest) != sidecartest.LongBody {
+		t.Errorf("second half of the body: %d bytes, error %v", len(rest), err)
+	}
+	sidecar.waitForPending(0)
+	if got := sidecar.resultCounts("read"); got != "1 0 0" {
+		t.Errorf("completed, rejected and failed requests are %s, want 1 0 0", got)
+	}
+}
+
 // TestTruncatedResponseClosesConnection tests the failure in which an endpoint ends a long response early, of which the client
 // has a part. If the sidecar ended its own message in order, the client would take the part for the whole. The client must see a
 // broken connection, and the request must not be retried.
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -83,6 +83,12 @@
 	if firstStatus+secondStatus != 200+502 { // only the read may be retried
 		t.Errorf("pending requests: status %d and %d, want 200 and 502", firstStatus, secondStatus)
 	}
+	checkReloadedClasses(t, sidecar)
+}
+
+// checkReloadedClasses checks that later requests are subject to the classes of the new file.
+func checkReloadedClasses(t *testing.T, sidecar *testSidecar) {
+	t.Helper()
 	for _, test := range []struct {
 		class, name string
 		want        int
