--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -43,8 +43,8 @@
 			t.Errorf("%s: completed, rejected and failed requests are %s, want %s", name, got, want)
 		}
 	}
-	if got := sidecar.metric("upstream_requests_total"); got != fmt.Sprint(len(sidecartest.RequestsTo(server))) {
-		t.Errorf("%s attempts are counted, the server received %d", got, len(sidecartest.RequestsTo(server)))
+	if got := sidecar.metric("upstream_requests_total"); got != fmt.Sprint(len(server.Requests())) {
+		t.Errorf("%s attempts are counted, the server received %d", got, len(server.Requests()))
 	}
 	if got := sidecar.metric("pending"); got != "0" {
 		t.Errorf("%s requests are pending at the end, want 0", got)
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -65,7 +65,7 @@
 				if !sidecartest.Next(t, noticed) {
 					t.Error("the attempt was not cancelled")
 				}
-				if got := len(sidecartest.RequestsTo(server)); got != 1 {
+				if got := len(server.Requests()); got != 1 {
 					t.Errorf("the servers received %d requests, want 1", got)
 				}
 			})
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -125,7 +125,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if got := sidecartest.RequestsTo(server); len(got) != 0 {
+		if got := server.Requests(); len(got) != 0 {
 			t.Errorf("%d incomplete requests reached the endpoint", len(got))
 		}
 	})
--- a/internal/sidecar/descriptor_limit_test.go
+++ b/internal/sidecar/descriptor_limit_test.go
@@ -123,7 +123,7 @@
 	if resp, _ := sidecar.callAdmin("GET", "/api/ready"); resp.StatusCode != 200 {
 		t.Errorf("GET /api/ready: status %d, want 200", resp.StatusCode)
 	}
-	if got := len(sidecartest.RequestsTo(firstServer)); got != 1 {
+	if got := len(firstServer.Requests()); got != 1 {
 		t.Errorf("the draining endpoint received %d requests, want 1", got)
 	}
 }
--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -106,7 +106,7 @@
 				t.Errorf("rest of a truncated response: %d bytes, error %v, want a broken connection", len(got), err)
 			}
 			sidecartest.WaitFor(t, "the request is counted as failed", func() bool { return sidecar.resultCounts("read") == "0 0 1" })
-			if got := len(sidecartest.RequestsTo(server)); got != 1 {
+			if got := len(server.Requests()); got != 1 {
 				t.Errorf("the servers received %d requests, want 1", got)
 			}
 		})
--- a/internal/sidecar/endpoint_restart_test.go
+++ b/internal/sidecar/endpoint_restart_test.go
@@ -82,7 +82,7 @@
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", resp.StatusCode)
 		}
-		if _, _, conns := server.Received(); conns != want {
+		if conns := server.ConnCount(); conns != want {
 			t.Errorf("after %d endpoint lists: %d connections, want %d", up, conns, want)
 		}
 		restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -29,7 +29,7 @@
 			t.Errorf("%s: the load report was forwarded to the client", class)
 		}
 	}
-	requests, bodies, conns := server.Received()
+	requests, conns := server.Requests(), server.ConnCount()
 	if len(requests) != 3 || conns != 1 {
 		t.Fatalf("%d requests on %d connections, want 3 on one", len(requests), conns)
 	}
@@ -41,8 +41,8 @@
 		if err != nil || left <= 0 || left > 15000 {
 			t.Errorf("forwarded %s %q: %v", exchange.ExpiryHeader, request.Header.Get(exchange.ExpiryHeader), err)
 		}
-		if want := map[bool]string{true: "", false: "order 7"}[request.Method == "GET"]; bodies[i] != want {
-			t.Errorf("forwarded body %q, want %q", bodies[i], want)
+		if want := map[bool]string{true: "", false: "order 7"}[request.Method == "GET"]; request.BodyText != want {
+			t.Errorf("forwarded body %q, want %q", request.BodyText, want)
 		}
 	}
 	if key := requests[1].Header.Get("Idempotency-Key"); key != "5c0f6e1a" {
@@ -69,7 +69,7 @@
 			serving := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "done"))
 			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", failing.Addr), sidecartest.ReadyEndpoint("s-2", serving.Addr)))
 			resp, _ := sidecar.do(sidecar.newRequest("pay"))
-			for len(sidecartest.RequestsTo(failing)) == 0 { // the other endpoint was chosen first
+			for len(failing.Requests()) == 0 { // the other endpoint was chosen first
 				resp, _ = sidecar.do(sidecar.newRequest("pay"))
 			}
 			if resp.StatusCode != test.status {
@@ -118,7 +118,7 @@
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("pay", "Content-Length: 60000000"))
 	sidecar.expectResponse(conn, "body above the limit", http.StatusRequestEntityTooLarge)
-	if got := len(sidecartest.RequestsTo(server)); got != 0 {
+	if got := len(server.Requests()); got != 0 {
 		t.Errorf("%d invalid requests reached the endpoint", got)
 	}
 }
@@ -143,7 +143,7 @@
 			t.Errorf("%s: response %q, error %v, want only status 400", name, got, err)
 		}
 	}
-	if got := sidecartest.RequestsTo(server); len(got) != 0 {
+	if got := server.Requests(); len(got) != 0 {
 		t.Errorf("%d requests reached the endpoint, want 0", len(got))
 	}
 }
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -35,9 +35,9 @@
 			if resp, text := sidecar.do(request); resp.StatusCode != 200 || text != "taken" {
 				t.Errorf("status %d, body %q", resp.StatusCode, text)
 			}
-			requests, bodies, _ := server.Received()
-			if len(bodies) != 1 || bodies[0] != sidecartest.LongBody || requests[0].Header.Get("Expect") != "" {
-				t.Errorf("the server received %d requests, want one with the complete body and no Expect", len(bodies))
+			requests := server.Requests()
+			if len(requests) != 1 || requests[0].BodyText != sidecartest.LongBody || requests[0].Header.Get("Expect") != "" {
+				t.Errorf("the server received %d requests, want one with the complete body and no Expect", len(requests))
 			}
 			if got := sidecar.resultCounts("pay") + ", " + sidecar.metric("upstream_requests_total"); got != "1 0 0, 1" {
 				t.Errorf("completed, rejected and failed requests and attempts are %s, want 1 0 0, 1", got)
@@ -75,7 +75,7 @@
 
 func (w waitForConns) Read([]byte) (int, error) {
 	for end := time.Now().Add(sidecartest.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if _, _, conns := w.server.Received(); conns >= w.count {
+		if w.server.ConnCount() >= w.count {
 			return 0, io.EOF
 		}
 	}
@@ -103,9 +103,9 @@
 			t.Fatalf("status %d, want 200", resp.StatusCode)
 		}
 	}
-	_, bodies, _ := server.Received()
-	if len(bodies) != attempts || bodies[attempts-1] != sidecartest.LongBody[:exchange.MaxReplayBytes/2] {
-		t.Errorf("%d of %d bodies reached the other endpoint, the last of them must be complete", len(bodies), attempts)
+	requests := server.Requests()
+	if len(requests) != attempts || requests[attempts-1].BodyText != sidecartest.LongBody[:exchange.MaxReplayBytes/2] {
+		t.Errorf("%d of %d bodies reached the other endpoint, the last of them must be complete", len(requests), attempts)
 	}
 }
 
@@ -135,7 +135,7 @@
 	sidecar.waitForPending(1)
 	conn.Close()
 	sidecar.waitForPending(0)
-	if got := len(sidecartest.RequestsTo(server)); got != 0 {
+	if got := len(server.Requests()); got != 0 {
 		t.Errorf("%d requests reached the endpoint, want 0", got)
 	}
 	if resp, _ := sidecar.do(sidecar.newRequest("pay")); resp.StatusCode != 200 {
@@ -154,7 +154,7 @@
 	time.Sleep(350 * time.Millisecond) // longer than the deadline of the request
 	sidecar.write(conn, "cd")
 	sidecar.expectResponse(conn, "request with a slow body", http.StatusOK)
-	if left, err := exchange.ParseExpiry(sidecartest.RequestsTo(server)[0].Header.Get(exchange.ExpiryHeader), 1e6); err != nil || left < 200 {
+	if left, err := exchange.ParseExpiry(server.Requests()[0].Header.Get(exchange.ExpiryHeader), 1e6); err != nil || left < 200 {
 		t.Errorf("forwarded with %v ms left, error %v", left, err)
 	}
 }
@@ -172,7 +172,7 @@
 	if !strings.HasPrefix(string(got), "HTTP/1.1 400") {
 		t.Errorf("response %q, error %v, want status 400", got, err)
 	}
-	if got := sidecartest.RequestsTo(server); len(got) != 0 {
+	if got := server.Requests(); len(got) != 0 {
 		t.Errorf("%d requests reached the endpoint, want 0", len(got))
 	}
 }
--- a/internal/sidecartest/server.go
+++ b/internal/sidecartest/server.go
@@ -20,9 +20,14 @@
 	Addr string
 
 	mu       sync.Mutex
-	requests []*http.Request
-	bodies   []string
-	conns    int
+	requests []ReceivedRequest
+	conns    int // number of accepted connections
+}
+
+// ReceivedRequest is a complete request that a server received.
+type ReceivedRequest struct {
+	*http.Request
+	BodyText string // the body, which Request.Body no longer has
 }
 
 // NewScriptedServer starts a server, which is stopped with its connections at the end of the test.
@@ -64,34 +69,34 @@
 		if err != nil {
 			return
 		}
-		step := server.record(request, string(body), steps)
+		step := server.record(ReceivedRequest{request, string(body)}, steps)
 		if !step(conn) {
 			return
 		}
 	}
 }
 
-// record adds a complete request and returns the step for it.
-func (server *ScriptedServer) record(request *http.Request, body string, steps []Step) Step {
+// record adds a request and returns the step for it.
+func (server *ScriptedServer) record(request ReceivedRequest, steps []Step) Step {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	step := steps[min(len(server.requests), len(steps)-1)]
 	server.requests = append(server.requests, request)
-	server.bodies = append(server.bodies, body)
 	return step
 }
 
-// Received returns the complete requests received so far with their bodies, and the number of accepted connections.
-func (server *ScriptedServer) Received() (requests []*http.Request, bodies []string, conns int) {
+// Requests returns the requests received so far, in their order.
+func (server *ScriptedServer) Requests() []ReceivedRequest {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	return append([]*http.Request(nil), server.requests...), append([]string(nil), server.bodies...), server.conns
+	return append([]ReceivedRequest(nil), server.requests...)
 }
 
-// RequestsTo returns the complete requests that a server received so far.
-func RequestsTo(server *ScriptedServer) []*http.Request {
-	requests, _, _ := server.Received()
-	return requests
+// ConnCount returns the number of connections accepted so far.
+func (server *ScriptedServer) ConnCount() int {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return server.conns
 }
 
 // Respond returns a step that writes a complete response and keeps the connection.
--- a/internal/upstream/client_gone_test.go
+++ b/internal/upstream/client_gone_test.go
@@ -31,7 +31,7 @@
 		awaitClosed(t, conn)
 	}
 	expectOutcome(t, client, attempt, balance.NotAttempted)
-	if got := len(sidecartest.RequestsTo(server)); got != 0 {
+	if got := len(server.Requests()); got != 0 {
 		t.Errorf("the server received %d requests, want 0", got)
 	}
 }
@@ -47,7 +47,7 @@
 		return conn.AwaitResponse(1)
 	})
 	expectOutcome(t, client, attempt, balance.NotAttempted)
-	if got := len(sidecartest.RequestsTo(server)); got != 0 {
+	if got := len(server.Requests()); got != 0 {
 		t.Errorf("the server received %d complete requests, want 0", got)
 	}
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -27,7 +27,7 @@
 			attempt := newAttempt(endpoint, sidecartest.Timeout)
 			late(attempt)
 			expectOutcome(t, client, attempt, balance.NotAttempted)
-			if got := len(sidecartest.RequestsTo(server)); got != 1 {
+			if got := len(server.Requests()); got != 1 {
 				t.Errorf("the server received %d requests, want 1", got)
 			}
 		})
@@ -53,8 +53,8 @@
 		client.pool.AfterDial = nil
 	}
 	result := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
-	if string(result.Response.Body) != "new" || len(sidecartest.RequestsTo(old)) > 0 {
-		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0", result.Response.Body, len(sidecartest.RequestsTo(old)))
+	if string(result.Response.Body) != "new" || len(old.Requests()) > 0 {
+		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0", result.Response.Body, len(old.Requests()))
 	}
 	if client.pool.open != 1 {
 		t.Errorf("%d connections are open, want 1", client.pool.open)
@@ -78,7 +78,7 @@
 	sidecartest.Next(t, ended)
 	attempt := newAttempt(endpoint, sidecartest.Timeout)
 	go func() {
-		for len(sidecartest.RequestsTo(server)) < 2 {
+		for len(server.Requests()) < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		attempt.Cancel()
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("got %+v, want the body \"served\"", result)
 		}
 	}
-	if requests := sidecartest.RequestsTo(server); len(requests) != attempts {
+	if requests := server.Requests(); len(requests) != attempts {
 		t.Errorf("the server received %d requests, want %d", len(requests), attempts)
 	}
 }
--- a/internal/upstream/health_test.go
+++ b/internal/upstream/health_test.go
@@ -19,7 +19,7 @@
 	if result := client.CheckHealth(context.Background(), newEndpoint(server.Addr)); result.Outcome != balance.ServerError {
 		t.Errorf("unhealthy server: got %+v, want a server error", result)
 	}
-	if got := sidecartest.RequestsTo(server)[0]; got.URL.Path != "/metrics/load" {
+	if got := server.Requests()[0]; got.URL.Path != "/metrics/load" {
 		t.Errorf("the request was for %s, want /metrics/load", got.URL.Path)
 	}
 }
@@ -31,7 +31,7 @@
 	client := newTestClient(t, 500)
 	endpoint := newEndpoint(server.Addr)
 	client.pool.AfterDial = func() { endpoint.Closed.Store(true) }
-	if result := client.CheckHealth(t.Context(), endpoint); result.Outcome != balance.NotAttempted || len(sidecartest.RequestsTo(server)) > 0 {
-		t.Errorf("outcome %d, and the server received %d requests; want %d and 0", result.Outcome, len(sidecartest.RequestsTo(server)), balance.NotAttempted)
+	if result := client.CheckHealth(t.Context(), endpoint); result.Outcome != balance.NotAttempted || len(server.Requests()) > 0 {
+		t.Errorf("outcome %d, and the server received %d requests; want %d and 0", result.Outcome, len(server.Requests()), balance.NotAttempted)
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -24,7 +24,7 @@
 	conn := client.pool.idle[endpoint][0]
 	sidecartest.WaitFor(t, "the server closes the connection", func() bool { return !conn.healthy() })
 	expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
-	if _, _, conns := ending.Received(); conns != 2 {
+	if conns := ending.ConnCount(); conns != 2 {
 		t.Errorf("the server accepted %d connections, want 2", conns)
 	}
 	if client.pool.open != len(client.pool.idle[endpoint]) {
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -101,7 +101,7 @@
 				return &crossingConn{TCPConn: tcp, delaysWrite: test.delaysWrite, abandoned: make(chan bool)}
 			}
 			expectOutcome(t, client, newUploadAttempt(t, client, newEndpoint(address), wrap, func() error { return nil }), test.want)
-			if got := len(sidecartest.RequestsTo(server)); got != test.received {
+			if got := len(server.Requests()); got != test.received {
 				t.Errorf("the server received %d complete requests, want %d", got, test.received)
 			}
 		})
@@ -119,7 +119,7 @@
 		if !errors.Is(result.UploadError, err) {
 			t.Errorf("upload error %v, want %v", result.UploadError, err)
 		}
-		if got := len(sidecartest.RequestsTo(server)); got != 0 {
+		if got := len(server.Requests()); got != 0 {
 			t.Errorf("%v: the server received %d complete requests, want 0", err, got)
 		}
 	}
