--- a/internal/sidecar/listen_test.go
+++ b/internal/sidecar/listen_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -27,8 +28,9 @@
 	cfg.Listen = "127.0.0.1:70000" // no port has this number
 	began := time.Now()
 	var env environment
-	if err := env.listen(cfg); err == nil {
-		t.Error("listening succeeded")
+	var listenErr *ListenError
+	if err := env.listen(cfg); !errors.As(err, &listenErr) || listenErr.Address != cfg.Listen {
+		t.Errorf("error %v, want a ListenError with the address", err)
 	}
 	if took := time.Since(began); took > listenRetryTime/2 {
 		t.Errorf("it took %v to fail", took)
