--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -56,8 +56,7 @@
 func TestMetricsCountPendingRequests(t *testing.T) {
 	gate := sidecartest.NewGate()
 	defer gate.Open()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
+	sidecar, _ := startWithEndpointAndAdmin(t, gate.Hold(sidecartest.Respond(200, "held")))
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	gate.AwaitRequest(t)
@@ -89,8 +88,7 @@
 // TestAdminRejectsBadRequests checks the status for unknown paths, wrong methods and malformed requests at the admin
 // address, and that it does not serve the API of the clients.
 func TestAdminRejectsBadRequests(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
+	sidecar, _ := startWithEndpointAndAdmin(t, sidecartest.Respond(200, ""))
 	sidecar.waitUntilReady()
 	for _, test := range []struct {
 		method, path string
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -22,9 +22,8 @@
 // net/http would write an empty response with status 200 that no endpoint has sent. The client must get no response.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	gate := sidecartest.NewGate()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
+	sidecar, _ := startWithEndpoint(t, gate.Hold(sidecartest.Respond(200, "held")))
 	defer gate.Open()
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	conn, err := net.Dial("tcp", sidecar.addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -103,8 +103,7 @@
 // TestStalledClientTimeout tests the failure in which a client sends nothing, or stops within its request. Its connection would
 // stay open for ever. It must get an error or a close in time, and no part of its request may reach an endpoint.
 func TestStalledClientTimeout(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
 		"nothing": "", "half a head": "POST /api HTTP/1.1\r\nX-Qos: p",
 		"half a body":  sidecar.rawRequest("pay", "Content-Length: 100") + "half",
--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -52,8 +52,7 @@
 func checkLongResponseStreaming(t *testing.T, firstHalf, secondHalf string) {
 	t.Helper()
 	more := make(chan bool)
-	server := sidecartest.NewScriptedServer(t, respondInParts(more, firstHalf, secondHalf))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
+	sidecar, _ := startWithEndpointAndAdmin(t, respondInParts(more, firstHalf, secondHalf))
 	request := sidecar.newRequest("read")
 	request.Header.Set(exchange.ExpiryHeader, "300m")
 	start := time.Now()
@@ -122,8 +121,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
-			server := sidecartest.NewScriptedServer(t, respondInParts(more, "HTTP/1.1 200 OK\r\n"+test.first, test.second))
-			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+			sidecar, _ := startWithEndpoint(t, respondInParts(more, "HTTP/1.1 200 OK\r\n"+test.first, test.second))
 			resp, err := sidecar.client.Do(sidecar.newRequest("read"))
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("response %v, error %v", resp, err)
--- a/internal/sidecar/endpoint_restart_test.go
+++ b/internal/sidecar/endpoint_restart_test.go
@@ -38,8 +38,7 @@
 func TestEndpointRestartDiscardsConnectionInUse(t *testing.T) {
 	gate := sidecartest.NewGate()
 	var recorder connRecorder
-	server := sidecartest.NewScriptedServer(t, recorder.record(gate.Hold(sidecartest.Respond(200, "held"))), recorder.record(sidecartest.Respond(200, "served")))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, recorder.record(gate.Hold(sidecartest.Respond(200, "held"))), recorder.record(sidecartest.Respond(200, "served")))
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	first := make(chan *http.Response, 1)
 	go func() {
@@ -75,8 +74,7 @@
 // starts at the same address. The idle connections look open, but a request written to one is reset, and may have been executed.
 // When discovery has reported the restart, no request may use them. A later list with the same start time must close none.
 func TestEndpointRestartDiscardsIdleConnections(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	for up, want := range []int{1, 2, 2} {
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -46,6 +46,20 @@
 	return startSidecarWith(t, cfg, slog.DiscardHandler, readHooks{})
 }
 
+// startWithEndpoint starts a sidecar with one endpoint, whose server runs steps.
+func startWithEndpoint(t *testing.T, steps ...sidecartest.Step) (*testSidecar, *sidecartest.ScriptedServer) {
+	t.Helper()
+	server := sidecartest.NewScriptedServer(t, steps...)
+	return startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))), server
+}
+
+// startWithEndpointAndAdmin starts a sidecar with an admin address and one endpoint, whose server runs steps.
+func startWithEndpointAndAdmin(t *testing.T, steps ...sidecartest.Step) (*testSidecar, *sidecartest.ScriptedServer) {
+	t.Helper()
+	server := sidecartest.NewScriptedServer(t, steps...)
+	return startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))), server
+}
+
 // startSidecarWith starts a sidecar that logs to a handler and runs hooks around its reads. It is shut down at the end of the
 // test, which fails if the shutdown does.
 func startSidecarWith(t *testing.T, cfg *config.Config, log slog.Handler, hooks readHooks) *testSidecar {
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -15,8 +15,7 @@
 // TestForwardsRequests checks that requests of each class reach the endpoint with path, headers, body and remaining time, that
 // they share a connection, and that the load report of the endpoint is not forwarded to the client.
 func TestForwardsRequests(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
 	var ids []string
 	for _, class := range []string{"read", "reserve", "pay"} {
 		request := sidecar.newRequest(class)
@@ -82,8 +81,7 @@
 // TestRejectsBadRequests checks the status and the close for each kind of invalid request, and that none of them reaches
 // an endpoint.
 func TestRejectsBadRequests(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	setHeader := func(name, value string) func(*http.Request) {
 		return func(request *http.Request) { request.Header.Set(name, value) }
 	}
@@ -126,8 +124,7 @@
 // TestRequestSmuggling checks that requests with two lengths, and requests with more data after them than announced, are
 // rejected and that nothing hidden in them reaches an endpoint.
 func TestRequestSmuggling(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
 		"two lengths":          sidecar.rawRequest("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequest("read"),
 		"two lengths, swapped": sidecar.rawRequest("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequest("read"),
@@ -152,8 +149,7 @@
 // own response, and that the ID can be used again after it.
 func TestDuplicateTraceID(t *testing.T) {
 	gate := sidecartest.NewGate()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, _ := startWithEndpoint(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
 	text := sidecar.rawRequest("pay", "Content-Length: 2") + "ab"
 	first, second := sidecar.dial(), sidecar.dial()
 	sidecar.write(first, text)
@@ -173,8 +169,7 @@
 
 // TestRejectionHasRetryAfter checks that the rejection of a request that was never executed has a Retry-After within its bounds.
 func TestRejectionHasRetryAfter(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, _ := startWithEndpoint(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
 	request := sidecar.newRequest("pay")
 	request.Header.Set(exchange.ExpiryHeader, "300m")
 	resp, _ := sidecar.do(request)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -58,7 +58,7 @@
 func TestShutdownServesPersistentConnections(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
-	cfg.AcceptDuringShutdown = 3 * time.Second // idle connections are kept for this time
+	cfg.AcceptDuringShutdown = 3 * time.Second // idle connections stay open for this time
 	sidecar := startSidecar(t, cfg)
 	for name, writtenPart := range map[string]float64{"half written": 0.5, "begun": 0.01, "not begun": 0} {
 		text := sidecar.rawRequest("read")
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -127,8 +127,7 @@
 // TestTruncatedRequestBody tests the failure in which a client disconnects within the body of its request. An endpoint could take
 // the part for the whole. The request must end, must not reach an endpoint as a complete one, and must not affect later ones.
 func TestTruncatedRequestBody(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken"))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
+	sidecar, server := startWithEndpointAndAdmin(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
 	head := sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(sidecartest.LongBody)))
 	sidecar.write(conn, head+sidecartest.LongBody[:len(sidecartest.LongBody)/2])
@@ -146,8 +145,7 @@
 // TestSlowBodyKeepsDeadline checks that the deadline of a request counts from its last byte, so that a body which arrives
 // slowly does not use it up.
 func TestSlowBodyKeepsDeadline(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
 	text := strings.Replace(sidecar.rawRequest("pay", "Content-Length: 4"), "15000m", "300m", 1)
 	sidecar.write(conn, text+"ab")
@@ -162,8 +160,7 @@
 // TestRequestSmugglingBehindLongBody checks that a request with more data after its long body than announced is rejected
 // and does not reach an endpoint as a complete request.
 func TestRequestSmugglingBehindLongBody(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	conn := sidecar.dial()
 	long := strings.Repeat("x", 4*http1.MaxBufferedBody)
 	sidecar.write(conn, sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(long)))+long[10:])
--- a/internal/sidecartest/discovery.go
+++ b/internal/sidecartest/discovery.go
@@ -8,7 +8,7 @@
 	"cindersaddle/internal/membership"
 )
 
-// DiscoveryServer is a discovery service that answers each request with the next list that the test sends.
+// DiscoveryServer is a discovery service that responds to each request with the next list that the test sends.
 type DiscoveryServer struct {
 	Addr      string
 	Queries   chan string                  // the query of each request
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -29,7 +29,7 @@
 	return process, err
 }
 
-// TestSoak runs plans of faults and checks that all rules are kept. By hand, with more seeds:
+// TestSoak runs plans of faults and checks that no rule is broken. By hand, with more seeds:
 //
 //	go test ./internal/soak -run TestSoak -soak.seeds=50 -timeout 60m
 func TestSoak(t *testing.T) {
