--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -103,8 +103,7 @@
 // TestStalledClientTimeout tests the failure in which a client sends nothing, or stops within its request. Its connection would
 // stay open for ever. It must get an error or a close in time, and no part of its request may reach an endpoint.
 func TestStalledClientTimeout(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
 		"nothing": "", "half a head": "POST /api HTTP/1.1\r\nX-Qos: p",
 		"half a body":  sidecar.rawRequest("pay", "Content-Length: 100") + "half",
@@ -125,7 +124,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if got := sidecartest.RequestsTo(server); len(got) != 0 {
+		if got := server.Requests(); len(got) != 0 {
 			t.Errorf("%d incomplete requests reached the endpoint", len(got))
 		}
 	})
