--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -18,7 +18,7 @@
 }
 
 // forStreaming returns a response as it goes to the client, with a body that is read from the connection.
-func forStreaming(response http1.Response, attempt *Attempt, conn *serverConn) *exchange.Response {
+func forStreaming(response http1.Response, attempt *Attempt, conn *endpointConn) *exchange.Response {
 	download := &exchange.Download{
 		FirstBytes:     response.Body,
 		Body:           response.Head.Body,
@@ -31,50 +31,44 @@
 }
 
 // stream lets the client read the response from the connection, and returns how that ended.
-func stream(attempt *Attempt, conn *serverConn, response http1.Response) error {
+func stream(attempt *Attempt, conn *endpointConn, response http1.Response) error {
 	streamed := forStreaming(response, attempt, conn)
 	attempt.Observer.StreamStarted(attempt, streamed, time.Now())
 	select {
 	case err := <-streamed.Download.Done:
 		return err
-	case <-attempt.LoopDone: // the response may never be read
+	case <-attempt.LoopDone: // nobody may read the response any more
 		return exchange.ErrClientStopped
 	}
 }
 
 // uploadObserver follows a response while the request body may still be on its way: it has no deadline to change.
-type uploadObserver struct{ *Attempt }
+type uploadObserver struct {
+	http1.IgnoreProgress
+	attempt *Attempt
+}
 
 // ResponseStarted implements http1.ResponseObserver.
-func (o uploadObserver) ResponseStarted() { o.Observer.ResponseStarted(o.Attempt, time.Now()) }
-
-// ShortenDeadline implements http1.ResponseObserver.
-func (uploadObserver) ShortenDeadline() {}
-
-// ShortenedDeadlineExpired implements http1.ResponseObserver.
-func (uploadObserver) ShortenedDeadlineExpired() bool { return false }
-
-// RestoreDeadline implements http1.ResponseObserver.
-func (uploadObserver) RestoreDeadline() {}
+func (o uploadObserver) ResponseStarted() { o.attempt.responseStarted() }
 
 // deadlineObserver follows a response to a complete request.
 type deadlineObserver struct {
-	*Attempt
-	conn *serverConn
+	attempt *Attempt
+	conn    *endpointConn
 }
 
 // ResponseStarted implements http1.ResponseObserver.
-func (o deadlineObserver) ResponseStarted() { o.Observer.ResponseStarted(o.Attempt, time.Now()) }
+func (o deadlineObserver) ResponseStarted() { o.attempt.responseStarted() }
 
 // ShortenDeadline implements http1.ResponseObserver.
 func (o deadlineObserver) ShortenDeadline() {
-	o.setReadDeadline(o.conn, earlier(o.Deadline, time.Now().Add(unknownLengthGrace)))
+	o.attempt.setReadDeadline(o.conn, earlier(o.attempt.Deadline, time.Now().Add(unknownLengthGrace)))
 }
 
 // ShortenedDeadlineExpired implements http1.ResponseObserver.
 func (o deadlineObserver) ShortenedDeadlineExpired() bool {
-	return !o.obsolete() && time.Now().Before(o.Deadline)
+	return !o.attempt.obsolete() && !o.attempt.expired()
 }
 
 // RestoreDeadline implements http1.ResponseObserver.
-func (o deadlineObserver) RestoreDeadline() { o.setReadDeadline(o.conn, o.Deadline) }
+func (o deadlineObserver) RestoreDeadline() { o.attempt.setReadDeadline(o.conn, o.attempt.Deadline) }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -12,28 +12,32 @@
 	"cindersaddle/internal/exchange"
 )
 
-// earlyResponseGrace is how long the response of a server that stopped reading the request may take.
+// earlyResponseGrace is how long the response of an endpoint that stopped reading the request may take.
 const earlyResponseGrace = 100 * time.Millisecond
 
 // uploadWriter writes a request whose body is still coming from the client, on a goroutine of its own, while another
-// one reads the response. It withholds the last byte until all others are written and the client still waits for the
-// response: only the write of that byte makes the request complete, and under the mutex this write is atomic with the
-// check whether the upload was abandoned.
+// one reads the response.
+//
+// It guards against a request that is executed twice, because an attempt that was abandoned counts as never executed while
+// its last byte still leaves. An endpoint executes a request only when its last byte has come; the writer withholds that
+// byte until all others are written and the client still waits for the response, and writes it under the mutex, in one step
+// with the check whether the upload was abandoned.
 type uploadWriter struct {
 	source *exchange.UploadReader
-	conn   *serverConn
+	conn   *endpointConn
 	done   chan struct{} // closed when the goroutine ends
 	err    error         // why the request is incomplete; to be read once done is closed
 
 	abandoned atomic.Bool // nothing more is written
 
-	mu            sync.Mutex // locked during each write to the server; guards the fields below
+	mu            sync.Mutex // locked during each write to the endpoint; guards the fields below
 	buffer        []byte     // reused; starts with the byte withheld by the previous Write
 	withholdsByte bool       // the last byte of buffer is not written yet
 	complete      bool       // the last byte of the request was written
 }
 
-func newUploadWriter(upload *exchange.Upload, conn *serverConn) *uploadWriter {
+// newUploadWriter returns a writer of an upload from its first byte.
+func newUploadWriter(upload *exchange.Upload, conn *endpointConn) *uploadWriter {
 	return &uploadWriter{
 		source: exchange.NewUploadReader(upload),
 		conn:   conn,
@@ -53,7 +57,7 @@
 		return
 	}
 	w.err = fmt.Errorf("write request to endpoint %s: %w", w.conn.endpoint.Name, err)
-	// The response may have come already, and say why the server stopped reading.
+	// The response may have come already, and say why the endpoint stopped reading.
 	w.conn.SetReadDeadline(time.Now().Add(earlyResponseGrace))
 }
 
@@ -85,7 +89,7 @@
 	return err
 }
 
-// writeLocked writes to the server, which may take StallTimeout for each write. The caller holds mu.
+// writeLocked writes to the endpoint, which may take StallTimeout for each write. The caller holds mu.
 func (w *uploadWriter) writeLocked(p []byte) error {
 	w.conn.SetWriteDeadline(time.Now().Add(exchange.StallTimeout))
 	if w.abandoned.Load() { // checked after the deadline is set: abandon stores the flag before it ends the deadline
@@ -108,7 +112,7 @@
 // failure returns the result of an attempt whose response could not be read. The upload was abandoned.
 func (w *uploadWriter) failure(attempt *Attempt, complete bool, err error) Result {
 	if complete {
-		return Result{Outcome: attempt.brokenOutcome(err), Err: err}
+		return Result{Outcome: attempt.readOutcome(err), Err: err}
 	}
 	if attempt.Context.Err() != nil {
 		return Result{Outcome: balance.Cancelled}
@@ -119,7 +123,7 @@
 		if errors.As(w.err, &clientError) {
 			return Result{Outcome: balance.NotAttempted, UploadError: clientError, Err: w.err}
 		}
-	case <-time.After(earlyResponseGrace): // it waits for the client, and ends when more of the body comes
+	case <-time.After(earlyResponseGrace): // the writer waits for the client, and ends when more of the body comes
 	}
 	return Result{Outcome: balance.ConnectFailed, Err: err}
 }
