--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -43,8 +43,8 @@
 			t.Errorf("%s: completed, rejected and failed requests are %s, want %s", name, got, want)
 		}
 	}
-	if got := sidecar.metric("upstream_requests_total"); got != fmt.Sprint(len(sidecartest.RequestsTo(server))) {
-		t.Errorf("%s attempts are counted, the server received %d", got, len(sidecartest.RequestsTo(server)))
+	if got := sidecar.metric("upstream_requests_total"); got != fmt.Sprint(len(server.Requests())) {
+		t.Errorf("%s attempts are counted, the server received %d", got, len(server.Requests()))
 	}
 	if got := sidecar.metric("pending"); got != "0" {
 		t.Errorf("%s requests are pending at the end, want 0", got)
@@ -56,8 +56,7 @@
 func TestMetricsCountPendingRequests(t *testing.T) {
 	gate := sidecartest.NewGate()
 	defer gate.Open()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
+	sidecar, _ := startWithEndpointAndAdmin(t, gate.Hold(sidecartest.Respond(200, "held")))
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	gate.AwaitRequest(t)
@@ -89,8 +88,7 @@
 // TestAdminRejectsBadRequests checks the status for unknown paths, wrong methods and malformed requests at the admin
 // address, and that it does not serve the API of the clients.
 func TestAdminRejectsBadRequests(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
-	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
+	sidecar, _ := startWithEndpointAndAdmin(t, sidecartest.Respond(200, ""))
 	sidecar.waitUntilReady()
 	for _, test := range []struct {
 		method, path string
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -22,9 +22,8 @@
 // net/http would write an empty response with status 200 that no endpoint has sent. The client must get no response.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	gate := sidecartest.NewGate()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
+	sidecar, _ := startWithEndpoint(t, gate.Hold(sidecartest.Respond(200, "held")))
 	defer gate.Open()
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
 	conn, err := net.Dial("tcp", sidecar.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +64,7 @@
 				if !sidecartest.Next(t, noticed) {
 					t.Error("the attempt was not cancelled")
 				}
-				if got := len(sidecartest.RequestsTo(server)); got != 1 {
+				if got := len(server.Requests()); got != 1 {
 					t.Errorf("the servers received %d requests, want 1", got)
 				}
 			})
@@ -95,7 +94,7 @@
 // checkDisconnectInEventQueue disconnects while the request is queued for the event loop.
 func checkDisconnectInEventQueue(t *testing.T, disconnect func(net.Conn)) {
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
-	barrier := logBarrier{slog.DiscardHandler, "list of servers", make(chan bool), make(chan bool)}
+	barrier := logBarrier{slog.DiscardHandler, "endpoint list not received", make(chan bool), make(chan bool)}
 	sidecar, blocker, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), barrier)
 	sidecar.discovery.Lists <- membership.EndpointList{Endpoints: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
 	sidecartest.Next(t, barrier.reached)
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -15,8 +15,7 @@
 // TestForwardsRequests checks that requests of each class reach the endpoint with path, headers, body and remaining time, that
 // they share a connection, and that the load report of the endpoint is not forwarded to the client.
 func TestForwardsRequests(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
 	var ids []string
 	for _, class := range []string{"read", "reserve", "pay"} {
 		request := sidecar.newRequest(class)
@@ -29,7 +28,7 @@
 			t.Errorf("%s: the load report was forwarded to the client", class)
 		}
 	}
-	requests, bodies, conns := server.Received()
+	requests, conns := server.Requests(), server.ConnCount()
 	if len(requests) != 3 || conns != 1 {
 		t.Fatalf("%d requests on %d connections, want 3 on one", len(requests), conns)
 	}
@@ -41,8 +40,8 @@
 		if err != nil || left <= 0 || left > 15000 {
 			t.Errorf("forwarded %s %q: %v", exchange.ExpiryHeader, request.Header.Get(exchange.ExpiryHeader), err)
 		}
-		if want := map[bool]string{true: "", false: "order 7"}[request.Method == "GET"]; bodies[i] != want {
-			t.Errorf("forwarded body %q, want %q", bodies[i], want)
+		if want := map[bool]string{true: "", false: "order 7"}[request.Method == "GET"]; request.BodyText != want {
+			t.Errorf("forwarded body %q, want %q", request.BodyText, want)
 		}
 	}
 	if key := requests[1].Header.Get("Idempotency-Key"); key != "5c0f6e1a" {
@@ -69,7 +68,7 @@
 			serving := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "done"))
 			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", failing.Addr), sidecartest.ReadyEndpoint("s-2", serving.Addr)))
 			resp, _ := sidecar.do(sidecar.newRequest("pay"))
-			for len(sidecartest.RequestsTo(failing)) == 0 { // the other endpoint was chosen first
+			for len(failing.Requests()) == 0 { // the other endpoint was chosen first
 				resp, _ = sidecar.do(sidecar.newRequest("pay"))
 			}
 			if resp.StatusCode != test.status {
@@ -82,8 +81,7 @@
 // TestRejectsBadRequests checks the status and the close for each kind of invalid request, and that none of them reaches
 // an endpoint.
 func TestRejectsBadRequests(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	setHeader := func(name, value string) func(*http.Request) {
 		return func(request *http.Request) { request.Header.Set(name, value) }
 	}
@@ -118,7 +116,7 @@
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequest("pay", "Content-Length: 60000000"))
 	sidecar.expectResponse(conn, "body above the limit", http.StatusRequestEntityTooLarge)
-	if got := len(sidecartest.RequestsTo(server)); got != 0 {
+	if got := len(server.Requests()); got != 0 {
 		t.Errorf("%d invalid requests reached the endpoint", got)
 	}
 }
@@ -126,8 +124,7 @@
 // TestRequestSmuggling checks that requests with two lengths, and requests with more data after them than announced, are
 // rejected and that nothing hidden in them reaches an endpoint.
 func TestRequestSmuggling(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
 		"two lengths":          sidecar.rawRequest("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequest("read"),
 		"two lengths, swapped": sidecar.rawRequest("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequest("read"),
@@ -143,7 +140,7 @@
 			t.Errorf("%s: response %q, error %v, want only status 400", name, got, err)
 		}
 	}
-	if got := sidecartest.RequestsTo(server); len(got) != 0 {
+	if got := server.Requests(); len(got) != 0 {
 		t.Errorf("%d requests reached the endpoint, want 0", len(got))
 	}
 }
@@ -152,8 +149,7 @@
 // own response, and that the ID can be used again after it.
 func TestDuplicateTraceID(t *testing.T) {
 	gate := sidecartest.NewGate()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, _ := startWithEndpoint(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
 	text := sidecar.rawRequest("pay", "Content-Length: 2") + "ab"
 	first, second := sidecar.dial(), sidecar.dial()
 	sidecar.write(first, text)
@@ -173,8 +169,7 @@
 
 // TestRejectionHasRetryAfter checks that the rejection of a request that was never executed has a Retry-After within its bounds.
 func TestRejectionHasRetryAfter(t *testing.T) {
-	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))
+	sidecar, _ := startWithEndpoint(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
 	request := sidecar.newRequest("pay")
 	request.Header.Set(exchange.ExpiryHeader, "300m")
 	resp, _ := sidecar.do(request)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -6,6 +6,7 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/http1"
+	"cindersaddle/internal/socket"
 )
 
 // exchangeEnd is how an exchange of a request and a response ended.
@@ -23,7 +24,7 @@
 // connection returns with an error, and the connection is not used again.
 func interruptible(ctx context.Context, conn *endpointConn, deadline time.Time, exchange func() exchangeEnd) exchangeEnd {
 	conn.SetDeadline(deadline)
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(socket.PastDeadline) })
 	end := exchange()
 	interrupted := !stop()
 	end.reusable = end.reusable && !interrupted
@@ -72,11 +73,15 @@
 	if complete {
 		<-upload.done // it still sets deadlines of the connection and reports that the last byte was written
 	}
-	if err != nil {
-		return exchangeEnd{result: upload.failure(attempt, complete, err)}
+	switch {
+	case err == nil:
+		end.reusable = end.reusable && complete
+		return end
+	case complete:
+		return failedExchange(attempt.readOutcome(err), err)
+	default:
+		return exchangeEnd{result: upload.incompleteResult(attempt, err)}
 	}
-	end.reusable = end.reusable && complete
-	return end
 }
 
 // uploadComplete reports that the last byte of a streamed request was written. From now on the response is due.
