--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -141,13 +141,16 @@
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, gate.Hold(sidecartest.Respond(200, "served")))
 	cfg := sidecartest.Config(t, endpoints...)
 	cfg.Limits.Sockets = config.ReservedSockets + admin.MaxConns + 9 // four to endpoints, five to clients
-	sidecar, blocker, conn := startWithBlockedClient(t, cfg, slog.DiscardHandler)
+	barrier := logBarrier{slog.DiscardHandler, "attempt failed", make(chan bool, 10), make(chan bool)}
+	sidecar, blocker, conn := startWithBlockedClient(t, cfg, barrier)
 	for range 4 {
 		sidecar.write(sidecar.dial(), sidecar.rawRequest("read"))
 		gate.AwaitRequest(t)
 	}
 	sidecar.write(conn, sidecar.rawRequest("read"))
 	<-blocker.blocked
+	sidecartest.Next(t, barrier.reached) // the attempt found the pool full, and would find a free connection once the gate is open
+	close(barrier.release)
 	sidecar.waitForPending(5)
 	disconnect(conn)
 	gate.Open()
