--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,49 +11,35 @@
 // frameBuilder writes frames for the adapter.
 type frameBuilder struct{ bytes.Buffer }
 
-func (b *frameBuilder) add(clock float64, records ...[]byte) {
-	size := 16
-	for _, record := range records {
-		size += len(record)
-	}
-	binary.Write(b, binary.BigEndian, []uint32{uint32(len(records)), uint32(size)})
-	binary.Write(b, binary.BigEndian, clock)
-	for _, record := range records {
-		b.Write(record)
-	}
-}
-
-// packFields returns a record of its fields, big-endian and without padding.
-func packFields(fields ...any) []byte {
-	var b bytes.Buffer
-	for _, f := range fields {
-		binary.Write(&b, binary.BigEndian, f)
-	}
-	return b.Bytes()
+// add writes a frame.
+func (b *frameBuilder) add(clock float64, records ...recordBuilder) {
+	b.Write(newFrame(clock, records))
 }
 
 const profile = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-func instanceStarted(instance uint16, seed uint64, profile string) []byte {
-	return packFields(uint16(eventInstanceStarted), instance, seed, uint32(len(profile)), []byte(profile))
+// instanceStarted returns the record of an instance that starts.
+func instanceStarted(instance uint16, seed uint64, profile string) recordBuilder {
+	return newRecord(eventInstanceStarted, instance).u64(seed).u32(uint32(len(profile))).text(profile)
 }
 
-func serverTable(size int) []byte {
-	b := packFields(uint16(eventServerTable), uint16(0), uint32(size))
+// serverTable returns server table 0 with a number of endpoints, each in a cell of its own.
+func serverTable(size int) recordBuilder {
+	record := newRecord(eventServerTable, 0).u32(uint32(size))
 	for i := range size {
-		b = append(b, packFields(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))...)
+		record = record.f64(0).u8(stateReady).u32(uint32(i + 1)).u16(80).f32(1).u16(uint16(i)).u8(0).u8(0)
 	}
-	return b
+	return record
 }
 
-func cachedSnapshot(instance uint16) []byte {
-	return packFields(uint16(eventEndpointUpdate), instance, uint8(updateCachedSnapshot), uint32(1), uint16(0))
+// cachedSnapshot returns the record of an endpoint update that refers to server table 0.
+func cachedSnapshot(instance uint16) recordBuilder {
+	return newRecord(eventEndpointUpdate, instance).u8(updateCachedSnapshot).u32(1).u16(0)
 }
 
-func request(instance uint16, id uint64) []byte {
-	return packFields(uint16(eventRequest), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
-}
+// request returns the record of a request with a deadline of 1500 ms.
+func request(instance uint16, id uint64) recordBuilder { return requestRecord(instance, id, 0, 1500) }
 
 func mustRun(t *testing.T, frames *frameBuilder) []byte {
 	t.Helper()
@@ -90,7 +76,7 @@
 func TestInstancesOfOneProcessShareNothing(t *testing.T) {
 	play := func(instances ...uint16) []byte {
 		frames := &frameBuilder{}
-		var started [][]byte
+		var started []recordBuilder
 		for _, instance := range instances {
 			started = append(started, instanceStarted(instance, uint64(instance)*7, profile), serverTable(5),
 				cachedSnapshot(instance))
@@ -141,8 +127,8 @@
 func TestRestartWithinOneFrame(t *testing.T) {
 	frames := &frameBuilder{}
 	frames.add(1000, instanceStarted(1, 7, profile), serverTable(3), cachedSnapshot(1), request(1, 5),
-		packFields(uint16(eventInstanceStopped), uint16(1)), instanceStarted(1, 8, profile), cachedSnapshot(1), request(1, 6))
-	frames.add(1001, packFields(uint16(eventTimerFired), uint16(1), uint64(5))) // a timer of the earlier incarnation: ignored
+		newRecord(eventInstanceStopped, 1), instanceStarted(1, 8, profile), cachedSnapshot(1), request(1, 6))
+	frames.add(1001, newRecord(eventTimerFired, 1).u64(5)) // a timer of the earlier incarnation: ignored
 	if n := countSentAttempts(t, mustRun(t, frames)); n[1] != 2 {
 		t.Fatalf("%d attempts, want one of each incarnation", n[1])
 	}
