--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -38,7 +38,7 @@
 // capacityLearner turns latencies into steps of capacity factors. What all endpoints have in common is
 // load, not capacity: the mean step is subtracted.
 type capacityLearner struct {
-	updates float64 // number of steps
+	updates float64 // number of steps; handed over, but no decision uses it
 	drift   float64 // mean step
 }
 
--- a/balance/config.go
+++ b/balance/config.go
@@ -35,7 +35,7 @@
 	PriorityWeight float64
 	// LateWeight is the fraction of PriorityWeight that a response after the latency objective still earns.
 	LateWeight float64
-	// Streaming is set if responses are streams.
+	// Streaming is set if responses are streams. No decision uses it.
 	Streaming bool
 }
 
@@ -86,7 +86,7 @@
 	LoadReports      LoadReportMode // how load reports arrive
 	LoadReportFields []LoadField    // the values of a load report, in order
 
-	MaxAttempts     int          // attempts per request
+	MaxAttempts     int          // attempts per request at most; retrypolicy.go limits them further
 	Cancellation    bool         // attempts may be cancelled
 	HealthChecks    bool         // endpoints may be health-checked
 	RetryAfter      bool         // rejections carry a Retry-After time
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -15,7 +15,7 @@
 //   - retrypolicy.go: which request may be executed again, and where
 //   - outlier.go, zoneoutage.go, classhealth.go: which endpoints are avoided, and when they come back
 //   - slowstart.go: what an endpoint gets after its start
-//   - healthcheck.go, load.go: how loaded the endpoints are
+//   - healthcheck.go, endpointload.go: how loaded the endpoints are
 //   - capacity.go, latencystats.go, responserate.go, classstats.go, keycounter.go: what is learned from
 //     requests and responses; outcome.go passes the result of an attempt to all that learn
 //   - endpointset.go, polling.go: the endpoint list
--- a/balance/load.go
+++ b/balance/endpointload.go
@@ -51,11 +51,12 @@
 	t.overdue += share
 }
 
-// inFlightLoad returns the load of all endpoints. Attempts at ejected endpoints say nothing about the others.
+// inFlightLoad returns the load of all endpoints. Attempts at endpoints that were ejected and have had no
+// success since say nothing about the others.
 func (b *Balancer) inFlightLoad() float64 {
 	load := 0.0
 	for _, ep := range b.endpoints.list {
-		if ep.outlier.ejectedUntil == 0 && !ep.zone.outage {
+		if !ep.outlier.unproven() && !ep.zone.outage {
 			load += ep.load.perObjective
 		}
 	}
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// machineType returns the capacity factor of a machine type. It adds the type if it is new.
-func (s *endpointSet) machineType(number int) *capacityFactor {
+// ensureMachineType returns the capacity factor of a machine type. It adds the type if it is new.
+func (s *endpointSet) ensureMachineType(number int) *capacityFactor {
 	if s.machineTypes[number] == nil {
 		factor := newCapacityFactor()
 		s.machineTypes[number] = &factor
@@ -31,16 +31,16 @@
 	return s.machineTypes[number]
 }
 
-// zone returns a zone. It adds the zone if it is new.
-func (s *endpointSet) zone(number int) *zone {
+// ensureZone returns a zone. It adds the zone if it is new.
+func (s *endpointSet) ensureZone(number int) *zone {
 	if s.zones[number] == nil {
 		s.zones[number] = &zone{capacity: newCapacityFactor(), number: number}
 	}
 	return s.zones[number]
 }
 
-// endpoint returns the endpoint of a list entry. It adds the endpoint if it is new.
-func (s *endpointSet) endpoint(id EndpointID, classCount int) *endpoint {
+// ensureEndpoint returns the endpoint of a list entry. It adds the endpoint if it is new.
+func (s *endpointSet) ensureEndpoint(id EndpointID, classCount int) *endpoint {
 	ep := s.byID[id]
 	if ep == nil {
 		ep = newEndpoint(classCount)
@@ -97,22 +97,22 @@
 
 // updateEndpoint applies one entry of the endpoint list. A restart clears the errors of the endpoint.
 func (b *Balancer) updateEndpoint(entry *Endpoint) {
-	ep := b.endpoints.endpoint(entry.ID, len(b.cfg.Classes))
+	ep := b.endpoints.ensureEndpoint(entry.ID, len(b.cfg.Classes))
 	if entry.StartedAt > ep.StartedAt {
 		ep.outlier.clear()
 		b.startWarmUp(ep, entry.StartedAt)
 	}
 	ep.Endpoint = *entry
-	ep.machineType = b.endpoints.machineType(ep.MachineType)
-	ep.zone = b.endpoints.zone(ep.Zone)
+	ep.machineType = b.endpoints.ensureMachineType(ep.MachineType)
+	ep.zone = b.endpoints.ensureZone(ep.Zone)
 }
 
-// UnavailableCount returns the number of listed endpoints that get no new requests at a time, unless no
-// others are left.
+// UnavailableCount returns the number of listed endpoints that are draining, ejected or in a zone outage at a
+// time, or whose last health check failed.
 func (b *Balancer) UnavailableCount(now Milliseconds) int {
 	count := 0
 	for _, ep := range b.endpoints.list {
-		if ep.State != Ready || ep.outlier.ejected(now) || ep.zone.outage || ep.outlier.unreachable {
+		if ep.State != Ready || ep.outlier.ejected(now) || ep.zone.outage || ep.outlier.checkFailed {
 			count++
 		}
 	}
--- a/balance/events.go
+++ b/balance/events.go
@@ -21,7 +21,7 @@
 	ID          EndpointID
 	State       EndpointState
 	StartedAt   Milliseconds // 0: long ago
-	Rating      float64      // relative capacity; 1 if unknown
+	Rating      float64      // relative capacity; 0: unknown, counts as 1
 	Cell        int
 	Zone        int
 	MachineType int
@@ -52,12 +52,12 @@
 	ID          RequestID
 	Class       int          // index in Config.Classes
 	Tenant      int          // index in Config.Tenants; other values: none
-	WorkHint    float64      // expected work, 0 if unknown
+	WorkHint    float64      // expected work, 0 if unknown; no decision uses it
 	StickyKey   uint64       // 0: none
 	Remaining   Milliseconds // time until the client gives up
 	ClientRetry bool         // the client marked the request as a retry
-	Write       bool
-	Uploading   bool // the body is still arriving; Remaining counts from UploadComplete on
+	Write       bool         // it changes data; no decision uses it
+	Uploading   bool         // the body is still arriving; Remaining counts from UploadComplete on
 
 	// ClassOverride replaces Class for a request that arrived under earlier settings; nil: use Class.
 	ClassOverride *Class
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -99,7 +99,7 @@
 	switch {
 	case ev.Result == OK:
 		b.recordLoadReport(ep, ev.LoadReport)
-		if ep.outlier.unreachable {
+		if ep.outlier.checkFailed {
 			ep.outlier.clear()
 		}
 		b.recordResponse(ep)
@@ -109,9 +109,8 @@
 		if ep.healthCheck.sentAt > sentAt+duplicateTolerance { // a later one is pending
 			return
 		}
-	default: // the process may run, but nothing reaches it from here
-		b.eject(ep)
-		ep.outlier.unreachable = true
+	default: // nothing reaches it from here, or it reports that it is not healthy
+		ep.outlier.failHealthCheck(b.now, b.longestObjective)
 	}
 	ep.healthCheck.pending = false
 	b.resumeAwaitingChecks()
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -13,7 +13,7 @@
 	// connectErrorsToEject is the number of consecutive attempts that could not connect at which an endpoint
 	// counts as stopped. A single one may be chance.
 	connectErrorsToEject = 2
-	// restartSilence is the time without a response after which a single failed connection, too, shows that
+	// restartSilence is the time since the last error after which a single failed connection, too, shows that
 	// an endpoint was stopped.
 	restartSilence Milliseconds = 1000
 	// maxEjectionDoublings limits the growth of consecutive ejections.
@@ -30,15 +30,16 @@
 
 // outlierState counts the consecutive errors of an endpoint and its ejections (outlier detection). An
 // ejected endpoint is out of the rotation until ejectedUntil; then it gets requests again, with the health
-// that its errors leave. A success, a restart, or a health check of an unreachable endpoint clears all of
-// it.
+// that its errors leave. All of it is cleared by a success, a restart, or a successful health check after a
+// failed one. Errors of attempts that were in flight at once count one by one, and each after the third
+// ejects again.
 type outlierState struct {
 	consecutiveErrors int
 	connectErrors     int // those among them that could not connect
 	lastErrorAt       Milliseconds
 	ejections         int          // consecutive ejections
 	ejectedUntil      Milliseconds // 0: not ejected
-	unreachable       bool         // the last health check got no response
+	checkFailed       bool         // the last health check failed; one that succeeds clears all errors
 }
 
 // clear forgets the errors and ejections.
@@ -47,7 +48,7 @@
 	s.connectErrors = 0
 	s.ejections = 0
 	s.ejectedUntil = 0
-	s.unreachable = false
+	s.checkFailed = false
 }
 
 // record counts an error.
@@ -71,6 +72,16 @@
 	s.ejections++
 }
 
+// failHealthCheck takes the endpoint out of the rotation after a failed health check.
+func (s *outlierState) failHealthCheck(now, firstEjection Milliseconds) {
+	s.eject(now, firstEjection)
+	s.checkFailed = true
+}
+
+// unproven reports whether the endpoint was ejected and has had no success since, even if the ejection is
+// over.
+func (s *outlierState) unproven() bool { return s.ejectedUntil != 0 }
+
 // ejected reports whether the endpoint is out of the rotation.
 func (s *outlierState) ejected(now Milliseconds) bool { return now < s.ejectedUntil }
 
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -54,14 +54,14 @@
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	ep := h.b.endpoints.list[0]
 	h.dispatch(HealthCheckResult{Endpoint: ep.ID, Result: TimedOut})
-	if !ep.outlier.unreachable || !h.b.ejected(ep) {
+	if !ep.outlier.checkFailed || !h.b.ejected(ep) {
 		t.Fatal("a health check without response does not eject the endpoint")
 	}
 	entry := ep.Endpoint
 	entry.StartedAt = h.now
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
-	if ep.outlier.unreachable || ep.outlier.ejections != 0 || h.b.ejected(ep) {
-		t.Fatalf("after the restart: unreachable %v, %d ejections", ep.outlier.unreachable, ep.outlier.ejections)
+	if ep.outlier.checkFailed || ep.outlier.ejections != 0 || h.b.ejected(ep) {
+		t.Fatalf("after the restart: unreachable %v, %d ejections", ep.outlier.checkFailed, ep.outlier.ejections)
 	}
 }
 
--- a/balance/polling.go
+++ b/balance/polling.go
@@ -7,7 +7,8 @@
 	maxPollDoublings = 4
 	// pollServiceTime is the time that discovery gets for the poll of one sidecar: it serves one at a time.
 	pollServiceTime Milliseconds = 60
-	// pollTimeout is how long a poll may take: discovery delays it for up to 2 s.
+	// pollTimeout is how long a poll may take: discovery delays it for up to 2 s. Package discovery gives
+	// it up a little earlier (polledResponseSlack).
 	pollTimeout Milliseconds = 2100
 	// pollTimeUncontended is how long a poll takes if no other sidecar polls.
 	pollTimeUncontended Milliseconds = 1000
@@ -85,8 +86,3 @@
 	delay := b.polling.retryDelay(&b.cfg, b.now, &b.random)
 	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
 }
-
-// backoffFactor returns 2 to the power of count, with a limited number of doublings.
-func backoffFactor(count, maxDoublings int) float64 {
-	return float64(int(1) << min(count, maxDoublings))
-}
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -45,8 +45,8 @@
 	return true
 }
 
-// mayExecuteAt reports whether the next attempt may go to an endpoint, as far as attempts with a key bind
-// it to the endpoints that know the key.
+// mayExecuteAt reports whether the next attempt may go to an endpoint: one that had no attempt of the
+// request, and that knows the idempotency key of those that may have been executed.
 func (req *request) mayExecuteAt(ep *endpoint, now Milliseconds) bool {
 	for _, a := range req.attempts {
 		if a.endpoint == ep {
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -3,7 +3,8 @@
 import "math"
 
 // boundedLoadFactor bounds the load (consistent hashing with bounded loads, applied to the rotation): an
-// endpoint above this multiple of its part of the requests in flight is passed over.
+// endpoint above this part of its share of the requests in flight is passed over. The bound is rounded up, so
+// that each endpoint may have one.
 const boundedLoadFactor = 0.4
 
 // Running values, in turns, stay within these bounds: an endpoint that is passed over for long is not owed
@@ -89,7 +90,11 @@
 // updateRotation sets the weights, and adds to each candidate's running value its part of the total weight.
 func (b *Balancer) updateRotation(req *request, kind attemptKind, policy ejectionPolicy) pickTotals {
 	b.updateMeanScore(req)
-	b.updateWeights(req, kind, policy)
+	fleet := b.updateWeights(req, policy)
+	if kind == firstAttempt && fleet.capacity > 0 {
+		b.rotation.poolCapacity = fleet.capacity // before any slow-start tokens depend on it
+	}
+	b.prepareCandidates(fleet)
 	if kind == firstAttempt {
 		b.restrictToStickyEndpoints(req)
 	}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -12,7 +12,7 @@
 
 const (
 	anyToken    tokenPolicy = false // all tokens that were saved up
-	recentToken tokenPolicy = true  // a saved token expires after the overload window
+	recentToken tokenPolicy = true  // a single saved token expires after the overload window
 )
 
 // slowStart limits the attempts to an endpoint that warms up: a token bucket of this sidecar. It is a hard
@@ -43,7 +43,9 @@
 	s.updatedAt = now
 }
 
-// allows reports whether the endpoint may get an attempt. refill comes before it.
+// allows reports whether the endpoint may get an attempt. refill comes before it. Only a bucket that is
+// limited to one token can be full for long: where the limit is higher, tokens come and go fast, and none
+// expires.
 func (s *slowStart) allows(policy tokenPolicy, overloadWindow Milliseconds) bool {
 	if s.tokens == 1 && policy == recentToken {
 		expired := s.updatedAt > s.fullTokenAt+overloadWindow
--- a/balance/time.go
+++ b/balance/time.go
@@ -52,3 +52,8 @@
 
 // clamp returns the value within [low, high] that is nearest to value.
 func clamp[T ~float64](value, low, high T) T { return max(low, min(high, value)) }
+
+// backoffFactor returns 2 to the power of count, with a limited number of doublings.
+func backoffFactor(count, maxDoublings int) float64 {
+	return float64(int(1) << min(count, maxDoublings))
+}
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -12,8 +12,8 @@
 	maxImportedDelay  Milliseconds = 60e3 // from now until the end of an ejection
 )
 
-// ExportState returns what was learned for a process that takes over. It leaves half of the tokens for
-// endpoints that warm up to this process: until it ends, both processes act as one sidecar.
+// ExportState returns what was learned for a process that takes over. It halves the counts of responses here,
+// and the slow-start tokens here and there: until this process ends, both act as one sidecar.
 func (b *Balancer) ExportState(now Milliseconds) LearnedState {
 	b.now = now
 	b.advanceResponseRate()
@@ -149,10 +149,10 @@
 		b.capacity.drift = state.CapacityDrift
 	}
 	for number, logarithm := range state.MachineTypes {
-		b.endpoints.machineType(number).restore(logarithm)
+		b.endpoints.ensureMachineType(number).restore(logarithm)
 	}
 	for number, logarithm := range state.Zones {
-		b.endpoints.zone(number).capacity.restore(logarithm)
+		b.endpoints.ensureZone(number).capacity.restore(logarithm)
 	}
 }
 
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -34,9 +34,15 @@
 	}
 }
 
+// fleetTotals sums up the endpoints that are eligible for an attempt, ejected ones included.
+type fleetTotals struct {
+	capacity    float64
+	loadReports bool // any candidate has a fresh load report
+}
+
 // updateWeights sets the weight of each endpoint, 0 for those that are no candidates.
-func (b *Balancer) updateWeights(req *request, kind attemptKind, policy ejectionPolicy) {
-	anyReport, pool := false, 0.0
+func (b *Balancer) updateWeights(req *request, policy ejectionPolicy) fleetTotals {
+	var totals fleetTotals
 	for _, ep := range b.endpoints.list {
 		ep.candidate.weight = 0
 		if !b.eligible(req, ep) {
@@ -44,20 +50,23 @@
 		}
 		ep.candidate.capacity = b.effectiveCapacity(ep)
 		// Ejected endpoints count, too: their responses are in the rate that refills the slow-start tokens.
-		pool += ep.candidate.capacity
+		totals.capacity += ep.candidate.capacity
 		if b.ejected(ep) && policy == excludeEjected {
 			continue
 		}
 		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classFactor(req, ep)
 		ep.candidate.loadKnown = b.hasFreshReport(ep)
-		anyReport = anyReport || ep.candidate.loadKnown
-	}
-	if kind == firstAttempt && pool > 0 {
-		b.rotation.poolCapacity = pool // before any slow-start tokens depend on it
+		totals.loadReports = totals.loadReports || ep.candidate.loadKnown
 	}
+	return totals
+}
+
+// prepareCandidates completes what bestCandidate reads of the candidates: whether their load is known, and
+// the tokens of those that warm up.
+func (b *Balancer) prepareCandidates(totals fleetTotals) {
 	for _, ep := range b.endpoints.list {
 		// Without any report, the own attempts in flight are all there is.
-		ep.candidate.loadKnown = ep.candidate.loadKnown || !anyReport
+		ep.candidate.loadKnown = ep.candidate.loadKnown || !totals.loadReports
 		if ep.candidate.weight > 0 && b.warmingUp(ep) {
 			b.refillSlowStart(ep)
 		}
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -6,6 +6,8 @@
 	// silentEndpointsForOutage is the number of consecutive silent endpoints at which a zone counts as
 	// unreachable. It is low, because endpoints hang rarely.
 	silentEndpointsForOutage = 2
+	// restartOutage is the length of an outage in which the endpoints of the zone may have restarted.
+	restartOutage Milliseconds = 1000
 	// maxZoneCheckDoublings limits the growth of the delay between the health checks of a zone.
 	maxZoneCheckDoublings = 2
 )
@@ -81,8 +83,8 @@
 
 // onZoneTimer checks an unreachable zone again.
 func (b *Balancer) onZoneTimer(number int) {
-	zone := b.endpoints.zone(number)
-	if zone.outage && b.now > zone.nextCheckAt-timerTolerance {
+	zone := b.endpoints.zones[number]
+	if zone != nil && zone.outage && b.now > zone.nextCheckAt-timerTolerance {
 		b.checkZone(zone)
 	}
 }
@@ -119,7 +121,7 @@
 		b.logf("zone %d is reachable again after %.0f ms", zone.number, b.now-zone.outageSince)
 	}
 	for _, ep := range b.endpoints.list {
-		if ep.zone == zone && !b.warmingUp(ep) && b.now >= zone.outageSince+restartSilence {
+		if ep.zone == zone && !b.warmingUp(ep) && b.now >= zone.outageSince+restartOutage {
 			b.startWarmUp(ep, b.now)
 		}
 	}
--- a/internal/membership/endpoint.go
+++ b/internal/membership/endpoint.go
@@ -15,7 +15,7 @@
 	MachineType string  `json:"flavor"`
 	Cell        int     `json:"cell"`
 	Phase       Phase   `json:"phase"`
-	Rating      float64 `json:"size"` // balance.RatingKind says what it means
+	Rating      float64 `json:"size"` // relative capacity; 0: unknown
 	// StartedAt is when the endpoint's process last started, on the wall clock; 0: unknown.
 	StartedAt balance.Milliseconds `json:"up_since_ms"`
 }
