--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -60,7 +60,7 @@
 	}
 	attempt := req.attempts[ev.Attempt]
 	b.endAttempt(req, attempt, ev)
-	req.bodyDiscarded = req.bodyDiscarded || ev.BodyDiscarded
+	req.bodyDiscarded = req.bodyDiscarded || ev.NoRetry
 	if !attempt.resultRecorded || ev.Result != OK {
 		b.recordOutcome(req, attempt, ev)
 	}
--- a/balance/events.go
+++ b/balance/events.go
@@ -97,21 +97,23 @@
 
 // Outcome is the end of an attempt. Every attempt gets exactly one.
 type Outcome struct {
-	Request       RequestID
-	Attempt       int // index of the attempt, from 0
-	Endpoint      EndpointID
-	Result        Result
-	Duration      Milliseconds
-	Finished      bool      // the request needs no response, or no further one
-	BodyDiscarded bool      // the body sent was not retained, so that the request cannot be retried
-	LoadReport    []float32 // values in the order of Config.LoadReportFields; empty if none; not retained
+	Request  RequestID
+	Attempt  int // index of the attempt, from 0
+	Endpoint EndpointID
+	Result   Result
+	Duration Milliseconds
+	Finished bool // the request needs no response, or no further one
+	// NoRetry means that no further attempt is possible: the body sent is no longer buffered, or the response
+	// of another attempt could not be forwarded in time either.
+	NoRetry    bool
+	LoadReport []float32 // values in the order of Config.LoadReportFields; empty if none; not retained
 }
 
 // UploadComplete reports that the last byte of a long body was sent. The time of its request starts now.
 type UploadComplete struct {
 	Request       RequestID
 	Remaining     Milliseconds // as in Request
-	BodyDiscarded bool         // as in Outcome
+	BodyDiscarded bool         // the body sent is no longer buffered, so that no further attempt is possible
 }
 
 // ResponseStarted reports that a successful response has started to arrive, but is not complete: the endpoint
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -632,7 +632,7 @@
 	request.answered = request.answered || result == balance.OK
 	outcome := balance.Outcome{
 		Request: request.id, Attempt: number, Endpoint: attempt.endpoint.entry.ID, Result: result, Duration: latency,
-		Finished: request.answered, BodyDiscarded: !request.answered && s.chance(0.03),
+		Finished: request.answered, NoRetry: !request.answered && s.chance(0.03),
 	}
 	if s.config.LoadReports == balance.LoadReportsPiggybacked {
 		outcome.LoadReport = s.drawReport(attempt.endpoint)
--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -40,16 +40,16 @@
 func outcomeOf(ev attemptEnd, duration balance.Milliseconds, finished bool) balance.Outcome {
 	attempt := ev.attempt
 	outcome := balance.Outcome{
-		Request:       attempt.RequestID,
-		Attempt:       attempt.Number,
-		Result:        ev.result.Outcome,
-		Duration:      duration,
-		Finished:      finished,
-		BodyDiscarded: attempt.MustNotRetry,
-		LoadReport:    ev.result.LoadReport,
+		Request:    attempt.RequestID,
+		Attempt:    attempt.Number,
+		Result:     ev.result.Outcome,
+		Duration:   duration,
+		Finished:   finished,
+		NoRetry:    attempt.MustNotRetry,
+		LoadReport: ev.result.LoadReport,
 	}
 	if upload := attempt.Message.Upload; upload != nil && upload.Discarded.Load() {
-		outcome.BodyDiscarded = true
+		outcome.NoRetry = true
 	}
 	if attempt.Endpoint != nil {
 		outcome.Endpoint = attempt.Endpoint.ID
