--- a/internal/downstream/abort_test.go
+++ b/internal/downstream/abort_test.go
@@ -20,7 +20,7 @@
 	request.Responses <- &exchange.Response{Abort: true}
 }
 
-func (abortingHandler) ClientLeft(*exchange.Exchange) {}
+func (abortingHandler) ClientDisconnected(*exchange.Exchange) {}
 
 // flagWriter records whether anything was written.
 type flagWriter struct{ written atomic.Bool }
--- a/internal/downstream/api.go
+++ b/internal/downstream/api.go
@@ -12,7 +12,7 @@
 func (s *Server) handleAPI(w http.ResponseWriter, r *http.Request, conn *Conn) {
 	request, err := s.parseRequest(w, r, conn)
 	if err == nil {
-		err = awaitIfComplete(request, conn)
+		err = markAwaitingIfComplete(request, conn)
 	}
 	if err != nil {
 		respondError(w, err)
@@ -38,24 +38,24 @@
 		if !response.Abort {
 			return response
 		}
-		conn.record.explain(reasonClientGone, nil)
+		conn.record.explain(reasonFoundDisconnected, nil)
 	case <-r.Context().Done():
-		conn.record.explain(reasonContextDone, context.Cause(r.Context()))
-		s.handler.ClientLeft(request)
+		conn.record.explain(reasonClientDisconnected, context.Cause(r.Context()))
+		s.handler.ClientDisconnected(request)
 	case <-s.done:
 		conn.record.explain(reasonProcessEnds, nil)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// awaitIfComplete records that a request awaits its response if its body has been read completely. A long body does so
-// itself at its end. It returns an error if bytes follow the request. That the client is gone is no error here: the
-// context of the request ends.
-func awaitIfComplete(request *exchange.Exchange, conn *Conn) error {
+// markAwaitingIfComplete records that a request awaits its response if its body has been read completely. A long body
+// does so itself at its end. It returns an error if bytes follow the request. That the client has disconnected is no error
+// here: the context of the request ends.
+func markAwaitingIfComplete(request *exchange.Exchange, conn *Conn) error {
 	if request.Message.Upload != nil {
 		return nil
 	}
-	if err := conn.AwaitResponse(conn.requests); errors.Is(err, ErrSurplus) {
+	if err := conn.MarkAwaitingResponse(conn.requests); errors.Is(err, ErrSurplus) {
 		return exchange.BadRequestf("%v", err)
 	}
 	return nil
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -48,10 +48,10 @@
 	controller.EnableFullDuplex() // the response may precede the end of the body
 	conn.uploading.Store(true)
 	upload := &exchange.Upload{
-		Length:        r.ContentLength,
-		Source:        source,
-		Budget:        &s.replayBudget,
-		AwaitResponse: func() error { return conn.AwaitResponse(number) },
+		Length:               r.ContentLength,
+		Source:               source,
+		Budget:               &s.replayBudget,
+		MarkAwaitingResponse: func() error { return conn.MarkAwaitingResponse(number) },
 		SetReadTimeout: func(timeout time.Duration) {
 			controller.SetReadDeadline(time.Now().Add(timeout))
 		},
--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -10,27 +10,28 @@
 var (
 	// ErrSurplus means that bytes arrived after a request that awaits its response. Clients read its text.
 	ErrSurplus = errors.New("more than the request that was announced")
-	// ErrClientGone means that the client closed or reset its connection.
-	ErrClientGone = errors.New("client closed its connection")
+	// ErrClientDisconnected means that the client closed or reset its connection.
+	ErrClientDisconnected = errors.New("client closed its connection")
 )
 
-// AwaitResponse records that the request with this number is complete and awaits its response. Later bytes are surplus:
-// a client sends one request at a time, so they mean that the length of the request is wrong or that it hides another one.
+// MarkAwaitingResponse records that the request with this number is complete and awaits its response; it does not wait
+// for it. Later bytes are surplus: a client sends one request at a time, so they mean that the length of the request is
+// wrong or that it hides another one.
 //
-// AwaitResponse returns exchange.ErrAbandoned if the response has been decided already, ErrSurplus if bytes have
-// arrived after the request, and ErrClientGone if the client has closed its connection. Any goroutine may call it.
-func (c *Conn) AwaitResponse(number int64) error {
+// It returns exchange.ErrNoLongerAwaited if the response has been decided already, ErrSurplus if bytes have arrived after
+// the request, and ErrClientDisconnected if the client has closed its connection. Any goroutine may call it.
+func (c *Conn) MarkAwaitingResponse(number int64) error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	if c.responsesDecided >= number {
-		return exchange.ErrAbandoned
+		return exchange.ErrNoLongerAwaited
 	}
 	state := socket.Peek(c.TCPConn)
 	if c.surplusAfter(number) || state == socket.Readable {
 		return ErrSurplus
 	}
 	if state == socket.Closed {
-		return ErrClientGone
+		return ErrClientDisconnected
 	}
 	c.awaitingResponse = true
 	return nil
@@ -59,10 +60,10 @@
 	c.responsesFinished++
 }
 
-// ClientGone reports whether the client has closed or reset its connection. If a request awaits its response, it
-// discards the bytes that follow the request, because the end of the stream comes after them. Any goroutine may call
-// it, at the same time as Read.
-func (c *Conn) ClientGone() bool {
+// CheckClientDisconnected discards the bytes that follow a request that awaits its response, and reports whether the client
+// has closed or reset its connection: the end of the stream comes after those bytes. If no request awaits its response, it
+// discards nothing. Any goroutine may call it, at the same time as Read.
+func (c *Conn) CheckClientDisconnected() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	state := socket.Peek(c.TCPConn)
--- a/internal/downstream/conn_surplus.go
+++ b/internal/downstream/conn_surplus.go
@@ -24,7 +24,7 @@
 // discardSurplus reads the bytes that follow a request that awaits its response, until none wait. It reports whether
 // the read is done, which is always with an error: io.EOF if the client has closed the connection.
 //
-// It guards against a request that is executed for a client that has left: were the first of these bytes passed on,
+// It guards against a request that is executed for a client that has disconnected: were the first of these bytes passed on,
 // net/http would stop watching the connection for its end, which comes after them. The caller holds readMu.
 func (c *Conn) discardSurplus(fd int) (done bool, err error) {
 	var buffer [surplusBufferSize]byte
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -24,6 +24,6 @@
 //
 // The package starts no goroutines of its own. It runs in those of net/http: one accepts connections through
 // Listener.Accept, one for each connection reads and serves its requests, and one more for each request that is being
-// served watches the connection for its end. The goroutines of upstream attempts call Conn.ClientGone and
-// Conn.AwaitResponse. The goroutine that shuts the process down calls Shutdown or ShutdownAfterUpgrade.
+// served watches the connection for its end. The goroutines of upstream attempts call Conn.CheckClientDisconnected and
+// Conn.MarkAwaitingResponse. The goroutine that shuts the process down calls Shutdown or ShutdownAfterUpgrade.
 package downstream
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -16,7 +16,7 @@
 // Evict closes the connection whose loss does the least harm, and reports whether there was one to close.
 func (t *ConnTracker) Evict() bool {
 	t.mu.Lock()
-	victim := t.chooseVictim(time.Now())
+	victim := t.takeVictim(time.Now())
 	t.mu.Unlock()
 	if victim == nil {
 		return false
@@ -37,18 +37,19 @@
 	}
 }
 
-// chooseVictim returns the connection whose loss does the least harm, or nil if all have complete requests. In this order:
+// takeVictim marks the connection whose loss does the least harm as closing, takes it out of its queue and returns it; the
+// caller has to close it. It returns nil if all have complete requests. In this order:
 //  1. one that has been silent without a complete request for MinIdleBeforeClose;
 //  2. one between two requests, as its client can connect again;
 //  3. the one that has been silent for longest without a complete request: a client that writes slowly goes on writing,
 //     while one that never finishes its request stalls at some point.
 //
-// The victim leaves its queue, and the caller has to close it. The caller holds mu.
-func (t *ConnTracker) chooseVictim(now time.Time) *Conn {
+// The caller holds mu.
+func (t *ConnTracker) takeVictim(now time.Time) *Conn {
 	overdue, recent := splitBySilence(t.queues.stalled(), now)
 	idle := connsOf(&t.queues.idle)
 	for _, candidates := range [][]*Conn{overdue, idle, recent} {
-		if victim := firstClosable(candidates); victim != nil {
+		if victim := markFirstClosable(candidates); victim != nil {
 			t.queues.remove(victim)
 			return victim
 		}
@@ -67,9 +68,9 @@
 	return conns[:firstRecent], conns[firstRecent:]
 }
 
-// firstClosable marks the first of the candidates that may be closed as closing and returns it, or returns nil. It
+// markFirstClosable marks the first of the candidates that may be closed as closing and returns it, or returns nil. It
 // examines at most maxVictimChecks of them.
-func firstClosable(candidates []*Conn) *Conn {
+func markFirstClosable(candidates []*Conn) *Conn {
 	for _, conn := range candidates[:min(len(candidates), maxVictimChecks)] {
 		if conn.markClosingWithoutRequest() {
 			return conn
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -114,16 +114,16 @@
 	}
 }
 
-// TestFailedPeekIsNotAClosedPeer checks that a peek which an error interrupts does not make a client count as gone.
+// TestFailedPeekIsNotAClosedPeer checks that a peek which an error interrupts does not make a client count as disconnected.
 func TestFailedPeekIsNotAClosedPeer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		conn, _ := newTrackedConn(t)
 		failFirst(t, fault.Peek, 1, errno)
-		if conn.ClientGone() {
-			t.Errorf("%v: the client counts as gone", errno)
+		if conn.CheckClientDisconnected() {
+			t.Errorf("%v: the client counts as disconnected", errno)
 		}
 		failFirst(t, fault.Peek, 1, errno)
-		if err := conn.AwaitResponse(1); err != nil {
+		if err := conn.MarkAwaitingResponse(1); err != nil {
 			t.Errorf("%v: the request does not await its response: %v", errno, err)
 		}
 	}
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -37,13 +37,13 @@
 func newMessage(r *http.Request, body []byte, upload *exchange.Upload, conn *Conn) *exchange.Message {
 	http1.RemoveHopHeaders(r.Header)
 	return &exchange.Message{
-		Method:     r.Method,
-		RequestURI: r.RequestURI,
-		Host:       r.Host,
-		Header:     r.Header,
-		Body:       body,
-		Upload:     upload,
-		ClientGone: conn.ClientGone,
+		Method:             r.Method,
+		RequestURI:         r.RequestURI,
+		Host:               r.Host,
+		Header:             r.Header,
+		Body:               body,
+		Upload:             upload,
+		ClientDisconnected: conn.CheckClientDisconnected,
 	}
 }
 
--- a/internal/downstream/record.go
+++ b/internal/downstream/record.go
@@ -28,10 +28,12 @@
 	reasonNotAdmitted   closeReason = "no capacity for a new connection"
 	reasonShutdownIdle  closeReason = "idle during the shutdown"
 	reasonShutdownLimit closeReason = "end of the shutdown"
-	reasonClientGone    closeReason = "the client had left when the request was to be sent"
-	reasonContextDone   closeReason = "the request's context ended"
-	reasonProcessEnds   closeReason = "the process ends"
-	reasonStreamBroken  closeReason = "the streamed response broke off"
+	// reasonFoundDisconnected: an attempt found it out before it was sent.
+	reasonFoundDisconnected closeReason = "the client had left when the request was to be sent"
+	// reasonClientDisconnected: net/http noticed it while the response was awaited.
+	reasonClientDisconnected closeReason = "the request's context ended"
+	reasonProcessEnds        closeReason = "the process ends"
+	reasonStreamBroken       closeReason = "the streamed response broke off"
 )
 
 // connRecord holds what explains the end of a connection. Any goroutine may call its methods.
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -30,7 +30,8 @@
 	w http.ResponseWriter, r *http.Request, conn *Conn, upload *exchange.Upload, response *exchange.Response,
 ) {
 	// Decided when the response is ready: many requests wait for theirs when a shutdown begins.
-	if s.mustClose(conn, upload, response) {
+	surplus := conn.decideResponse()
+	if surplus || s.mustClose(conn, upload, response) {
 		closeAfterResponse(w)
 	}
 	if response.Download != nil {
@@ -41,15 +42,13 @@
 	writeResponse(w, response)
 }
 
-// mustClose records that the response is about to be written, and reports whether the connection has to end with it.
+// mustClose reports whether the connection has to end with the response, surplus bytes of the client apart.
 func (s *Server) mustClose(conn *Conn, upload *exchange.Upload, response *exchange.Response) bool {
-	surplus := conn.decideResponse()
-	uploadIncomplete := upload != nil && !upload.Complete.Load()
+	uploadIncomplete := upload != nil && !upload.Received.Load()
 	return response.CloseConn ||
 		s.state.ShuttingDown.Load() ||
 		conn.scanner.Chunked ||
 		uploadIncomplete ||
-		surplus ||
 		conn.tracker.crowded()
 }
 
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -41,8 +41,8 @@
 	// RequestArrived is called for each valid request. The handler sends the response to the Responses channel of the
 	// exchange, at most once.
 	RequestArrived(*exchange.Exchange)
-	// ClientLeft is called after RequestArrived if the client closes its connection before it has a response.
-	ClientLeft(*exchange.Exchange)
+	// ClientDisconnected is called after RequestArrived if the client closes its connection before it has a response.
+	ClientDisconnected(*exchange.Exchange)
 }
 
 // Server serves the requests of clients. Its methods may be called by any goroutine.
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -29,7 +29,7 @@
 // the connection, which is reset therefore.
 func streamResponse(w http.ResponseWriter, r *http.Request, conn *Conn, response *exchange.Response) {
 	download := response.Download
-	stop := context.AfterFunc(r.Context(), download.Cancel) // releases the endpoint at once if the client is gone
+	stop := context.AfterFunc(r.Context(), download.Cancel) // releases the endpoint at once if the client disconnects
 	defer stop()
 	writeStreamHead(w, response)
 	err := copyDownload(w, download)
@@ -56,7 +56,7 @@
 	w.WriteHeader(response.Status)
 }
 
-// copyDownload writes the body of a long response. It returns exchange.ErrClientStopped, joined with the cause, if the
+// copyDownload writes the body of a long response. It returns exchange.ErrDownloadStopped, joined with the cause, if the
 // client stops reading, and otherwise the error that ended the body.
 func copyDownload(w http.ResponseWriter, download *exchange.Download) error {
 	controller := http.NewResponseController(w)
@@ -88,10 +88,10 @@
 func writePart(w io.Writer, controller *http.ResponseController, part []byte) error {
 	controller.SetWriteDeadline(time.Now().Add(exchange.StallTimeout))
 	if _, err := w.Write(part); err != nil {
-		return errors.Join(exchange.ErrClientStopped, err)
+		return errors.Join(exchange.ErrDownloadStopped, err)
 	}
 	if err := controller.Flush(); err != nil {
-		return errors.Join(exchange.ErrClientStopped, err)
+		return errors.Join(exchange.ErrDownloadStopped, err)
 	}
 	return nil
 }
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -61,7 +61,7 @@
 	defer t.mu.Unlock()
 	t.open++
 	if t.open > t.maxConns {
-		victim = t.chooseVictim(time.Now())
+		victim = t.takeVictim(time.Now())
 		if victim == nil {
 			return false, nil
 		}
--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -28,7 +28,7 @@
 	if result.Outcome == balance.OK {
 		l.finish(req, result.Response)
 	}
-	if result.ClientGone {
+	if result.ClientDisconnected {
 		l.abortDisconnected(req)
 	}
 	if result.UploadError != nil {
@@ -45,7 +45,7 @@
 		Result:     ev.result.Outcome,
 		Duration:   duration,
 		Finished:   finished,
-		NoRetry:    attempt.MustNotRetry,
+		NoRetry:    attempt.NoRetry,
 		LoadReport: ev.result.LoadReport,
 	}
 	if upload := attempt.Message.Upload; upload != nil && upload.Discarded.Load() {
--- a/internal/eventloop/clocksteps.go
+++ b/internal/eventloop/clocksteps.go
@@ -87,10 +87,10 @@
 	return s.differences[len(s.differences)-1].wallAhead
 }
 
-// startTime converts the time of a start, which has just become known, from Unix milliseconds to the loop's time; 0 means long
+// startedAt converts the time of a start, which has just become known, from Unix milliseconds to the loop's time; 0 means long
 // ago in both. It is not known whether the endpoint started before or after a recent step: the latest moment that is possible
 // counts, as an endpoint that is taken for warm too soon may be overloaded.
-func (s *clockSteps) startTime(unix, now balance.Milliseconds) balance.Milliseconds {
+func (s *clockSteps) startedAt(unix, now balance.Milliseconds) balance.Milliseconds {
 	if unix <= startedLongAgo {
 		return startedLongAgo
 	}
--- a/internal/eventloop/clocksteps_test.go
+++ b/internal/eventloop/clocksteps_test.go
@@ -37,7 +37,7 @@
 		steps.observe(began, began)
 		steps.observe(began+10e3, began+10e3+test.step)
 		steps.observe(now, now+test.step)
-		if got := steps.startTime(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.tolerance) {
+		if got := steps.startedAt(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.tolerance) {
 			t.Errorf("%s: started %v ms before now, want %v", name, now-got, now-test.want)
 		}
 	}
@@ -54,7 +54,7 @@
 		t.Errorf("%d differences remembered, want at most %d", len(steps.differences), maxClockDifferences)
 	}
 	now := balance.Milliseconds(1e12 + 200e3 + clockStepMemory)
-	if got, want := steps.startTime(now+98*hour, now), now-hour; got != want {
+	if got, want := steps.startedAt(now+98*hour, now), now-hour; got != want {
 		t.Errorf("start at %v, want %v", got, want)
 	}
 }
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,8 +1,8 @@
 // Package eventloop connects the decision module (package balance) to the sockets. One goroutine, Loop.Run, owns the balancer,
 // the open requests, the endpoint table and the timers. Everything else posts a typed event to its inbox:
 //
-//   - the client side (package downstream): a request arrived, its client left (events_client.go)
-//   - the endpoint side (package upstream): an attempt or a health check progressed or ended (events_endpoint.go)
+//   - the client side (package downstream): a request arrived, its client disconnected (events_client.go)
+//   - the endpoint side (package upstream): an attempt or a health check progressed or ended (events_upstream.go)
 //   - package discovery: an endpoint list arrived, a call failed (events_discovery.go)
 //   - WatchReloads: a new configuration (reload.go)
 //   - package upgrade: a request for the learned state (handover.go)
@@ -34,5 +34,7 @@
 //	clockSteps      differences between wall clock and loop clock
 //	logLimiter      when a failed call to discovery was logged last
 //
+// The loop also owns a group of fields of each upstream.Attempt; newAttempt, finishUpload and startStream write them.
+//
 // Points in time are balance.Milliseconds on the loop's clock, unless their type says otherwise.
 package eventloop
--- a/internal/eventloop/endpointlist.go
+++ b/internal/eventloop/endpointlist.go
@@ -61,7 +61,7 @@
 	address := endpoint.Address.Load()
 	restarted := hasRestarted(endpoint, listed)
 	if restarted || address == nil {
-		endpoint.StartedAt = l.clockSteps.startTime(listed.StartedAt, l.clock.now)
+		endpoint.StartedAt = l.clockSteps.startedAt(listed.StartedAt, l.clock.now)
 	}
 	if address == nil || restarted || *address != listed.Address {
 		current := strings.Clone(listed.Address) // a substring would keep the text of the whole list in memory
--- a/internal/eventloop/events_client.go
+++ b/internal/eventloop/events_client.go
@@ -5,20 +5,20 @@
 // requestArrival is a request of a client, read and checked.
 type requestArrival struct{ exchange *exchange.Exchange }
 
-func (ev requestArrival) apply(l *Loop) { l.admitRequest(ev.exchange) }
+func (ev requestArrival) apply(l *Loop) { l.registerRequest(ev.exchange) }
 
 // RequestArrived posts a new request. The loop owns it from then on.
 func (l *Loop) RequestArrived(incoming *exchange.Exchange) {
 	l.inbox.post(requestArrival{exchange: incoming})
 }
 
-// clientDisconnect is a client that closed its connection before it got its response.
-type clientDisconnect struct{ exchange *exchange.Exchange }
+// clientDisconnected is a client that closed its connection before it got its response.
+type clientDisconnected struct{ exchange *exchange.Exchange }
 
-func (ev clientDisconnect) apply(l *Loop) { l.endForDisconnect(ev.exchange) }
+func (ev clientDisconnected) apply(l *Loop) { l.endDisconnected(ev.exchange) }
 
-// ClientLeft posts that the client of a request has closed its connection. The loop sends no response once
+// ClientDisconnected posts that the client of a request has closed its connection. The loop sends no response once
 // it has handled this.
-func (l *Loop) ClientLeft(disconnected *exchange.Exchange) {
-	l.inbox.post(clientDisconnect{exchange: disconnected})
+func (l *Loop) ClientDisconnected(disconnected *exchange.Exchange) {
+	l.inbox.post(clientDisconnected{exchange: disconnected})
 }
--- a/internal/eventloop/events_endpoint.go
+++ b/internal/eventloop/events_upstream.go
@@ -11,14 +11,14 @@
 // The loop receives the progress of attempts.
 var _ upstream.Observer = (*Loop)(nil)
 
-// uploadEnd is the moment when the last byte of a long body was sent to the endpoint.
-type uploadEnd struct{ attempt *upstream.Attempt }
+// uploadSent is the moment when the last byte of a long body was sent to the endpoint.
+type uploadSent struct{ attempt *upstream.Attempt }
 
-func (ev uploadEnd) apply(l *Loop) { l.finishUpload(ev.attempt) }
+func (ev uploadSent) apply(l *Loop) { l.finishUpload(ev.attempt) }
 
-// UploadComplete posts that the last byte of a long body was sent to the endpoint.
-func (l *Loop) UploadComplete(attempt *upstream.Attempt) {
-	l.inbox.post(uploadEnd{attempt: attempt})
+// UploadSent posts that the last byte of a long body was sent to the endpoint.
+func (l *Loop) UploadSent(attempt *upstream.Attempt) {
+	l.inbox.post(uploadSent{attempt: attempt})
 }
 
 // responseStart is the moment when the first part of a good response arrived.
--- a/internal/eventloop/finish_test.go
+++ b/internal/eventloop/finish_test.go
@@ -37,7 +37,7 @@
 	l.upstreamClient = newTestUpstream(t)
 	l.applyList(completeList(server.Addr), balance.UpdateSnapshot)
 	incoming := newTestExchange(l, l.clock.started)
-	l.admitRequest(incoming)
+	l.registerRequest(incoming)
 	sidecartest.Next(t, l.inbox.posted).apply(l) // the end of its attempt
 	if response := sidecartest.Next(t, incoming.Responses); response.Status != 200 {
 		t.Fatalf("status %d, want 200", response.Status)
@@ -52,13 +52,13 @@
 	}
 }
 
-// A client leaves, and only the attempt that was to be sent finds that out: the client side may not notice. The request must be
-// ended on the client side too, which would wait for a response for ever.
-func TestRequestEndsWhenItsClientHasLeft(t *testing.T) {
+// A client disconnects, and only the attempt that was to be sent finds that out: the client side may not notice. The request
+// must be ended on the client side too, which would wait for a response for ever.
+func TestRequestEndsWhenItsClientHasDisconnected(t *testing.T) {
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
 	responses := req.exchange.Responses
-	l.finishWithResult(req, &upstream.Result{Outcome: balance.NotAttempted, ClientGone: true})
+	l.finishWithResult(req, &upstream.Result{Outcome: balance.NotAttempted, ClientDisconnected: true})
 	select {
 	case response := <-responses:
 		if !response.Abort {
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -57,11 +57,11 @@
 		Settings:   l.settings,
 		Request:    balance.Request{Remaining: 20000},
 		Message: &exchange.Message{
-			Method:     "GET",
-			RequestURI: "/api",
-			Host:       "app.svc",
-			Header:     http.Header{},
-			ClientGone: func() bool { return false },
+			Method:             "GET",
+			RequestURI:         "/api",
+			Host:               "app.svc",
+			Header:             http.Header{},
+			ClientDisconnected: func() bool { return false },
 		},
 	}
 }
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -19,7 +19,7 @@
 	l.log.Info("attempt failed",
 		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "endpoint", endpoint,
 		"outcome", ev.result.Outcome, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
-		"client_disconnected", ev.result.ClientGone, "request_done", !req.open(), "error", ev.result.Err)
+		"client_disconnected", ev.result.ClientDisconnected, "request_done", !req.open(), "error", ev.result.Err)
 }
 
 // logUnserved logs why a request gets no endpoint's response. It logs nothing if the request has its final response already.
--- a/internal/eventloop/log_test.go
+++ b/internal/eventloop/log_test.go
@@ -40,7 +40,7 @@
 	for reason, end := range map[unservedReason]func(*Loop, *request){
 		reasonRejected:           func(l *Loop, req *request) { l.rejectRequest(req, 0) },
 		reasonFailed:             func(l *Loop, req *request) { l.failRequest(req) },
-		reasonClientDisconnected: func(l *Loop, req *request) { l.endForDisconnect(req.exchange) },
+		reasonClientDisconnected: func(l *Loop, req *request) { l.endDisconnected(req.exchange) },
 		reasonDeadlineExceeded:   func(l *Loop, req *request) { l.expireRequest(req) },
 	} {
 		var text strings.Builder
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -62,8 +62,8 @@
 // uploading reports whether the end of its long body has not been sent.
 func (r *request) uploading() bool { return r.state == stateUploading }
 
-// markUploaded ends stateUploading: the last byte of the long body has been sent. Remaining counts from now on.
-func (r *request) markUploaded() {
+// markUploadSent ends stateUploading: the last byte of the long body has been sent. Remaining counts from now on.
+func (r *request) markUploadSent() {
 	r.state = stateWaiting
 	r.exchange.Request.Remaining = r.timeFromLastByte()
 }
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -57,16 +57,16 @@
 	}
 }
 
-// The client of a request with a long body leaves before its last byte was sent, and that byte is reported only afterwards. The
-// request has ended: its time must not begin, and it must not become open again.
-func TestUploadEndAfterClientLeftIsIgnored(t *testing.T) {
+// The client of a request with a long body disconnects before its last byte was sent, and that byte is reported only
+// afterwards. The request has ended: its time must not begin, and it must not become open again.
+func TestUploadSentAfterClientDisconnectIsIgnored(t *testing.T) {
 	l := newTestLoop(t)
 	incoming := newTestExchange(l, time.Now())
 	incoming.Request.Uploading = true
 	incoming.Message.Upload = &exchange.Upload{}
 	req := openExchange(l, incoming)
 	attempt := addAttempt(l, req)
-	l.endForDisconnect(incoming)
+	l.endDisconnected(incoming)
 	expectState(t, req, stateDone)
 	l.finishUpload(attempt)
 	expectState(t, req, stateDone)
--- a/internal/eventloop/requesttime.go
+++ b/internal/eventloop/requesttime.go
@@ -9,11 +9,17 @@
 	maxUploadTime balance.Milliseconds = 60 * 60 * 1000
 )
 
-// startTime starts the time of a request that is complete: its client waits for Remaining from now on.
-func (r *request) startTime(now balance.Milliseconds) {
+// beginDeadline sets the deadline of a request that is complete: its client waits for Remaining from now on.
+func (r *request) beginDeadline(now balance.Milliseconds) {
 	r.deadline = now + r.exchange.Request.Remaining
 }
 
+// subtractQueueTime takes the time that the request was queued for the event loop from what remains of its time.
+func (r *request) subtractQueueTime(queued balance.Milliseconds) {
+	incoming := &r.exchange.Request
+	incoming.Remaining = max(0, incoming.Remaining-queued)
+}
+
 // limitTime bounds the time of a request that came late in a shutdown by what the shutdown allows.
 func (r *request) limitTime(allowed balance.Milliseconds) {
 	r.lateInShutdown = true
@@ -62,7 +68,7 @@
 
 // maxAttemptTime returns how long an attempt that begins now may take, of a request in stateUploading.
 func (r *request) maxAttemptTime() balance.Milliseconds {
-	if upload := r.exchange.Message.Upload; upload != nil && upload.Complete.Load() {
+	if upload := r.exchange.Message.Upload; upload != nil && upload.Received.Load() {
 		return r.timeFromLastByte()
 	}
 	return maxUploadTime
--- a/internal/eventloop/shutdown_test.go
+++ b/internal/eventloop/shutdown_test.go
@@ -37,14 +37,14 @@
 			l.service.Shutdown.Store(shutdown)
 			l.applyList(completeList(server.Addr), balance.UpdateSnapshot)
 			incoming := newTestExchange(l, now)
-			l.admitRequest(incoming)
+			l.registerRequest(incoming)
 			runUntilResponse(l, incoming)
 			response := <-incoming.Responses
 			if response.Status != c.wantStatus || l.clock.now > l.clock.milliseconds(shutdown.RespondBy)+deadlineSlack+1000 {
 				t.Errorf("status %d after %v ms, want %d in time", response.Status, l.clock.now-l.clock.milliseconds(now), c.wantStatus)
 			}
 			if response.Download != nil {
-				response.Download.Finish(exchange.ErrClientStopped)
+				response.Download.Finish(exchange.ErrDownloadStopped)
 			}
 		})
 	}
--- a/internal/eventloop/streams.go
+++ b/internal/eventloop/streams.go
@@ -14,12 +14,12 @@
 	attempt := ev.attempt
 	req := l.requests.byID[attempt.RequestID]
 	if req.lateInShutdown {
-		attempt.MustNotRetry = true
+		attempt.NoRetry = true
 	}
 	// The rest of a response whose attempt the balancer has cancelled cannot be read any more, and the request is retried.
 	cancelled := attempt.Context.Err() != nil
 	if !req.open() || req.lateInShutdown || cancelled {
-		ev.response.Download.Finish(exchange.ErrClientStopped)
+		ev.response.Download.Finish(exchange.ErrDownloadStopped)
 		return
 	}
 	attempt.StreamLatency = max(l.clock.milliseconds(ev.startedAt)-attempt.SentAt, minStreamLatency)
--- a/internal/eventloop/streams_test.go
+++ b/internal/eventloop/streams_test.go
@@ -25,8 +25,8 @@
 	}
 	select {
 	case err := <-download.Done:
-		if !errors.Is(err, exchange.ErrClientStopped) {
-			t.Errorf("the response ended with %v, want %v", err, exchange.ErrClientStopped)
+		if !errors.Is(err, exchange.ErrDownloadStopped) {
+			t.Errorf("the response ended with %v, want %v", err, exchange.ErrDownloadStopped)
 		}
 	default:
 		t.Error("the response is still open, and its attempt would wait for its end")
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -20,7 +20,7 @@
 //	failed by balancer      502                         failRequest        failed
 //	trace identifier open   409, connection closed      rejectDuplicate    -
 //	upload incomplete       a RequestError, closed      failUpload         -
-//	client disconnected     none                        endForDisconnect   client disconnected
+//	client disconnected     none                        endDisconnected    client disconnected
 //	the same, found late    none, connection closed     abortDisconnected  -
 //	not finished in time    504                         expireRequest      deadline exceeded
 type unservedReason string
@@ -69,26 +69,28 @@
 		return
 	}
 	l.logUnserved(req, slog.LevelError, reasonDeadlineExceeded)
-	l.abandonRequest(req, textResponse(http.StatusGatewayTimeout, "out of time"))
+	l.finishWithoutBalancer(req, textResponse(http.StatusGatewayTimeout, "out of time"))
 }
 
-// endForDisconnect ends the request of a client that has closed its connection.
-func (l *Loop) endForDisconnect(disconnected *exchange.Exchange) {
+// endDisconnected ends the request of a client that has closed its connection.
+func (l *Loop) endDisconnected(disconnected *exchange.Exchange) {
 	if req := l.requests.byExchange[disconnected]; req != nil {
 		l.logUnserved(req, slog.LevelInfo, reasonClientDisconnected)
-		l.abandonRequest(req, nil)
+		l.finishWithoutBalancer(req, nil)
 	}
 	select { // a long response may have been sent just before the client disconnected: nobody else ends it
 	case response := <-disconnected.Responses:
 		if response.Download != nil {
-			response.Download.Finish(exchange.ErrClientStopped)
+			response.Download.Finish(exchange.ErrDownloadStopped)
 		}
 	default:
 	}
 }
 
-// abandonRequest finishes a request without the balancer's decision, and notifies the balancer, which drops it.
-func (l *Loop) abandonRequest(req *request, response *exchange.Response) {
+// finishWithoutBalancer finishes a request without the balancer's decision, and notifies the balancer, which drops it.
+func (l *Loop) finishWithoutBalancer(req *request, response *exchange.Response) {
 	l.finish(req, response)
+	// Also sent for a request past its deadline, whose client is still connected: the balancer has no other event that makes
+	// it drop a request.
 	l.notifyBalancer(balance.ClientGone{Request: req.id})
 }
--- a/internal/eventloop/upload_test.go
+++ b/internal/eventloop/upload_test.go
@@ -29,7 +29,7 @@
 		incoming.Request.Uploading, incoming.Request.Remaining = true, timeout
 		incoming.Message.Upload = &exchange.Upload{}
 		if test.complete {
-			incoming.Message.Upload.MarkComplete(time.Now().Add(-since))
+			incoming.Message.Upload.MarkReceived(time.Now().Add(-since))
 		}
 		req := openExchange(l, incoming)
 		attempt := addAttempt(l, req)
--- a/internal/exchange/download.go
+++ b/internal/exchange/download.go
@@ -6,8 +6,9 @@
 	"io"
 )
 
-// ErrClientStopped is the error of a Download whose client did not accept the rest of the response.
-var ErrClientStopped = errors.New("client stopped reading the response")
+// ErrDownloadStopped is the error of a Download whose rest is not read: its client has disconnected or does not accept it, or
+// the response is not forwarded to a client at all.
+var ErrDownloadStopped = errors.New("client stopped reading the response")
 
 // Download is the rest of a response that is too long to be buffered: it is copied to the client while it arrives. The
 // client side reads it; the attempt that it comes from stays open until Done has a value.
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -17,8 +17,10 @@
 	Host       string
 	Header     http.Header
 	Body       []byte
-	Upload     *Upload     // the body if it is too long to be buffered, in place of Body
-	ClientGone func() bool // checks the connection for a close by the client that the event loop may not have seen yet
+	Upload     *Upload // the body if it is too long to be buffered, in place of Body
+	// ClientDisconnected checks the connection for a close by the client that the event loop may not have seen yet. It may
+	// discard bytes that the client sent after the request.
+	ClientDisconnected func() bool
 }
 
 // Encode returns the message in HTTP/1.1 form, with the time that remains until the deadline in ExpiryHeader.
--- a/internal/exchange/readclock.go
+++ b/internal/exchange/readclock.go
@@ -8,13 +8,13 @@
 // readClock measures for how long the last byte of a body may have waited: a request has its deadline from its last byte
 // on, but the byte may have arrived while no attempt was reading. The zero value is ready for use, by any goroutine.
 type readClock struct {
-	completedAt atomic.Pointer[time.Time] // when the last byte was read; nil: it was not
-	pausedAt    atomic.Pointer[time.Time] // since when nobody reads; nil: somebody does
-	paused      atomic.Int64              // how long nobody has read in all counted pauses, in nanoseconds
+	receivedAt atomic.Pointer[time.Time] // when the last byte was read; nil: it was not
+	pausedAt   atomic.Pointer[time.Time] // since when nobody reads; nil: somebody does
+	paused     atomic.Int64              // how long nobody has read in all counted pauses, in nanoseconds
 }
 
-// complete records when the last byte was read.
-func (c *readClock) complete(at time.Time) { c.completedAt.Store(&at) }
+// received records when the last byte was read.
+func (c *readClock) received(at time.Time) { c.receivedAt.Store(&at) }
 
 // pause records that nobody reads from a moment on.
 func (c *readClock) pause(from time.Time) { c.pausedAt.Store(&from) }
@@ -36,7 +36,7 @@
 // counted pauses, as it may have arrived in one of them.
 func (c *readClock) sinceLastByte() time.Duration {
 	since := time.Duration(c.paused.Load())
-	if at := c.completedAt.Load(); at != nil {
+	if at := c.receivedAt.Load(); at != nil {
 		since += time.Since(*at)
 	}
 	return since
--- a/internal/exchange/upload.go
+++ b/internal/exchange/upload.go
@@ -19,8 +19,9 @@
 var (
 	// ErrBodyDiscarded is the error for an attempt that needs bytes of the body that are not buffered any more.
 	ErrBodyDiscarded = errors.New("body bytes needed for another attempt are no longer buffered")
-	// ErrAbandoned is the error for a read on behalf of a request or an attempt that has ended.
-	ErrAbandoned = errors.New("request is no longer waited for")
+	// ErrNoLongerAwaited is the error for a request or an attempt that has ended, or whose response is decided: no more of
+	// its body is read or sent.
+	ErrNoLongerAwaited = errors.New("request is no longer waited for")
 )
 
 // ClientError is an error from reading a body that its client did not send to the end.
@@ -39,11 +40,12 @@
 	Length         int64               // length in bytes as the client declared it; -1: chunked
 	Source         io.Reader           // the client's connection
 	SetReadTimeout func(time.Duration) // sets how long the client may take for the next bytes
-	AwaitResponse  func() error        // marks the request as complete; an error if its client does not wait for a response
-	Budget         *BufferBudget       // what the buffer counts against
-	Discarded      atomic.Bool         // the bytes that were read are not buffered
-	Complete       atomic.Bool         // the last byte was read
-	clock          readClock
+	// MarkAwaitingResponse records that the request is complete; an error if its client does not wait for a response.
+	MarkAwaitingResponse func() error
+	Budget               *BufferBudget // what the buffer counts against
+	Discarded            atomic.Bool   // the bytes that were read are not buffered
+	Received             atomic.Bool   // the last byte was read from the client
+	clock                readClock
 
 	mu        sync.Mutex // guards the fields below
 	buffered  []byte     // the bytes that were read, unless Discarded
@@ -64,19 +66,19 @@
 // Release frees the buffer. Nothing more is read; a reader that waits for the client returns with an error. The client side
 // calls it when the request has ended.
 func (u *Upload) Release() {
-	if !u.Complete.Load() {
+	if !u.Received.Load() {
 		u.SetReadTimeout(expiredTimeout) // releases mu, which a waiting reader holds
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.err = ErrAbandoned
+	u.err = ErrNoLongerAwaited
 	u.discardBuffer()
 }
 
-// MarkComplete records that the last byte was read, at a moment.
-func (u *Upload) MarkComplete(at time.Time) {
-	u.clock.complete(at)
-	u.Complete.Store(true)
+// MarkReceived records that the last byte was read from the client, at a moment.
+func (u *Upload) MarkReceived(at time.Time) {
+	u.clock.received(at)
+	u.Received.Store(true)
 }
 
 // PauseReading records that nobody reads from a moment on.
@@ -84,7 +86,7 @@
 
 // ResumeReading adds the time since which nobody reads to what SinceLastByte returns. It is called when reading is to go on.
 func (u *Upload) ResumeReading() {
-	if !u.Complete.Load() {
+	if !u.Received.Load() {
 		u.clock.countPause(time.Now())
 	}
 }
@@ -105,7 +107,7 @@
 	u.bytesRead += int64(n)
 	u.buffer(p[:n])
 	if err == io.EOF {
-		u.MarkComplete(time.Now())
+		u.MarkReceived(time.Now())
 	}
 	if err != nil && err != io.EOF {
 		err = ClientError{err}
--- a/internal/exchange/upload_test.go
+++ b/internal/exchange/upload_test.go
@@ -60,7 +60,7 @@
 	if got := upload.SinceLastByte(); got < pause {
 		t.Errorf("%v since the last byte after a pause of %v, want as much at least", got, pause)
 	}
-	upload.MarkComplete(time.Now().Add(-pause))
+	upload.MarkReceived(time.Now().Add(-pause))
 	upload.PauseReading(time.Now().Add(-pause))
 	upload.ResumeReading() // all of the body was read: nothing arrives any more
 	if got := upload.SinceLastByte(); got < 2*pause || got >= 3*pause {
--- a/internal/exchange/uploadreader.go
+++ b/internal/exchange/uploadreader.go
@@ -12,7 +12,7 @@
 // NewUploadReader returns a reader of the upload from its first byte.
 func NewUploadReader(u *Upload) *UploadReader { return &UploadReader{Upload: u} }
 
-// Read returns buffered bytes first and waits for the client after these. Its errors are ErrAbandoned, ErrBodyDiscarded,
+// Read returns buffered bytes first and waits for the client after these. Its errors are ErrNoLongerAwaited, ErrBodyDiscarded,
 // io.EOF after the last byte, and ClientError.
 func (r *UploadReader) Read(p []byte) (n int, err error) {
 	u := r.Upload
@@ -20,7 +20,7 @@
 	defer u.mu.Unlock()
 	switch {
 	case r.Stopped.Load():
-		return 0, ErrAbandoned
+		return 0, ErrNoLongerAwaited
 	case r.offset == u.bytesRead:
 		n, err = u.readSource(p)
 	case u.Discarded.Load():
@@ -30,7 +30,7 @@
 	}
 	r.offset += int64(n)
 	if r.Stopped.Load() { // ended during the read: the bytes are for another attempt
-		return 0, ErrAbandoned
+		return 0, ErrNoLongerAwaited
 	}
 	return n, err
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -18,7 +18,7 @@
 	Number          int // within the request, from 0
 	Endpoint        *Endpoint
 	Message         *exchange.Message
-	Deadline        time.Time     // when it is abandoned
+	Deadline        time.Time     // when it is given up
 	TimeAfterUpload time.Duration // for the response to a streamed request body, from its last byte on
 	Context         context.Context
 	Cancel          context.CancelFunc
@@ -32,15 +32,15 @@
 
 	SentAt        balance.Milliseconds // when it was sent, on the loop's clock
 	StreamLatency balance.Milliseconds // from SentAt to the start of its streamed response; 0: it has none
-	// MustNotRetry means that its request gets no other attempt: the response is too long to be forwarded before the
+	// NoRetry means that its request gets no other attempt: the response is too long to be forwarded before the
 	// end of a shutdown, and that of another attempt would be too.
-	MustNotRetry bool
+	NoRetry bool
 }
 
 // Observer follows an attempt. Its methods are called on the goroutines of the attempt, and must not block for long.
 type Observer interface {
-	// UploadComplete is called when the last byte of a streamed request body was written to the endpoint.
-	UploadComplete(*Attempt)
+	// UploadSent is called when the last byte of a streamed request body was written to the endpoint.
+	UploadSent(*Attempt)
 	// ResponseStarted is called when the head of a successful response has come, but not its body.
 	ResponseStarted(*Attempt, time.Time)
 	// StreamStarted is called with a response whose body the observer reads from its Download.
--- a/internal/upstream/cancel_stream_test.go
+++ b/internal/upstream/cancel_stream_test.go
@@ -24,7 +24,7 @@
 
 func (r *streamRecorder) StreamStarted(_ *Attempt, response *exchange.Response, _ time.Time) {
 	r.streamed = true
-	response.Download.Finish(exchange.ErrClientStopped)
+	response.Download.Finish(exchange.ErrDownloadStopped)
 }
 
 // TestInterruptedResponseIsNotStreamed checks that a response of unknown length is not passed on if its attempt is
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -43,13 +43,13 @@
 	if err != nil {
 		return Result{Outcome: attempt.connectOutcome(err), Err: err}
 	}
-	// Guards against executing a request for a client that has left, or at an endpoint that drains, because that happened
+	// Guards against executing a request for a client that has disconnected, or at an endpoint that drains, because that happened
 	// while the connection was being opened. The last check before the first byte asks the kernel about the client: the
 	// goroutine that watches its connection, and the event loop, may not have run since.
-	clientGone := attempt.Message.ClientGone()
-	if clientGone || attempt.mustNotSend() {
+	clientDisconnected := attempt.Message.ClientDisconnected()
+	if clientDisconnected || attempt.mustNotSend() {
 		c.pool.put(conn)
-		return Result{Outcome: balance.NotAttempted, ClientGone: clientGone}
+		return Result{Outcome: balance.NotAttempted, ClientDisconnected: clientDisconnected}
 	}
 	end := interruptible(attempt.Context, conn, attempt.Deadline, func() exchangeEnd { return c.exchange(attempt, conn) })
 	return c.finish(conn, end)
--- a/internal/upstream/client_gone_test.go
+++ b/internal/upstream/client_disconnect_test.go
@@ -10,24 +10,24 @@
 	"cindersaddle/internal/socket"
 )
 
-// TestNothingWrittenAfterClientLeft checks that a client that leaves during an attempt is noticed although nobody reads from its
-// connection: the kernel knows. Nothing, or not the last byte of a streamed body, is sent then.
-func TestNothingWrittenAfterClientLeft(t *testing.T) {
-	for way, leave := range sidecartest.DisconnectMethods {
-		t.Run("while connecting, "+way, func(t *testing.T) { testClientLeavesWhileConnecting(t, leave) })
-		t.Run("before the last byte of an upload, "+way, func(t *testing.T) { testClientLeavesBeforeLastByte(t, leave) })
-		t.Run("with unread bytes after its request, "+way, func(t *testing.T) { testClientLeavesAfterUnreadBytes(t, leave) })
+// TestNothingWrittenAfterClientDisconnect checks that a client that disconnects during an attempt is noticed although nobody
+// reads from its connection: the kernel knows. Nothing, or not the last byte of a streamed body, is sent then.
+func TestNothingWrittenAfterClientDisconnect(t *testing.T) {
+	for method, disconnect := range sidecartest.DisconnectMethods {
+		t.Run("while connecting, "+method, func(t *testing.T) { testDisconnectWhileConnecting(t, disconnect) })
+		t.Run("before the last byte of an upload, "+method, func(t *testing.T) { testDisconnectBeforeLastByte(t, disconnect) })
+		t.Run("with unread bytes after its request, "+method, func(t *testing.T) { testDisconnectAfterUnreadBytes(t, disconnect) })
 	}
 }
 
-func testClientLeavesWhileConnecting(t *testing.T, leave func(net.Conn)) {
+func testDisconnectWhileConnecting(t *testing.T, disconnect func(net.Conn)) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 	client := newTestClient(t, 500)
 	far, conn := acceptedConn(t)
 	attempt := newAttempt(newEndpoint(server.Addr), sidecartest.Timeout)
-	attempt.Message.ClientGone = conn.ClientGone
+	attempt.Message.ClientDisconnected = conn.CheckClientDisconnected
 	client.pool.AfterDial = func() {
-		leave(far)
+		disconnect(far)
 		awaitClosed(t, conn)
 	}
 	expectOutcome(t, client, attempt, balance.NotAttempted)
@@ -36,15 +36,15 @@
 	}
 }
 
-func testClientLeavesBeforeLastByte(t *testing.T, leave func(net.Conn)) {
+func testDisconnectBeforeLastByte(t *testing.T, disconnect func(net.Conn)) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 	client := newTestClient(t, 500)
 	far, conn := acceptedConn(t)
 	unwrapped := func(tcp *net.TCPConn) net.Conn { return tcp }
 	attempt := newUploadAttempt(t, client, newEndpoint(server.Addr), unwrapped, func() error {
-		leave(far)
+		disconnect(far)
 		awaitClosed(t, conn)
-		return conn.AwaitResponse(1)
+		return conn.MarkAwaitingResponse(1)
 	})
 	expectOutcome(t, client, attempt, balance.NotAttempted)
 	if got := len(server.Requests()); got != 0 {
@@ -52,24 +52,24 @@
 	}
 }
 
-func testClientLeavesAfterUnreadBytes(t *testing.T, leave func(net.Conn)) {
+func testDisconnectAfterUnreadBytes(t *testing.T, disconnect func(net.Conn)) {
 	far, conn := acceptedConn(t)
-	if err := conn.AwaitResponse(1); err != nil {
+	if err := conn.MarkAwaitingResponse(1); err != nil {
 		t.Fatal(err)
 	}
 	far.Write([]byte("x"))
-	if conn.ClientGone() {
-		t.Error("a client that is present counts as gone")
+	if conn.CheckClientDisconnected() {
+		t.Error("a connected client counts as disconnected")
 	}
 	far.Write([]byte("xx"))
-	leave(far)
-	sidecartest.WaitFor(t, "the sidecar knows that the client has left", conn.ClientGone)
+	disconnect(far)
+	sidecartest.WaitFor(t, "the sidecar knows that the client has disconnected", conn.CheckClientDisconnected)
 }
 
 // awaitClosed waits until the kernel knows that the other end of a connection is closed.
 func awaitClosed(t *testing.T, conn *downstream.Conn) {
 	t.Helper()
-	sidecartest.WaitFor(t, "the kernel knows that the client has left", func() bool {
+	sidecartest.WaitFor(t, "the kernel knows that the client has disconnected", func() bool {
 		return socket.Peek(conn.TCPConn) == socket.Closed
 	})
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -10,14 +10,14 @@
 )
 
 // TestObsoleteAttemptSendsNothing checks that nothing is sent if the endpoint begins to drain, the request ends or its client
-// leaves before the connection is ready: the outcome is that the attempt was not made.
+// disconnects before the connection is ready: the outcome is that the attempt was not made.
 func TestObsoleteAttemptSendsNothing(t *testing.T) {
 	for name, late := range map[string]func(*Attempt){
-		"draining":          func(attempt *Attempt) { attempt.Endpoint.Closed.Store(true) },
-		"request done":      func(attempt *Attempt) { attempt.RequestDone.Store(true) },
-		"attempt cancelled": func(attempt *Attempt) { attempt.Cancel() },
-		"client gone":       func(attempt *Attempt) { attempt.Message.ClientGone = func() bool { return true } },
-		"past deadline":     func(attempt *Attempt) { attempt.Deadline = time.Now() },
+		"draining":            func(attempt *Attempt) { attempt.Endpoint.Closed.Store(true) },
+		"request done":        func(attempt *Attempt) { attempt.RequestDone.Store(true) },
+		"attempt cancelled":   func(attempt *Attempt) { attempt.Cancel() },
+		"client disconnected": func(attempt *Attempt) { attempt.Message.ClientDisconnected = func() bool { return true } },
+		"past deadline":       func(attempt *Attempt) { attempt.Deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -62,34 +62,34 @@
 func (c *Client) exchangeUpload(attempt *Attempt, conn *endpointConn) exchangeEnd {
 	upload := newUploadWriter(attempt.Message.Upload, conn)
 	request := attempt.Message.NewRequest(attempt.TimeAfterUpload, upload.source, upload.source.Length)
-	go upload.run(request, func() { c.uploadComplete(attempt, conn) })
+	go upload.run(request, func() { c.uploadSent(attempt, conn) })
 
 	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt: attempt})
 	var end exchangeEnd
 	if err == nil {
 		end = c.conclude(attempt, conn, response)
 	}
-	complete := upload.abandon()
-	if complete {
+	sent := upload.stop()
+	if sent {
 		<-upload.done // it still sets deadlines of the connection and reports that the last byte was written
 	}
 	switch {
 	case err == nil:
-		end.reusable = end.reusable && complete
+		end.reusable = end.reusable && sent
 		return end
-	case complete:
+	case sent:
 		return failedExchange(attempt.readOutcome(err), err)
 	default:
 		return exchangeEnd{result: upload.incompleteResult(attempt, err)}
 	}
 }
 
-// uploadComplete reports that the last byte of a streamed request was written. From now on the response is due.
-func (c *Client) uploadComplete(attempt *Attempt, conn *endpointConn) {
+// uploadSent reports that the last byte of a streamed request was written. From now on the response is due.
+func (c *Client) uploadSent(attempt *Attempt, conn *endpointConn) {
 	c.metrics.Attempts.Add(1)
 	due := time.Now().Add(attempt.TimeAfterUpload)
 	attempt.setReadDeadline(conn, earlier(attempt.Deadline, due))
-	attempt.Observer.UploadComplete(attempt)
+	attempt.Observer.UploadSent(attempt)
 }
 
 // conclude returns the end of an exchange with a response. A streamed response has gone to the client when it returns.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -27,13 +27,13 @@
 	return endpoint
 }
 
-// clientPresent stands for a check whether the client has left: it has not.
-func clientPresent() bool { return false }
+// clientConnected stands for a check whether the client has disconnected: it has not.
+func clientConnected() bool { return false }
 
 // ignoringObserver is an observer of attempts that ignores every call.
 type ignoringObserver struct{}
 
-func (ignoringObserver) UploadComplete(*Attempt) {}
+func (ignoringObserver) UploadSent(*Attempt) {}
 
 func (ignoringObserver) ResponseStarted(*Attempt, time.Time) {}
 
@@ -45,7 +45,7 @@
 		Endpoint: endpoint, Deadline: time.Now().Add(within), Observer: ignoringObserver{},
 		Message: &exchange.Message{Method: "POST", RequestURI: "/api", Host: "app.svc", Header: http.Header{}, Body: []byte("order 7")},
 	}
-	attempt.Message.ClientGone = clientPresent
+	attempt.Message.ClientDisconnected = clientConnected
 	attempt.Context, attempt.Cancel = context.WithCancel(context.Background())
 	return attempt
 }
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -62,7 +62,7 @@
 // streamOutcome is the outcome of an attempt whose response was streamed until err; nil: completely.
 func (a *Attempt) streamOutcome(err error) balance.Result {
 	switch {
-	case errors.Is(err, exchange.ErrClientStopped) || a.Context.Err() != nil:
+	case errors.Is(err, exchange.ErrDownloadStopped) || a.Context.Err() != nil:
 		return balance.Cancelled
 	case err != nil:
 		return balance.ConnReset
--- a/internal/upstream/result.go
+++ b/internal/upstream/result.go
@@ -18,10 +18,10 @@
 //	any other status than 200                               ServerError     perhaps
 //	a complete response with status 200                     OK              yes
 type Result struct {
-	Outcome     balance.Result
-	Response    *exchange.Response // if the outcome is OK and the response was not streamed
-	LoadReport  []float32          // in the order of the configured fields; nil: none, or an invalid one
-	UploadError error              // why the request body could not be read from the client: an exchange.ClientError
-	ClientGone  bool               // nothing was sent because the client has left
-	Err         error              // what failed, for the log; nil if a complete response came
+	Outcome            balance.Result
+	Response           *exchange.Response // if the outcome is OK and the response was not streamed
+	LoadReport         []float32          // in the order of the configured fields; nil: none, or an invalid one
+	UploadError        error              // why the request body could not be read from the client: an exchange.ClientError
+	ClientDisconnected bool               // nothing was sent because the client has disconnected
+	Err                error              // what failed, for the log; nil if a complete response came
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -19,22 +19,22 @@
 // uploadWriter writes a request whose body is still coming from the client, on a goroutine of its own, while another
 // one reads the response.
 //
-// It guards against a request that is executed twice, because an attempt that was abandoned counts as never executed while
+// It guards against a request that is executed twice, because an attempt that was stopped counts as never executed while
 // its last byte still leaves. An endpoint executes a request only when its last byte has come; the writer withholds that
 // byte until all others are written and the client still waits for the response, and writes it under the mutex, in one step
-// with the check whether the upload was abandoned.
+// with the check whether the upload was stopped.
 type uploadWriter struct {
 	source *exchange.UploadReader
 	conn   *endpointConn
 	done   chan struct{} // closed when the goroutine ends
 	err    error         // why the request is incomplete; to be read once done is closed
 
-	abandoned atomic.Bool // nothing more is written
+	stopped atomic.Bool // nothing more is written
 
 	mu            sync.Mutex // locked during each write to the endpoint; guards the fields below
 	buffer        []byte     // reused; starts with the byte withheld by the previous Write
 	withholdsByte bool       // the last byte of buffer is not written yet
-	complete      bool       // the last byte of the request was written
+	sent          bool       // the last byte of the request was written
 }
 
 // newUploadWriter returns a writer of an upload from its first byte.
@@ -46,15 +46,15 @@
 	}
 }
 
-// run writes the request, and calls complete once its last byte is written.
-func (w *uploadWriter) run(request *http.Request, complete func()) {
+// run writes the request, and calls onSent once its last byte is written.
+func (w *uploadWriter) run(request *http.Request, onSent func()) {
 	defer close(w.done)
 	err := request.Write(w)
 	if err == nil {
 		err = w.writeLastByte()
 	}
 	if err == nil {
-		complete()
+		onSent()
 		return
 	}
 	w.err = fmt.Errorf("write request to endpoint %s: %w", w.conn.endpoint.Name, err)
@@ -80,38 +80,38 @@
 
 // writeLastByte writes the byte withheld, if the client still waits for the response.
 func (w *uploadWriter) writeLastByte() error {
-	if err := w.source.AwaitResponse(); err != nil {
+	if err := w.source.MarkAwaitingResponse(); err != nil {
 		return exchange.ClientError{Err: err}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	err := w.writeLocked(w.buffer[len(w.buffer)-1:])
-	w.complete = err == nil
+	w.sent = err == nil
 	return err
 }
 
 // writeLocked writes to the endpoint, which may take StallTimeout for each write. The caller holds mu.
 func (w *uploadWriter) writeLocked(p []byte) error {
 	w.conn.SetWriteDeadline(time.Now().Add(exchange.StallTimeout))
-	if w.abandoned.Load() { // checked after the deadline is set: abandon stores the flag before it ends the deadline
-		return exchange.ErrAbandoned
+	if w.stopped.Load() { // checked after the deadline is set: stop stores the flag before it ends the deadline
+		return exchange.ErrNoLongerAwaited
 	}
 	_, err := w.conn.Write(p)
 	return err
 }
 
-// abandon ends the upload and reports whether the last byte was written. If not, it never will be.
-func (w *uploadWriter) abandon() (complete bool) {
+// stop ends the upload and reports whether the last byte was written. If not, it never will be.
+func (w *uploadWriter) stop() (sent bool) {
 	w.source.Stopped.Store(true)
-	w.abandoned.Store(true)
+	w.stopped.Store(true)
 	w.conn.SetWriteDeadline(socket.PastDeadline) // interrupts a write in progress
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.complete
+	return w.sent
 }
 
 // incompleteResult returns the result of an attempt whose response could not be read because of err, and whose upload was
-// abandoned before the last byte was written.
+// stopped before the last byte was written.
 func (w *uploadWriter) incompleteResult(attempt *Attempt, err error) Result {
 	if attempt.Context.Err() != nil {
 		return Result{Outcome: balance.Cancelled}
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -21,18 +21,18 @@
 type crossingConn struct {
 	*net.TCPConn
 	delaysWrite bool
-	abandoned   chan bool
+	stopped     chan bool
 	once        sync.Once
 }
 
 func (c *crossingConn) Write(p []byte) (int, error) {
 	last := len(p) > 0 && p[len(p)-1] == 'Z'
 	if last && c.delaysWrite {
-		<-c.abandoned
+		<-c.stopped
 	}
 	n, err := c.TCPConn.Write(p)
 	if last && !c.delaysWrite {
-		<-c.abandoned
+		<-c.stopped
 	}
 	return n, err
 }
@@ -40,7 +40,7 @@
 func (c *crossingConn) SetWriteDeadline(at time.Time) error {
 	err := c.TCPConn.SetWriteDeadline(at)
 	if !at.IsZero() && at.Before(time.Now()) {
-		c.once.Do(func() { close(c.abandoned) })
+		c.once.Do(func() { close(c.stopped) })
 	}
 	return err
 }
@@ -65,12 +65,13 @@
 	attempt.TimeAfterUpload = sidecartest.Timeout
 	text := strings.Repeat("a", 4*http1.MaxBufferedBody) + "Z"
 	attempt.Message.Body, attempt.Message.Upload = nil, &exchange.Upload{
-		Length: int64(len(text)), Source: strings.NewReader(text), SetReadTimeout: func(time.Duration) {}, AwaitResponse: awaitResponse, Budget: &exchange.BufferBudget{},
+		Length: int64(len(text)), Source: strings.NewReader(text), SetReadTimeout: func(time.Duration) {},
+		MarkAwaitingResponse: awaitResponse, Budget: &exchange.BufferBudget{},
 	}
 	return attempt
 }
 
-// TestCancelDuringLastByteOfUpload checks an attempt that is abandoned while the last byte of its body is being written: the
+// TestCancelDuringLastByteOfUpload checks an attempt that is stopped while the last byte of its body is being written: the
 // request was certainly not executed only if that byte was not sent, and will not be.
 func TestCancelDuringLastByteOfUpload(t *testing.T) {
 	reset := func(c net.Conn) bool { c.(*net.TCPConn).SetLinger(0); return false }
@@ -98,7 +99,7 @@
 				}()
 			}
 			wrap := func(tcp *net.TCPConn) net.Conn {
-				return &crossingConn{TCPConn: tcp, delaysWrite: test.delaysWrite, abandoned: make(chan bool)}
+				return &crossingConn{TCPConn: tcp, delaysWrite: test.delaysWrite, stopped: make(chan bool)}
 			}
 			expectOutcome(t, client, newUploadAttempt(t, client, newEndpoint(address), wrap, func() error { return nil }), test.want)
 			if got := len(server.Requests()); got != test.received {
@@ -108,10 +109,10 @@
 	}
 }
 
-// TestUploadWithoutClientWithholdsLastByte checks that the last byte of a body is not sent if its client has left when all of it has
-// come, and that the result says why.
+// TestUploadWithoutClientWithholdsLastByte checks that the last byte of a body is not sent if its client has disconnected when
+// all of it has come, and that the result says why.
 func TestUploadWithoutClientWithholdsLastByte(t *testing.T) {
-	for _, err := range []error{downstream.ErrClientGone, downstream.ErrSurplus, exchange.ErrAbandoned} {
+	for _, err := range []error{downstream.ErrClientDisconnected, downstream.ErrSurplus, exchange.ErrNoLongerAwaited} {
 		server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 		client := newTestClient(t, 500)
 		unwrapped := func(tcp *net.TCPConn) net.Conn { return tcp }
