--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -66,7 +66,8 @@
 	})
 }
 
-// CountStatus counts a request that ended with a status code. A nil receiver counts nothing.
+// CountStatus counts a request that ended with a status code. A nil receiver counts nothing. Status 429 is a rejection in the
+// clients' protocol, as 503 is; this sidecar sends 503 alone.
 func (c *ClassCounters) CountStatus(status int) {
 	if c == nil {
 		return
--- a/internal/settings/vocabulary.go
+++ b/internal/settings/vocabulary.go
@@ -4,7 +4,9 @@
 
 // Words of the document with a meaning of their own.
 const (
-	discoveryAutomatic   = "automatic"
+	discoveryAutomatic = "automatic"
+	// discoverySubscribe: changes of the endpoint list come only to an instance that subscribes to them or polls. The
+	// balancer requests the list then: balance.Config.PolledDiscovery.
 	discoverySubscribe   = "subscribe"
 	effectIdempotencyKey = "idempotency_key"
 )
--- a/internal/upgrade/codec.go
+++ b/internal/upgrade/codec.go
@@ -12,7 +12,8 @@
 const maxStateBytes = 4 << 20
 
 // The types below are the encoded form of State. gob encodes fields by name, and the two processes of an upgrade may run
-// different versions: a field that is renamed is lost. New fields may be added, which earlier versions ignore.
+// different versions: a field that is renamed is lost. New fields may be added, which earlier versions ignore. A
+// comment gives the field of the decoded type where the encoded name does not say it.
 
 type encodedState struct {
 	Version   int
@@ -21,58 +22,80 @@
 	List      encodedList
 	Classes   []string
 	Tenants   []string
-	Memory    encodedLearnedState
+	Memory    encodedLearnedState // State.Learned
 	WallAhead float64
 }
 
 type encodedList struct {
 	Revision int64
 	Complete bool
-	Members  []encodedListEntry
+	Members  []encodedListEntry // Endpoints
 }
 
 type encodedListEntry struct {
 	ID       string
-	HostPort string
-	Locality string
-	Flavor   string
+	HostPort string // Address
+	Locality string // Zone
+	Flavor   string // MachineType
 	Cell     int
 	Phase    string
-	Size     float64
-	UpSince  balance.Milliseconds
+	Size     float64              // Rating
+	UpSince  balance.Milliseconds // StartedAt
 }
 
 type encodedLearnedState struct {
-	Started, AnsweredAt, AnswersAt, Admitted balance.Milliseconds
+	Started    balance.Milliseconds
+	AnsweredAt balance.Milliseconds // LastResponseAt
+	AnswersAt  balance.Milliseconds // ResponsesCountedAt
+	Admitted   balance.Milliseconds // LastRequestAt
 
-	Quickest, Slowness, SlowN, LateShare float64
-	Answers, Latest, Unconnected         float64
-	PerHeld                              balance.Milliseconds
-	HeldN, Busy                          float64
-	Learned, Drift, Steady               float64
+	Quickest    float64 // MinLatencyRatio
+	Slowness    float64 // LatencyRatio
+	SlowN       float64 // LatencyRatioSamples
+	LateShare   float64 // LateFraction
+	Answers     float64 // ResponseCount
+	Latest      float64 // LatestResponseCount
+	Unconnected float64 // ConnectFailureFraction
 
-	Kinds, Zones map[int]float64
-	Classes      []encodedClass
-	Tenants      []float64
-	Servers      []encodedEndpoint
+	PerHeld balance.Milliseconds // TimePerInFlight
+	HeldN   float64              // TimePerInFlightSamples
+	Busy    float64              // BusyFraction
+	Learned float64              // CapacityUpdates
+	Drift   float64              // CapacityDrift
+	Steady  float64              // SteadyShed
+
+	Kinds   map[int]float64 // MachineTypes
+	Zones   map[int]float64
+	Classes []encodedClass
+	Tenants []float64         // TenantRequests
+	Servers []encodedEndpoint // Endpoints
 }
 
 type encodedClass struct {
-	Asked, N                     float64
-	Mean, Dev, Longest, FailedAt balance.Milliseconds
-	Expected                     float64
+	Asked    float64              // Requests
+	N        float64              // LatencySamples
+	Mean     balance.Milliseconds // MeanLatency
+	Dev      balance.Milliseconds // LatencyDeviation
+	Longest  balance.Milliseconds // LongestTimeout
+	FailedAt balance.Milliseconds // LastFailureAt
+	Expected float64              // MeanScore
 }
 
 type encodedEndpoint struct {
-	ID                           balance.EndpointID
-	Size                         float64
-	LastErr, RestUntil           balance.Milliseconds
-	Errs, Rests, Downs           int
-	ColdSince                    balance.Milliseconds
-	Tokens                       float64
-	TokensAt, HeardAt, SlowUntil balance.Milliseconds
-	Scores                       []float64
-	ScoredAt                     []balance.Milliseconds // of Scores
+	ID        balance.EndpointID
+	Size      float64 // CapacityLog
+	LastErr   balance.Milliseconds
+	RestUntil balance.Milliseconds // EjectedUntil
+	Errs      int                  // ConsecutiveErrors
+	Rests     int                  // Ejections
+	Downs     int                  // ConnectErrors
+	ColdSince balance.Milliseconds // WarmUpSince
+	Tokens    float64              // SlowStartTokens
+	TokensAt  balance.Milliseconds // TokensUpdatedAt
+	HeardAt   balance.Milliseconds // LastResponseAt
+	SlowUntil balance.Milliseconds
+	Scores    []float64
+	ScoredAt  []balance.Milliseconds // of Scores
 }
 
 // encode writes a state in the form that successors of all versions read.
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -11,7 +11,7 @@
 )
 
 // acceptRetryDelay is the pause after the socket fails to accept a connection.
-const acceptRetryDelay = StateTimeout
+const acceptRetryDelay = 400 * time.Millisecond
 
 // acceptSuccessors sends the state to successors until ctx is done, or until one has come and gone: then the path of the
 // socket has to be taken back from it.
