--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -119,7 +119,7 @@
 		if ep.candidate.weight == 0 {
 			continue
 		}
-		warmingUp := b.warmingUp(ep)
+		warmingUp := ep.candidate.warmingUp
 		if !ep.rotation.active || ep.rotation.enteredWarmingUp && !warmingUp {
 			value := b.rotation.level - b.random.next()
 			ep.rotation = rotationEntry{value: value, active: true, enteredWarmingUp: warmingUp}
@@ -184,5 +184,6 @@
 
 // eligible reports whether the endpoint's state and the retry policy allow the next attempt there.
 func (b *Balancer) eligible(req *request, ep *endpoint) bool {
-	return ep.State == Ready && req.mayExecuteAt(ep, b.now)
+	firstAttempt := len(req.attempts) == 0
+	return ep.State == Ready && (firstAttempt || req.mayExecuteAt(ep, b.now))
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -84,10 +84,10 @@
 	ep.slowStart.refill(b.now, rate, b.cfg.OverloadWindow)
 }
 
-// slowStartAllows reports whether the warm-up of an endpoint allows an attempt now. refillSlowStart comes
+// slowStartAllows reports whether the warm-up of a candidate allows an attempt now. prepareCandidates comes
 // before it.
 func (b *Balancer) slowStartAllows(ep *endpoint, policy tokenPolicy) bool {
-	return !b.warmingUp(ep) || ep.slowStart.allows(policy, b.cfg.OverloadWindow)
+	return !ep.candidate.warmingUp || ep.slowStart.allows(policy, b.cfg.OverloadWindow)
 }
 
 // slowStartPolicy returns which tokens count for a request. Where warm endpoints fail a class, all sidecars
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -21,6 +21,7 @@
 	capacity  float64 // effective capacity, in the unit of the weights
 	weight    float64 // 0: not a candidate
 	loadKnown bool    // the load is known as well as possible
+	warmingUp bool    // of a candidate: the endpoint is in its warm-up
 }
 
 // connectFailures is the recent fraction of attempts that could not connect.
@@ -56,6 +57,7 @@
 		}
 		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classFactor(req, ep)
 		ep.candidate.loadKnown = b.hasFreshReport(ep)
+		ep.candidate.warmingUp = b.warmingUp(ep)
 		totals.loadReports = totals.loadReports || ep.candidate.loadKnown
 	}
 	return totals
@@ -67,7 +69,7 @@
 	for _, ep := range b.endpoints.list {
 		// Without any report, the own attempts in flight are all there is.
 		ep.candidate.loadKnown = ep.candidate.loadKnown || !totals.loadReports
-		if ep.candidate.weight > 0 && b.warmingUp(ep) {
+		if ep.candidate.weight > 0 && ep.candidate.warmingUp {
 			b.refillSlowStart(ep)
 		}
 	}
