--- a/internal/exchange/shutdown.go
+++ b/internal/exchange/shutdown.go
@@ -10,7 +10,8 @@
 const MaxShutdownDeadline = 3 * time.Second
 
 const (
-	// killMargin is the time beyond the longest deadline by which everything must have ended.
+	// killMargin is the time beyond the longest deadline by which everything must have ended. The platform kills the process
+	// after a little more, for which killDelay of package soak stands.
 	killMargin = 650 * time.Millisecond
 	// lateAfterSignal is how long after the signal a request on an open connection still has its complete deadline.
 	lateAfterSignal = 600 * time.Millisecond
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -12,11 +12,11 @@
 const (
 	// endpointsPerCell is the number of endpoints that share their memory of idempotency keys.
 	endpointsPerCell = 3
-	// minServiceTime is the shortest time until a response begins, meanServiceTime the mean of what comes on top; in milliseconds.
-	minServiceTime  = 2
-	meanServiceTime = 12
-	// maxPartPause bounds the pause between two parts of a response, in milliseconds.
-	maxPartPause = 30
+	// minServiceTime is the shortest time until a response begins, meanServiceTime the mean of what comes on top.
+	minServiceTime  = 2 * time.Millisecond
+	meanServiceTime = 12 * time.Millisecond
+	// maxPartPause bounds the pause between two parts of a response.
+	maxPartPause = 30 * time.Millisecond
 	// maxParts bounds the parts of a response.
 	maxParts = 3
 	// maxPadding bounds the padding of usual bodies, in bytes; one in longBodyInterval has longPadding.
@@ -94,10 +94,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reply := standin.Reply{
-		Delay:     time.Duration(minServiceTime+r.random.ExpFloat64()*meanServiceTime) * time.Millisecond,
+		Delay:     r.randomServiceTime(),
 		Framing:   framings[r.random.IntN(len(framings))],
 		Parts:     1 + r.random.IntN(maxParts),
-		PartPause: time.Duration(r.random.IntN(maxPartPause)) * time.Millisecond,
+		PartPause: r.randomPause(maxPartPause),
 		Padding:   r.random.IntN(maxPadding),
 	}
 	if r.random.IntN(longBodyInterval) == 0 {
@@ -108,3 +108,14 @@
 	}
 	return reply
 }
+
+// randomServiceTime returns the time until a response begins, in whole milliseconds. The caller holds mu.
+func (r *run) randomServiceTime() time.Duration {
+	onTop := time.Duration(r.random.ExpFloat64() * float64(meanServiceTime))
+	return (minServiceTime + onTop).Truncate(time.Millisecond)
+}
+
+// randomPause returns a pause below limit, in whole milliseconds. The caller holds mu.
+func (r *run) randomPause(limit time.Duration) time.Duration {
+	return time.Duration(r.random.IntN(int(limit/time.Millisecond))) * time.Millisecond
+}
--- a/internal/soak/event_shutdown.go
+++ b/internal/soak/event_shutdown.go
@@ -7,10 +7,12 @@
 )
 
 const (
-	// maxKillDelay bounds the longest deadline that the SIGKILL after a SIGTERM waits for.
-	maxKillDelay = 3 * time.Second
-	// killMargin is how long the SIGKILL waits beyond that.
-	killMargin = 700 * time.Millisecond
+	// maxShutdownDeadline bounds the longest deadline that the SIGKILL after a SIGTERM waits for. It is
+	// exchange.MaxShutdownDeadline, stated again so that a wrong value there fails a run.
+	maxShutdownDeadline = 3 * time.Second
+	// killDelay is how long the SIGKILL waits beyond that: the platform's delay. The sidecar ends its work a little earlier, after
+	// the killMargin of package exchange.
+	killDelay = 700 * time.Millisecond
 )
 
 // ShutdownSidecar sends SIGTERM to the process of a sidecar, SIGKILL at the earliest moment allowed if it still runs then, and
@@ -35,7 +37,7 @@
 	ending.incarnation.TermAt = time.Now()
 	r.mu.Unlock()
 	ending.process.Signal(syscall.SIGTERM)
-	ended, exit := ending.process.Wait(min(r.plan.Settings.longestDeadline(), maxKillDelay) + killMargin)
+	ended, exit := ending.process.Wait(min(r.plan.Settings.longestDeadline(), maxShutdownDeadline) + killDelay)
 	r.mu.Lock()
 	now := time.Now()
 	if !ended {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -11,15 +11,15 @@
 
 // The rules.
 const (
-	RuleResponse          Rule = "response"
-	RuleDuplicate         Rule = "duplicate"
-	RuleDrain             Rule = "drain"
-	RuleExpiry            Rule = "expiry"
-	RuleClientLeft        Rule = "client left"
-	RuleUnknownRequest    Rule = "unknown request"
-	RuleSlowStart         Rule = "slow start"
-	RuleProcess           Rule = "process"
-	RuleIncompleteRequest Rule = "incomplete request"
+	RuleResponse           Rule = "response"
+	RuleDuplicate          Rule = "duplicate"
+	RuleDrain              Rule = "drain"
+	RuleExpiry             Rule = "expiry"
+	RuleClientDisconnected Rule = "client left"
+	RuleUnknownRequest     Rule = "unknown request"
+	RuleSlowStart          Rule = "slow start"
+	RuleProcess            Rule = "process"
+	RuleIncompleteRequest  Rule = "incomplete request"
 )
 
 // recordSlack is what a busy machine may take between an event and its record. All rules about times add it.
@@ -35,9 +35,11 @@
 // judge holds the records of a run by request.
 type judge struct {
 	*Records
-	attempts   map[string][]Attempt // by trace ID, in their order
-	exchanges  map[string]Exchange  // by trace ID, the last one
-	violations []Violation
+	attempts  map[string][]Attempt // by trace ID, in their order
+	exchanges map[string]Exchange  // by trace ID, the last one
+	// notifications are in the order of NotifiedAt. Of the changes of one moment, the one delivered last holds.
+	notifications []Notification
+	violations    []Violation
 }
 
 // Judge returns the violations of the rules.
@@ -46,7 +48,7 @@
 	j.checkResponses()
 	j.checkUnknownRequests()
 	j.checkExpiry()
-	j.checkClientsLeft()
+	j.checkClientsDisconnected()
 	j.checkDuplicates()
 	j.checkDrains()
 	j.checkSlowStarts()
@@ -66,6 +68,8 @@
 	for _, exchange := range records.Exchanges {
 		j.exchanges[exchange.TraceID] = exchange
 	}
+	j.notifications = slices.Clone(records.Notifications)
+	slices.SortStableFunc(j.notifications, func(a, b Notification) int { return a.NotifiedAt.Compare(b.NotifiedAt) })
 	return j
 }
 
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -32,7 +32,7 @@
 		rogueRetries:     RuleDuplicate,
 		rogueAnyEndpoint: RuleDrain,
 		rogueGenerous:    RuleExpiry,
-		rogueLate:        RuleClientLeft,
+		rogueLate:        RuleClientDisconnected,
 		rogueInvents:     RuleUnknownRequest,
 		rogueOverloads:   RuleSlowStart,
 		rogueCrashes:     RuleProcess,
--- a/internal/soak/rogue_exchange_test.go
+++ b/internal/soak/rogue_exchange_test.go
@@ -16,7 +16,7 @@
 const (
 	// rogueFaultInterval is the interval of calls of pick at which a request is subject to the fault.
 	rogueFaultInterval = 7
-	// rogueLateDelay is well beyond the slack of RuleClientLeft.
+	// rogueLateDelay is well beyond the slack of RuleClientDisconnected.
 	rogueLateDelay = 400 * time.Millisecond
 )
 
@@ -61,7 +61,7 @@
 	return request
 }
 
-// forwardLate waits until the client has left, and has the request sent some time after.
+// forwardLate waits until the client has disconnected, and has the request sent some time after.
 func (e *rogueExchange) forwardLate(endpoint *membership.Endpoint) {
 	<-e.incoming.Context().Done()
 	request := e.outgoing()
--- a/internal/soak/rule_drain.go
+++ b/internal/soak/rule_drain.go
@@ -16,13 +16,11 @@
 // sidecar can read that the endpoint is ready again. That is judged by Notification.ReadableAt: a sidecar may use a change as
 // soon as it can read it, but has to only from Notification.NotifiedAt on.
 func (j *judge) checkDrains() {
-	// Stable: of the changes of one moment, the one delivered last holds.
-	slices.SortStableFunc(j.Notifications, func(a, b Notification) int { return a.NotifiedAt.Compare(b.NotifiedAt) })
 	grace := j.Plan.Settings.Rules.DrainGrace.Duration() + drainSlack + recordSlack
 	for i := range j.Attempts {
 		attempt := &j.Attempts[i]
 		sidecar := j.exchanges[attempt.TraceID].Sidecar
-		for index, notification := range j.Notifications {
+		for index, notification := range j.notifications {
 			if !notification.concerns(sidecar, attempt.Endpoint) || notification.State == balance.Ready {
 				continue
 			}
@@ -60,8 +58,8 @@
 // readyAgain reports whether a sidecar could read before a moment that the endpoint of a notification, given by its index, was
 // ready again.
 func (j *judge) readyAgain(index int, before time.Time) bool {
-	notification := &j.Notifications[index]
-	return slices.ContainsFunc(j.Notifications[index+1:], func(later Notification) bool {
+	notification := &j.notifications[index]
+	return slices.ContainsFunc(j.notifications[index+1:], func(later Notification) bool {
 		return later.concerns(notification.Sidecar, notification.Endpoint) && later.State == balance.Ready && later.ReadableAt.Before(before)
 	})
 }
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -87,7 +87,7 @@
 	balance.NonIdempotent:  "non_idempotent",
 }
 
-// defaultSettings returns settings with a class of each kind of idempotency.
+// defaultSettings returns settings with a class of each kind of idempotency. Times are in milliseconds, as in the document.
 func defaultSettings() settingsDocument {
 	return settingsDocument{
 		Classes: []classSettings{
@@ -122,8 +122,19 @@
 	}
 }
 
-// shortWarmUp is a warm-up of which a run sees the greater part.
-const shortWarmUp balance.Milliseconds = 4000
+const (
+	// shortWarmUp is a warm-up of which a run sees the greater part.
+	shortWarmUp balance.Milliseconds = 4000
+	// minUsualDeadline is the shortest usual deadline of a class, usualDeadlineSpread by how much others are longer.
+	minUsualDeadline    balance.Milliseconds = 1000
+	usualDeadlineSpread balance.Milliseconds = 1000
+	// minShortDeadline and shortDeadlineSpread are the same for short deadlines.
+	minShortDeadline    balance.Milliseconds = 300
+	shortDeadlineSpread balance.Milliseconds = 400
+)
+
+// connIdleTimeouts are the idle timeouts of connections, which are equally frequent.
+var connIdleTimeouts = []balance.Milliseconds{600, 2000, 10000}
 
 // randomSettings returns settings with usual or short deadlines.
 func randomSettings(random *rand.Rand) settingsDocument {
@@ -131,16 +142,16 @@
 	short := random.IntN(2) == 0
 	for i := range settings.Classes {
 		class := &settings.Classes[i]
-		class.Deadline = balance.Milliseconds(1000 + 1000*random.Float64())
+		class.Deadline = minUsualDeadline + usualDeadlineSpread*balance.Milliseconds(random.Float64())
 		if short {
-			class.Deadline = balance.Milliseconds(300 + 400*random.Float64())
+			class.Deadline = minShortDeadline + shortDeadlineSpread*balance.Milliseconds(random.Float64())
 		}
 		class.LatencyObjective = class.Deadline * balance.Milliseconds(0.3+0.4*random.Float64())
 		if class.DedupWindow > 0 {
 			class.DedupWindow = class.Deadline * balance.Milliseconds(0.5+2*random.Float64())
 		}
 	}
-	settings.Limits.ConnIdleTimeout = []balance.Milliseconds{600, 2000, 10000}[random.IntN(3)]
+	settings.Limits.ConnIdleTimeout = connIdleTimeouts[random.IntN(len(connIdleTimeouts))]
 	settings.Rules.WarmUpDuration = shortWarmUp
 	return settings
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -30,7 +30,7 @@
 	slowUploadInterval = 30
 	minUploadParts     = 2
 	maxUploadParts     = 4
-	maxUploadPause     = 100 // milliseconds
+	maxUploadPause     = 100 * time.Millisecond
 )
 
 // startTraffic starts the clients of all sidecars.
@@ -86,7 +86,7 @@
 	}
 	if r.random.IntN(slowUploadInterval) == 0 {
 		request.Parts = minUploadParts + r.random.IntN(maxUploadParts-minUploadParts+1)
-		request.PartPause = time.Duration(r.random.IntN(maxUploadPause)) * time.Millisecond
+		request.PartPause = r.randomPause(maxUploadPause)
 	}
 	return request
 }
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -12,12 +12,12 @@
 
 // The ends of attempts.
 const (
-	AttemptOpen          AttemptEnd = iota // it has not ended
-	AttemptServed                          // a complete response with status 200 was written
-	AttemptFailed                          // an error response was written; the request was executed
-	AttemptNeverExecuted                   // it was rejected with proof that it was not executed
-	AttemptBroken                          // the server broke the response or the connection; the request was executed
-	AttemptAbandoned                       // the sidecar closed the connection first; the request may have been executed
+	AttemptOpen            AttemptEnd = iota // it has not ended
+	AttemptServed                            // a complete response with status 200 was written
+	AttemptFailed                            // an error response was written; the request was executed
+	AttemptNeverExecuted                     // it was rejected with proof that it was not executed
+	AttemptBroken                            // the server broke the response or the connection; the request was executed
+	AttemptClosedBySidecar                   // the sidecar closed the connection first; the request may have been executed
 )
 
 // String returns the name of an end for reports.
--- a/internal/standin/exchange.go
+++ b/internal/standin/exchange.go
@@ -13,14 +13,14 @@
 
 // The ends of exchanges.
 const (
-	ExchangeServed     ExchangeEnd = iota // a complete response with status 200
-	ExchangeRejected                      // a complete response with status 429 or 503
-	ExchangeFailed                        // a complete response with any other status
-	ExchangeTruncated                     // part of a response, then the end of the connection
-	ExchangeClosed                        // the end of the connection without any byte of a response
-	ExchangeTimedOut                      // no byte until responseGrace after the deadline
-	ExchangeClientLeft                    // the client closed the connection first
-	ExchangeNotSent                       // the request was not written completely
+	ExchangeServed             ExchangeEnd = iota // a complete response with status 200
+	ExchangeRejected                              // a complete response with status 429 or 503
+	ExchangeFailed                                // a complete response with any other status
+	ExchangeTruncated                             // part of a response, then the end of the connection
+	ExchangeClosed                                // the end of the connection without any byte of a response
+	ExchangeTimedOut                              // no byte until responseGrace after the deadline
+	ExchangeClientDisconnected                    // the client closed the connection first
+	ExchangeNotSent                               // the request was not written completely
 )
 
 // String returns the name of an end for reports.
@@ -83,7 +83,7 @@
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return ExchangeClosed
 	case e.LeaveAfter > 0:
-		return ExchangeClientLeft
+		return ExchangeClientDisconnected
 	}
 	return ExchangeTimedOut
 }
@@ -92,7 +92,7 @@
 // waits for a response without end gives up.
 func endOfPartialResponse(err error) ExchangeEnd {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return ExchangeClientLeft
+		return ExchangeClientDisconnected
 	}
 	return ExchangeTruncated
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -14,7 +14,7 @@
 const proxyConnectTimeout = time.Second
 
 // Proxy forwards the connections of sidecars to a server and disturbs them. When a sidecar closes its side, that is forwarded
-// at once also during a disturbance, so that the records of the server show when an attempt was abandoned.
+// at once also during a disturbance, so that the records of the server show when the sidecar closed the connection of an attempt.
 type Proxy struct {
 	target    string
 	listener  net.Listener
--- a/internal/standin/reply.go
+++ b/internal/standin/reply.go
@@ -34,7 +34,7 @@
 // persists. gone is closed when the other side has closed the connection.
 func (r *Reply) respond(conn net.Conn, traceID string, gone <-chan struct{}) (end AttemptEnd, persists bool) {
 	if !waitOrGone(r.Delay, gone) {
-		return AttemptAbandoned, false
+		return AttemptClosedBySidecar, false
 	}
 	switch r.Kind {
 	case ReplyServed:
@@ -45,7 +45,7 @@
 		return AttemptNeverExecuted, writeNeverExecuted(conn) == nil
 	case ReplyHang:
 		<-gone
-		return AttemptAbandoned, false
+		return AttemptClosedBySidecar, false
 	case ReplyMalformed:
 		io.WriteString(conn, "HTTP/1.1 2x0 OK\r\n\r\n")
 	case ReplyTruncated:
@@ -57,12 +57,12 @@
 	return AttemptBroken, false
 }
 
-// respondWhole writes a complete response. It returns end, or that the attempt was abandoned if the write fails.
+// respondWhole writes a complete response. It returns end, or that the sidecar closed the connection if the write fails.
 func (r *Reply) respondWhole(
 	conn net.Conn, status, traceID string, end AttemptEnd, gone <-chan struct{},
 ) (AttemptEnd, bool) {
 	if err := r.message(status, traceID).write(conn, gone); err != nil {
-		return AttemptAbandoned, false
+		return AttemptClosedBySidecar, false
 	}
 	return end, r.Framing != FramedByClose
 }
