--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -94,7 +94,7 @@
 // checkDisconnectInEventQueue disconnects while the request is queued for the event loop.
 func checkDisconnectInEventQueue(t *testing.T, disconnect func(net.Conn)) {
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
-	barrier := logBarrier{slog.DiscardHandler, "endpoint list not received", make(chan bool), make(chan bool)}
+	barrier := newLogBarrier("endpoint list not received")
 	sidecar, blocker, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), barrier)
 	sidecar.discovery.Lists <- membership.EndpointList{Endpoints: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
 	sidecartest.Next(t, barrier.reached)
@@ -141,7 +141,7 @@
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, gate.Hold(sidecartest.Respond(200, "served")))
 	cfg := sidecartest.Config(t, endpoints...)
 	cfg.Limits.Sockets = config.ReservedSockets + admin.MaxConns + 9 // four to endpoints, five to clients
-	barrier := logBarrier{slog.DiscardHandler, "attempt failed", make(chan bool, 10), make(chan bool)}
+	barrier := newLogBarrier("attempt failed")
 	sidecar, blocker, conn := startWithBlockedClient(t, cfg, barrier)
 	for range 4 {
 		sidecar.write(sidecar.dial(), sidecar.rawRequest("read"))
--- a/internal/sidecar/log_barrier_test.go
+++ b/internal/sidecar/log_barrier_test.go
@@ -12,6 +12,15 @@
 	reached, release chan bool
 }
 
+// maxBarrierMessages is more than the times that a message is logged before and after the release.
+const maxBarrierMessages = 100
+
+// newLogBarrier returns a barrier for a message. It announces the message without waiting for the test: the sidecar may log it
+// by itself while the test waits for something else, and both would wait for ever.
+func newLogBarrier(message string) logBarrier {
+	return logBarrier{slog.DiscardHandler, message, make(chan bool, maxBarrierMessages), make(chan bool)}
+}
+
 // Enabled reports true for all levels, so that the message is not missed.
 func (barrier logBarrier) Enabled(context.Context, slog.Level) bool { return true }
 
