--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -60,7 +60,7 @@
 	}
 	attempt := req.attempts[ev.Attempt]
 	b.endAttempt(req, attempt, ev)
-	req.bodyDiscarded = req.bodyDiscarded || ev.NoRetry
+	req.noRetry = req.noRetry || ev.NoRetry
 	if !attempt.resultRecorded || ev.Result != OK {
 		b.recordOutcome(req, attempt, ev)
 	}
@@ -89,7 +89,7 @@
 	if req == nil || req.done || !req.Uploading {
 		return
 	}
-	req.bodyDiscarded = ev.BodyDiscarded
+	req.noRetry = ev.BodyDiscarded
 	req.Uploading = false
 	req.arrivedAt = b.now
 	req.deadline = b.now + ev.Remaining
--- a/balance/request.go
+++ b/balance/request.go
@@ -4,17 +4,17 @@
 // in flight.
 type request struct {
 	Request
-	class         *Class
-	stats         *classStats
-	tenant        *requestCounter
-	arrivedAt     Milliseconds // never: its body is still arriving
-	deadline      Milliseconds
-	attempts      []*attempt
-	inFlight      int // attempts in flight
-	done          bool
-	streaming     bool         // its response is on its way to the client: no deadline, no retries
-	bodyDiscarded bool         // the body sent was not retained: no further attempt is possible
-	nextTimerAt   Milliseconds // when its timer fires; never: no timer is set
+	class       *Class
+	stats       *classStats
+	tenant      *requestCounter
+	arrivedAt   Milliseconds // never: its body is still arriving
+	deadline    Milliseconds
+	attempts    []*attempt
+	inFlight    int // attempts in flight
+	done        bool
+	streaming   bool         // its response is on its way to the client: no deadline, no retries
+	noRetry     bool         // no further attempt is possible: its body was not retained, or its time is over
+	nextTimerAt Milliseconds // when its timer fires; never: no timer is set
 
 	checkedEndpoints []*endpoint  // endpoints health-checked before the first attempt
 	awaitChecksUntil Milliseconds // how long the first attempt waits for these health checks
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -88,7 +88,7 @@
 // attempt.
 func (req *request) attemptLimitReached() bool {
 	attemptCount := len(req.attempts)
-	return req.bodyDiscarded || attemptCount >= req.MaxAttempts || attemptCount-req.resetCount() > maxRetries
+	return req.noRetry || attemptCount >= req.MaxAttempts || attemptCount-req.resetCount() > maxRetries
 }
 
 // resetCount returns the number of attempts whose connections broke.
