--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -95,11 +95,12 @@
 func checkDisconnectInEventQueue(t *testing.T, disconnect func(net.Conn)) {
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
 	barrier := newLogBarrier("endpoint list not received")
-	sidecar, blocker, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), barrier)
+	sidecar, blocker := startWithReadBlocker(t, sidecartest.Config(t, endpoints...), barrier)
 	sidecar.discovery.Lists <- membership.EndpointList{Endpoints: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
 	sidecartest.Next(t, barrier.reached)
+	conn := blocker.dialBlocked(sidecar)
 	sidecar.write(conn, sidecar.rawRequest("read"))
-	<-blocker.blocked
+	sidecartest.Next(t, blocker.blocked)
 	disconnect(conn)
 	close(barrier.release)
 	sidecar.do(sidecar.newRequest("read")) // handled after the first one
@@ -142,13 +143,14 @@
 	cfg := sidecartest.Config(t, endpoints...)
 	cfg.Limits.Sockets = config.ReservedSockets + admin.MaxConns + 9 // four to endpoints, five to clients
 	barrier := newLogBarrier("attempt failed")
-	sidecar, blocker, conn := startWithBlockedClient(t, cfg, barrier)
+	sidecar, blocker := startWithReadBlocker(t, cfg, barrier)
 	for range 4 {
 		sidecar.write(sidecar.dial(), sidecar.rawRequest("read"))
 		gate.AwaitRequest(t)
 	}
+	conn := blocker.dialBlocked(sidecar)
 	sidecar.write(conn, sidecar.rawRequest("read"))
-	<-blocker.blocked
+	sidecartest.Next(t, blocker.blocked)
 	sidecartest.Next(t, barrier.reached) // the attempt found the pool full, and would find a free connection once the gate is open
 	close(barrier.release)
 	sidecar.waitForPending(5)
--- a/internal/sidecar/readblocker_test.go
+++ b/internal/sidecar/readblocker_test.go
@@ -47,11 +47,19 @@
 	return conn
 }
 
-// startWithBlockedClient starts a sidecar with an admin address, and a client connection from which it reads only once.
-func startWithBlockedClient(t *testing.T, cfg *config.Config, log slog.Handler) (*testSidecar, *readBlocker, net.Conn) {
+// startWithReadBlocker starts a sidecar with an admin address, and a blocker for a client that is dialled later.
+func startWithReadBlocker(t *testing.T, cfg *config.Config, log slog.Handler) (*testSidecar, *readBlocker) {
 	t.Helper()
 	blocker := newReadBlocker()
 	sidecar := startSidecarWith(t, withAdmin(cfg), log, readHooks{before: blocker.beforeRead})
 	t.Cleanup(blocker.unblock)
+	return sidecar, blocker
+}
+
+// startWithBlockedClient starts a sidecar with an admin address, and a client connection from which it reads only once. The
+// request must follow soon: a connection without one is closed.
+func startWithBlockedClient(t *testing.T, cfg *config.Config, log slog.Handler) (*testSidecar, *readBlocker, net.Conn) {
+	t.Helper()
+	sidecar, blocker := startWithReadBlocker(t, cfg, log)
 	return sidecar, blocker, blocker.dialBlocked(sidecar)
 }
