--- a/internal/eventloop/requesttime.go
+++ b/internal/eventloop/requesttime.go
@@ -53,17 +53,12 @@
 	return max(0, remaining)
 }
 
-// attemptDeadline returns when an attempt that begins now is given up: with its request, or at limit if that is sooner;
-// limit 0: there is none.
-func (r *request) attemptDeadline(now, limit balance.Milliseconds) balance.Milliseconds {
-	deadline := r.deadline
+// attemptDeadline returns when an attempt that begins now is given up: with its request.
+func (r *request) attemptDeadline(now balance.Milliseconds) balance.Milliseconds {
 	if r.uploading() {
-		deadline = now + r.maxAttemptTime()
+		return now + r.maxAttemptTime()
 	}
-	if limit > 0 {
-		deadline = min(deadline, limit)
-	}
-	return deadline
+	return r.deadline
 }
 
 // maxAttemptTime returns how long an attempt that begins now may take, of a request in stateUploading.
