--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -139,7 +139,7 @@
 	d.whole(uint64(action.Request))
 	d.integer(action.Attempt)
 	d.whole(uint64(action.Endpoint))
-	d.times(action.RetryAfter + action.Delay) // of which one kind has one at most
+	d.times(action.Deadline + action.RetryAfter + action.Delay) // of which one kind has one at most
 	d.whole(action.Token)
 	d.integer(0) // the receiver and the length of messages to other instances, which were removed
 	d.integer(0)
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -38,7 +38,7 @@
 		Endpoint:        l.endpoints.byID[action.Endpoint],
 		Message:         req.exchange.Message,
 		SentAt:          l.clock.now,
-		Deadline:        l.clock.timeOf(req.attemptDeadline(l.clock.now)),
+		Deadline:        l.clock.timeOf(req.attemptDeadline(l.clock.now, action.Deadline)),
 		TimeAfterUpload: req.timeAfterUpload(l.clock.now).Duration(),
 		Observer:        l,
 		LoopDone:        l.ctx.Done(),
--- a/internal/eventloop/requesttime.go
+++ b/internal/eventloop/requesttime.go
@@ -53,12 +53,17 @@
 	return max(0, remaining)
 }
 
-// attemptDeadline returns when an attempt that begins now is given up: with its request.
-func (r *request) attemptDeadline(now balance.Milliseconds) balance.Milliseconds {
+// attemptDeadline returns when an attempt that begins now is given up: with its request, or at limit if that is sooner;
+// limit 0: there is none.
+func (r *request) attemptDeadline(now, limit balance.Milliseconds) balance.Milliseconds {
+	deadline := r.deadline
 	if r.uploading() {
-		return now + r.maxAttemptTime()
+		deadline = now + r.maxAttemptTime()
 	}
-	return r.deadline
+	if limit > 0 {
+		deadline = min(deadline, limit)
+	}
+	return deadline
 }
 
 // maxAttemptTime returns how long an attempt that begins now may take, of a request in stateUploading.
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -11,9 +11,6 @@
 	replyHeaderSize = 4 // bytes
 
 	watchEnabled = 1 // of codeWatchEndpoints
-
-	// deadlineOfRequest is the deadline of an attempt that times out with its request.
-	deadlineOfRequest balance.Milliseconds = 0
 )
 
 // Reply collects the actions in response to one frame. Reset must be called before each frame.
@@ -69,7 +66,7 @@
 func (r *Reply) addSendAttempt(instance uint16, action *balance.Action) {
 	r.frame.putHeader(codeSendAttempt, instance)
 	r.frame.putUint64(uint64(action.Request))
-	r.frame.putMilliseconds(deadlineOfRequest)
+	r.frame.putMilliseconds(action.Deadline)
 	r.frame.putEndpointID(action.Endpoint)
 }
 
