--- a/internal/eventloop/clocksteps_faults_test.go
+++ b/internal/eventloop/clocksteps_faults_test.go
@@ -8,19 +8,12 @@
 
 	"cindersaddle/balance"
 	"cindersaddle/internal/fault"
-	"cindersaddle/internal/membership"
-	"cindersaddle/internal/sidecartest"
 )
 
 // The wall clock is stepped while a process runs, and a successor takes over what it has learned. The clocks of the two differ
 // by the step: the successor must take the learned times for as long ago as they are.
 func TestLearnedTimesAreShiftedByClockSteps(t *testing.T) {
-	predecessor := newTestLoop(t)
-	predecessor.upstreamClient = newTestUpstream(t)
-	predecessor.clock.update()
-	endpoint := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
-	endpoint.StartedAt = predecessor.clock.now - 1000
-	predecessor.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{endpoint}}}, balance.UpdateSnapshot)
+	predecessor, _ := newLoopWithEndpoint(t, 1000)
 	fault.SetClockStep(time.Hour)
 	t.Cleanup(func() { fault.SetClockStep(0) })
 	state := predecessor.exportState()
--- a/internal/eventloop/clocksteps_test.go
+++ b/internal/eventloop/clocksteps_test.go
@@ -5,8 +5,6 @@
 	"testing"
 
 	"cindersaddle/balance"
-	"cindersaddle/internal/membership"
-	"cindersaddle/internal/sidecartest"
 )
 
 // hour is the size of the steps of the wall clock.
@@ -62,12 +60,7 @@
 // The wall clock is set back, and an endpoint restarts after that: the time listed for its start is earlier than the one before.
 // The restart must be noticed: the old connections are discarded, and the endpoint warms up.
 func TestRestartAfterClockWasSetBack(t *testing.T) {
-	l := newTestLoop(t)
-	l.upstreamClient = newTestUpstream(t)
-	l.clock.update()
-	listed := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
-	listed.StartedAt = l.clock.now - 60e3
-	l.applyList(endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{listed}}}, balance.UpdateSnapshot)
+	l, listed := newLoopWithEndpoint(t, 60e3)
 	endpoint := l.endpoints.byName["s-1"]
 	address := endpoint.Address.Load()
 
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -86,3 +86,16 @@
 		l.handleLocalEvents()
 	}
 }
+
+// newLoopWithEndpoint returns a loop that knows one endpoint, which has started some time ago, and its entry of the list.
+func newLoopWithEndpoint(t *testing.T, age balance.Milliseconds) (*Loop, membership.Endpoint) {
+	t.Helper()
+	l := newTestLoop(t)
+	l.upstreamClient = newTestUpstream(t)
+	l.clock.update()
+	listed := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
+	listed.StartedAt = l.clock.now - age
+	list := &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{listed}}
+	l.applyList(endpointListUpdate{list: list}, balance.UpdateSnapshot)
+	return l, listed
+}
