--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -28,7 +28,7 @@
 	if b.hasFreshReport(ep) {
 		attempt.inFlightBefore = b.estimatedInFlight(ep)
 	}
-	ep.slowStart.tokens-- // of no effect outside a warm-up, which starts with new tokens
+	ep.slowStart.spend()
 	ep.load.inFlight++
 	ep.load.sentSinceReport++
 	ep.activity.lastSendAt = b.now
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -84,7 +84,7 @@
 		b.endpoints.markUnlistedGone(ev.Endpoints)
 	}
 	if ev.Kind != UpdateCachedSnapshot {
-		b.polling.failures = 0
+		b.polling.reset()
 	}
 	for i := range ev.Endpoints {
 		entry := &ev.Endpoints[i]
--- a/balance/events.go
+++ b/balance/events.go
@@ -74,10 +74,10 @@
 	ServerError          // the endpoint answered with an error
 	Rejected             // the endpoint rejected the attempt before executing it
 	TimedOut             // no response arrived in time
-	ConnectFailed        // no connection could be opened
+	ConnectFailed        // by the endpoint's fault no connection was opened, or the request not written
 	ConnReset            // the connection broke
-	Cancelled            // the balancer cancelled the attempt
-	NotAttempted         // nothing was sent
+	Cancelled            // the balancer, the client or the end of the process ended the attempt
+	NotAttempted         // surely not executed, by a fault of this side: it says nothing of the endpoint
 )
 
 // resultNames are the names of the results in logs.
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -37,10 +37,8 @@
 	objective := req.class.LatencyObjective
 	b.timePerInFlight.record(latency, attempt.inFlightBefore)
 	b.latency.recordResponse(b.now, latency, objective, b.averagingGain())
-	ep.sticky.slowUntil = 0
-	if latency > objective.scaled(b.latency.shedThreshold()) {
-		ep.sticky.slowUntil = b.now + slowObjectives*b.longestObjective
-	}
+	slow := latency > objective.scaled(b.latency.shedThreshold())
+	ep.sticky.recordLatency(slow, b.now+slowObjectives*b.longestObjective)
 	if req.stats.samples > 0 {
 		b.learnCapacity(ep, ratio(latency, req.stats.meanLatency))
 	}
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -25,24 +25,27 @@
 
 const (
 	attemptError errorKind = false // a connection was open
-	connectError errorKind = true  // no connection could be opened
+	connectError errorKind = true  // Result ConnectFailed
 )
 
-// outlierState counts the consecutive errors of an endpoint and its ejections (outlier detection). An
-// ejected endpoint is out of the rotation until ejectedUntil; then it gets requests again, with the health
-// that its errors leave. All of it is cleared by a success, a restart, or a successful health check after a
-// failed one. Errors of attempts that were in flight at once count one by one, and each after the third
-// ejects again.
+// outlierState counts the consecutive errors of an endpoint and its ejections (outlier detection).
+//
+//   - An ejection begins with the third consecutive error, the second failed connection, or a failed health
+//     check. Errors of attempts that were in flight at once count one by one, and each further one ejects
+//     again, for longer.
+//   - It ends at ejectedUntil; the endpoint has the health then that its errors leave. It ends at once with a
+//     success, a restart, or a successful health check after a failed one, which clear the errors.
+//   - Where all endpoints are ejected, attempts go to them all the same (includeEjected).
 type outlierState struct {
 	consecutiveErrors int
 	connectErrors     int // those among them that could not connect
 	lastErrorAt       Milliseconds
 	ejections         int          // consecutive ejections
-	ejectedUntil      Milliseconds // 0: not ejected
+	ejectedUntil      Milliseconds // end of the last ejection; 0: none since the last clear
 	checkFailed       bool         // the last health check failed; one that succeeds clears all errors
 }
 
-// clear forgets the errors and ejections.
+// clear forgets the errors and ejections, but for the time of the last error.
 func (s *outlierState) clear() {
 	s.consecutiveErrors = 0
 	s.connectErrors = 0
--- a/balance/polling.go
+++ b/balance/polling.go
@@ -27,6 +27,9 @@
 	failures int // consecutive failed polls
 }
 
+// reset forgets the failed polls.
+func (p *pollBackoff) reset() { p.failures = 0 }
+
 // firstDelay returns the delay of the first poll, which spreads the polls of all sidecars over time:
 // sidecars that start together would overload discovery, most polls would time out, and the repeated ones
 // would find it still busy.
--- a/balance/request.go
+++ b/balance/request.go
@@ -94,9 +94,10 @@
 // retryAfterObjectives is the Retry-After time of a rejected request, in its latency objectives.
 const retryAfterObjectives = 0.1
 
-// rejectOrFail ends a request without a response from an endpoint: load is shed (admit), the best endpoint is
-// overloaded or the deadline has passed (advance), or there can be no further attempt (mustEnd). The request
-// is rejected, with a short Retry-After time, if a retry by the client is safe, and otherwise failed.
+// rejectOrFail ends a request without a response from an endpoint: load is shed (admit), the best endpoint
+// is overloaded or the deadline has passed (advance), or no further attempt is allowed or useful (mustEnd).
+// The request is rejected, with a short Retry-After time, if a retry by the client is safe, and otherwise
+// failed.
 func (b *Balancer) rejectOrFail(req *request) {
 	action := Action{Kind: FailRequest, Request: req.ID}
 	if req.clientMayRetry() {
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -1,7 +1,7 @@
 package balance
 
-// This file holds the rules by which a request may be executed again. What an attempt may have done
-// decides, by the idempotency of the class:
+// This file holds the rules by which a request may be executed again, within the limits below. What an
+// attempt may have done decides, by the idempotency of the class:
 //
 //	                  surely not executed    may have been executed
 //	                  (NeverExecuted)        (in flight, timed out, reset, answered with an error)
@@ -13,9 +13,11 @@
 // any endpoint: then the scope has to be DedupAll.
 
 const (
-	// maxRetries limits the retries of a request: more of them multiply the load of an overloaded fleet.
-	maxRetries = 1
-	// maxResetRetries limits the retries after broken connections, which are no sign of overload.
+	// maxRetriesExceptResets limits the retries of a request, but for those after broken connections: more of
+	// them multiply the load of an overloaded fleet.
+	maxRetriesExceptResets = 1
+	// maxResetRetries limits the retries after broken connections, which are no sign of overload. mustEnd
+	// applies it.
 	maxResetRetries = 3
 )
 
@@ -84,11 +86,14 @@
 	return false
 }
 
-// attemptLimitReached reports whether the number of attempts, or a body that is gone, rules out another
-// attempt.
-func (req *request) attemptLimitReached() bool {
+// noMoreAttempts reports whether the number of attempts, or an earlier attempt that allows no other, rules
+// out another attempt.
+func (req *request) noMoreAttempts() bool {
 	attemptCount := len(req.attempts)
-	return req.noRetry || attemptCount >= req.MaxAttempts || attemptCount-req.resetCount() > maxRetries
+	if req.noRetry || attemptCount >= req.MaxAttempts {
+		return true
+	}
+	return attemptCount-req.resetCount() > maxRetriesExceptResets
 }
 
 // resetCount returns the number of attempts whose connections broke.
@@ -114,19 +119,24 @@
 }
 
 // mustEnd reports whether a request with no attempt in flight ends now: no further attempt is allowed, or
-// waiting for an endpoint gains nothing. The latter holds after the latency objective where the client may
-// retry by itself.
+// waiting for an endpoint gains nothing.
 func (b *Balancer) mustEnd(req *request) bool {
-	if req.attemptLimitReached() || req.resetCount() > maxResetRetries || !req.mayExecuteAgain(b.now) {
+	if req.noMoreAttempts() || req.resetCount() > maxResetRetries || !req.mayExecuteAgain(b.now) {
 		return true
 	}
+	return b.waitingIsUseless(req)
+}
+
+// waitingIsUseless reports whether a request has missed its latency objective while its client may retry by
+// itself.
+func (b *Balancer) waitingIsUseless(req *request) bool {
 	return b.now >= req.arrivedAt+req.class.LatencyObjective && req.clientMayRetry()
 }
 
 // retryGains reports whether the attempt in flight may be given up for a retry: another endpoint may get
 // the request, and could respond within the latency objective.
 func (b *Balancer) retryGains(req *request) bool {
-	if req.attemptLimitReached() || !req.mayExecuteAgain(b.now) {
+	if req.noMoreAttempts() || !req.mayExecuteAgain(b.now) {
 		return false
 	}
 	if !b.cfg.Cancellation || req.inFlight > 1 || b.objectiveOutOfReach(req) {
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -35,6 +35,9 @@
 	enteredWarmingUp bool    // ... which it got during the warm-up
 }
 
+// leave makes the endpoint enter the rotation anew at the next pick.
+func (e *rotationEntry) leave() { e.active = false }
+
 // pickTotals sums up the candidates of a pick.
 type pickTotals struct {
 	weight            float64
@@ -48,7 +51,8 @@
 }
 
 // pick chooses the endpoint of an attempt, or nil: by smooth weighted round robin for a first attempt, and
-// the healthiest untried endpoint for a retry. Both are charged to the endpoint's running value.
+// for a retry the healthiest untried endpoint of those below their limit. Both are charged to the
+// endpoint's running value.
 func (b *Balancer) pick(req *request, kind attemptKind) *endpoint {
 	totals := b.updateRotation(req, kind, excludeEjected)
 	if totals.weight == 0 { // all are ejected: the cause is probably not in the endpoints
@@ -184,6 +188,6 @@
 
 // eligible reports whether the endpoint's state and the retry policy allow the next attempt there.
 func (b *Balancer) eligible(req *request, ep *endpoint) bool {
-	firstAttempt := len(req.attempts) == 0
-	return ep.State == Ready && (firstAttempt || req.mayExecuteAt(ep, b.now))
+	untried := len(req.attempts) == 0
+	return ep.State == Ready && (untried || req.mayExecuteAt(ep, b.now))
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -15,8 +15,8 @@
 	recentToken tokenPolicy = true  // a single saved token expires after the overload window
 )
 
-// slowStart limits the attempts to an endpoint that warms up: a token bucket of this sidecar. It is a hard
-// limit, because an endpoint that warms up fails when the sum of all sidecars exceeds it.
+// slowStart limits the attempts to an endpoint during its warm-up: a token bucket of this sidecar. It is a
+// hard limit, because an endpoint that warms up fails when the sum of all sidecars exceeds it.
 type slowStart struct {
 	warmUpSince Milliseconds // start of the warm-up
 	tokens      float64      // attempts allowed; each attempt takes one, a retry too
@@ -43,6 +43,12 @@
 	s.updatedAt = now
 }
 
+// spend takes the token of an attempt. It has no effect outside a warm-up, which starts with new tokens.
+func (s *slowStart) spend() { s.tokens-- }
+
+// halve gives half of the tokens to a process that takes over.
+func (s *slowStart) halve() { s.tokens /= 2 }
+
 // allows reports whether the endpoint may get an attempt. refill comes before it. Only a bucket that is
 // limited to one token can be full for long: where the limit is higher, tokens come and go fast, and none
 // expires.
@@ -69,13 +75,13 @@
 // startWarmUp starts the warm-up of an endpoint, which enters the rotation anew.
 func (b *Balancer) startWarmUp(ep *endpoint, since Milliseconds) {
 	ep.slowStart.start(since, b.now, b.random.next())
-	ep.rotation.active = false
+	ep.rotation.leave()
 }
 
-// refillSlowStart refills the tokens of an endpoint that warms up, at a part of the overload factor times
-// what endpoints of its present capacity serve for this sidecar. The rate goes by responses, because
-// clients repeat requests in an overload, and assumes only one more response, so that the assumed ones of
-// many sidecars do not add up.
+// refillSlowStart refills the tokens of an endpoint that warms up, at a part of the overload factor, but at
+// least 1, times what endpoints of its present capacity serve for this sidecar. The rate goes by responses,
+// because clients repeat requests in an overload, and assumes only one more response, so that the assumed
+// ones of many sidecars do not add up.
 func (b *Balancer) refillSlowStart(ep *endpoint) {
 	b.advanceResponseRate()
 	pool := max(b.rotation.poolCapacity, ep.candidate.capacity)
--- a/balance/sticky.go
+++ b/balance/sticky.go
@@ -23,6 +23,14 @@
 	slowUntil Milliseconds // the endpoint was slow, and is avoided for sticky keys until then
 }
 
+// recordLatency makes the endpoint count as slow until a moment, or not.
+func (s *stickyState) recordLatency(slow bool, until Milliseconds) {
+	s.slowUntil = 0
+	if slow {
+		s.slowUntil = until
+	}
+}
+
 // restrictToStickyEndpoints leaves only the sticky endpoints of its key as candidates for a first attempt,
 // where endpoints do less work for a key that they served recently. In a rotation over a large fleet, each
 // endpoint would forget the key before it comes again. By rendezvous hashing, all sidecars choose the same
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -58,7 +58,7 @@
 		state.TenantRequests = append(state.TenantRequests, tenant.count)
 	}
 	for _, ep := range b.endpoints.list {
-		ep.slowStart.tokens /= 2
+		ep.slowStart.halve()
 		state.Endpoints = append(state.Endpoints, ep.export(len(b.classes)))
 	}
 }
@@ -126,7 +126,6 @@
 	b.responses.startedAt = min(pastTime(state.StartedAt, b.now), b.now)
 	b.responses.countedAt = pastTime(state.ResponsesCountedAt, b.now)
 	b.latency.lastResponseAt = pastTime(state.LastResponseAt, b.now)
-	b.shedder.lastRequestAt = pastTime(state.LastRequestAt, b.now)
 }
 
 func (b *Balancer) importStatistics(state *LearnedState) {
@@ -136,7 +135,7 @@
 	b.latency.ratio = validOr(state.LatencyRatio, b.latency.ratio, maxImportedRatio)
 	b.latency.ratioSamples = validOr(state.LatencyRatioSamples, 0, averagingSamples)
 	b.latency.lateFraction = validOr(state.LateFraction, 0, 1)
-	b.shedder.steadyFraction = validOr(state.SteadyShed, 0, maxShedFraction)
+	b.shedder.restore(state, b.now)
 	b.connectFailures.fraction = validOr(state.ConnectFailureFraction, 0, 1)
 	b.timePerInFlight.mean = validOr(state.TimePerInFlight, b.timePerInFlight.mean, maxImportedTime)
 	b.timePerInFlight.samples = max(1, validOr(state.TimePerInFlightSamples, 1, averagingSamples))
@@ -188,6 +187,11 @@
 	s.ejectedUntil = validOr(state.EjectedUntil, 0, now+maxImportedDelay)
 }
 
+func (s *loadShedder) restore(state *LearnedState, now Milliseconds) {
+	s.lastRequestAt = pastTime(state.LastRequestAt, now)
+	s.steadyFraction = validOr(state.SteadyShed, 0, maxShedFraction)
+}
+
 // restore leaves a warm-up alone that began later, according to the endpoint list.
 func (s *slowStart) restore(state *LearnedEndpoint, now Milliseconds) {
 	since := pastTime(state.WarmUpSince, now)
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -12,16 +12,16 @@
 	maxZoneCheckDoublings = 2
 )
 
-// zone is the state that this sidecar keeps for all endpoints of a zone together. In an outage none of them
-// gets attempts, until one responds to a health check.
+// zone is the state that this sidecar keeps for all endpoints of a zone together. In an outage they
+// count as ejected, until one of them responds to anything or none is ready.
 type zone struct {
 	number          int
 	capacity        capacityFactor
 	lastResponseAt  Milliseconds // when any endpoint of the zone responded last
-	silentEndpoints []*endpoint  // endpoints that did not respond to what was sent since
+	silentEndpoints []*endpoint  // endpoints that did not respond since then, or since the last check
 	outage          bool         // the zone is considered unreachable as a whole
 	outageSince     Milliseconds
-	recoveryChecks  int          // health checks since then
+	checkRounds     int          // times that a check was due since then
 	nextCheckAt     Milliseconds // when the next one is due
 }
 
@@ -37,7 +37,7 @@
 	}
 	z.outage = true
 	z.outageSince = now
-	z.recoveryChecks = 0
+	z.checkRounds = 0
 	return true
 }
 
@@ -68,15 +68,15 @@
 		zone.outage = false
 		return
 	}
-	if zone.recoveryChecks == 1 { // the first check may have been lost; later messages would flood the log
+	if zone.checkRounds == 1 { // the first check may have been lost; later messages would flood the log
 		b.logf("zone %d is unreachable: no requests go there until a health check succeeds", zone.number)
 	}
 	if chosen != nil {
 		b.sendHealthCheck(chosen)
 	}
-	backoff := b.longestObjective.scaled(backoffFactor(zone.recoveryChecks, maxZoneCheckDoublings))
+	backoff := b.longestObjective.scaled(backoffFactor(zone.checkRounds, maxZoneCheckDoublings))
 	delay := backoff.scaled(b.random.jitter())
-	zone.recoveryChecks++
+	zone.checkRounds++
 	zone.nextCheckAt = b.now + delay
 	b.emit(Action{Kind: SetTimer, Token: zoneTimerToken + uint64(zone.number), Delay: delay})
 }
@@ -117,7 +117,7 @@
 	if !zone.recordResponse(b.now) {
 		return
 	}
-	if zone.recoveryChecks > 1 {
+	if zone.checkRounds > 1 {
 		b.logf("zone %d is reachable again after %.0f ms", zone.number, b.now-zone.outageSince)
 	}
 	for _, ep := range b.endpoints.list {
--- a/internal/eventloop/responses.go
+++ b/internal/eventloop/responses.go
@@ -15,8 +15,8 @@
 	retryAfterDecimals = 3
 )
 
-// rejection returns the response of a request that was not executed and may be retried. retryAfter is how long
-// the client should wait; 0: it may retry at once.
+// rejection returns the response of a request that its client may safely retry: it was not executed, or may be executed
+// again. retryAfter is how long the client should wait; 0: it may retry at once.
 // The texts of the responses are part of the wire protocol.
 func (l *Loop) rejection(retryAfter balance.Milliseconds) *exchange.Response {
 	response := textResponse(http.StatusServiceUnavailable, "refused, trying again is harmless")
--- a/internal/exchange/shutdown.go
+++ b/internal/exchange/shutdown.go
@@ -21,11 +21,11 @@
 
 // ShutdownTimes are the limits of a shutdown. They guard against responses that are lost because the process is killed
 // while it still sends them, which clients see as a reset connection: a request that arrives after LateAfter gets less time
-// than its client allows and no streamed response, so that everything has ended by EndBy.
+// than its client allows and no streamed response, so that all but responses that were being streamed before has ended by EndBy.
 type ShutdownTimes struct {
 	LateAfter time.Time // a request that arrives later is late
 	RespondBy time.Time // when a late request must have its response
-	EndBy     time.Time // when everything must have ended
+	EndBy     time.Time // when everything must have ended but long responses, which package downstream gives more time
 }
 
 // NewShutdownTimes returns the limits of a shutdown that started at signal, given the longest deadline of all classes.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,7 +12,7 @@
 )
 
 // GaugeUpdatesPerSecond is how often per second the event loop publishes the gauges that only it knows; they may be
-// half a second old.
+// a fifth of a second old, and older while the loop is busy.
 const GaugeUpdatesPerSecond = 5
 
 // maxClasses bounds the number of classes with counters: every new configuration may bring others.
@@ -25,7 +25,7 @@
 	Reloads              atomic.Int64 // configuration files applied
 	ReloadErrors         atomic.Int64 // configuration files rejected
 	Endpoints            atomic.Int64 // endpoints in the list
-	UnavailableEndpoints atomic.Int64 // endpoints in the list that get no requests now
+	UnavailableEndpoints atomic.Int64 // endpoints that drain, are ejected or in a zone outage, or failed their last health check
 
 	mu      sync.Mutex // guards classes; the counters in it are atomic
 	classes []*ClassCounters
