--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -12,27 +12,27 @@
 	req.attempts.markEnded()
 	duration := ev.attempt.StreamLatency
 	if duration > 0 {
-		l.endStream(req, ev.result.Outcome)
+		l.endStream(req, ev.ending.Result)
 	} else if !ev.endedAt.IsZero() {
 		duration = l.clock.milliseconds(ev.endedAt) - ev.attempt.SentAt
 	}
 	l.logFailedAttempt(req, &ev, duration)
-	l.finishWithResult(req, &ev.result)
+	l.finishWithEnding(req, &ev.ending)
 	l.notifyBalancer(outcomeOf(ev, duration, !req.open()))
 	l.releaseIfEnded(req)
 }
 
-// finishWithResult finishes a request if the result of an attempt settles it. Otherwise the balancer decides whether the
+// finishWithEnding finishes a request if the result of an attempt settles it. Otherwise the balancer decides whether the
 // request is retried.
-func (l *Loop) finishWithResult(req *request, result *upstream.Result) {
-	if result.Outcome == balance.OK {
-		l.finish(req, result.Response)
+func (l *Loop) finishWithEnding(req *request, ending *upstream.Ending) {
+	if ending.Result == balance.OK {
+		l.finish(req, ending.Response)
 	}
-	if result.ClientDisconnected {
+	if ending.ClientDisconnected {
 		l.abortDisconnected(req)
 	}
-	if result.UploadError != nil {
-		l.failUpload(req, result.UploadError)
+	if ending.UploadError != nil {
+		l.failUpload(req, ending.UploadError)
 	}
 }
 
@@ -42,11 +42,11 @@
 	outcome := balance.Outcome{
 		Request:    attempt.RequestID,
 		Attempt:    attempt.Number,
-		Result:     ev.result.Outcome,
+		Result:     ev.ending.Result,
 		Duration:   duration,
 		Finished:   finished,
 		NoRetry:    attempt.NoRetry,
-		LoadReport: ev.result.LoadReport,
+		LoadReport: ev.ending.LoadReport,
 	}
 	if upload := attempt.Message.Upload; upload != nil && upload.Discarded.Load() {
 		outcome.NoRetry = true
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -18,12 +18,12 @@
 	attempt := l.newAttempt(req, action)
 	req.attempts.add(attempt)
 	if !req.open() || attempt.Endpoint == nil || req.attempts.overLimit() {
-		l.inbox.postLocal(attemptEnd{attempt: attempt, result: upstream.Result{Outcome: balance.NotAttempted}})
+		l.inbox.postLocal(attemptEnd{attempt: attempt, ending: upstream.Ending{Result: balance.NotAttempted}})
 		return
 	}
 	l.running.Go(func() {
-		result := l.upstreamClient.Do(attempt)
-		l.inbox.post(attemptEnd{attempt: attempt, result: result, endedAt: time.Now()})
+		ending := l.upstreamClient.Do(attempt)
+		l.inbox.post(attemptEnd{attempt: attempt, ending: ending, endedAt: time.Now()})
 	})
 }
 
--- a/internal/eventloop/events_upstream.go
+++ b/internal/eventloop/events_upstream.go
@@ -57,7 +57,7 @@
 // attemptEnd is the end of an attempt.
 type attemptEnd struct {
 	attempt *upstream.Attempt
-	result  upstream.Result
+	ending  upstream.Ending
 	endedAt time.Time // zero for an attempt that was not made
 }
 
@@ -66,15 +66,15 @@
 // healthCheckEnd is the end of a health check.
 type healthCheckEnd struct {
 	endpoint *upstream.Endpoint
-	result   upstream.Result
+	ending   upstream.Ending
 	duration balance.Milliseconds
 }
 
 func (ev healthCheckEnd) apply(l *Loop) {
 	l.notifyBalancer(balance.HealthCheckResult{
 		Endpoint:   ev.endpoint.ID,
-		Result:     ev.result.Outcome,
+		Result:     ev.ending.Result,
 		Duration:   ev.duration,
-		LoadReport: ev.result.LoadReport,
+		LoadReport: ev.ending.LoadReport,
 	})
 }
--- a/internal/eventloop/finish.go
+++ b/internal/eventloop/finish.go
@@ -9,7 +9,7 @@
 
 // finish gives a request its final response, or none (nil) if the client side has ended it. Only the first call for a request
 // has an effect, and a nil request is ignored. This is the only place that sends a response to a client: a good one comes
-// from finishWithResult or startStream, all others from unserved.go.
+// from finishWithEnding or startStream, all others from unserved.go.
 func (l *Loop) finish(req *request, response *exchange.Response) {
 	if req == nil || !req.open() {
 		return
--- a/internal/eventloop/finish_test.go
+++ b/internal/eventloop/finish_test.go
@@ -58,7 +58,7 @@
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
 	responses := req.exchange.Responses
-	l.finishWithResult(req, &upstream.Result{Outcome: balance.NotAttempted, ClientDisconnected: true})
+	l.finishWithEnding(req, &upstream.Ending{Result: balance.NotAttempted, ClientDisconnected: true})
 	select {
 	case response := <-responses:
 		if !response.Abort {
--- a/internal/eventloop/healthchecks.go
+++ b/internal/eventloop/healthchecks.go
@@ -14,8 +14,8 @@
 	}
 	sentAt := l.clock.now
 	l.running.Go(func() {
-		result := l.upstreamClient.CheckHealth(l.ctx, endpoint)
+		ending := l.upstreamClient.CheckHealth(l.ctx, endpoint)
 		duration := l.clock.milliseconds(time.Now()) - sentAt
-		l.inbox.post(healthCheckEnd{endpoint: endpoint, result: result, duration: duration})
+		l.inbox.post(healthCheckEnd{endpoint: endpoint, ending: ending, duration: duration})
 	})
 }
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -9,7 +9,7 @@
 // logFailedAttempt logs an attempt that brought no good response. duration is from its sending to its end, or to the start of
 // its response if that was streamed.
 func (l *Loop) logFailedAttempt(req *request, ev *attemptEnd, duration balance.Milliseconds) {
-	if ev.result.Outcome == balance.OK {
+	if ev.ending.Result == balance.OK {
 		return
 	}
 	endpoint := ""
@@ -18,8 +18,8 @@
 	}
 	l.log.Info("attempt failed",
 		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "endpoint", endpoint,
-		"outcome", ev.result.Outcome, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
-		"client_disconnected", ev.result.ClientDisconnected, "request_done", !req.open(), "error", ev.result.Err)
+		"outcome", ev.ending.Result, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
+		"client_disconnected", ev.ending.ClientDisconnected, "request_done", !req.open(), "error", ev.ending.Err)
 }
 
 // logUnserved logs why a request gets no endpoint's response. It logs nothing if the request has its final response already.
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -42,14 +42,14 @@
 	}
 
 	end := attemptEnd{attempt: attempt, endedAt: time.Now()}
-	end.result.Outcome = balance.OK
+	end.ending.Result = balance.OK
 	end.apply(l)
 	expectState(t, req, stateDone)
 	if pending := l.metrics.PendingRequests.Load(); pending != 0 || l.requests.byID[req.id] == nil {
 		t.Errorf("%d pending requests after the response, known %v, want none, known", pending, l.requests.byID[req.id] != nil)
 	}
 
-	end.attempt, end.result.Outcome = cancelled, balance.Cancelled
+	end.attempt, end.ending.Result = cancelled, balance.Cancelled
 	end.apply(l)
 	expectState(t, req, stateReleased)
 	if len(l.requests.byID) != 0 {
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/attemptresult.go
@@ -16,51 +16,51 @@
 	neverRan       = "1"
 )
 
-// connectOutcome is the outcome of a health check that got no connection. A failure of this side is NotAttempted, which
+// connectResult is the result of a health check that got no connection. A failure of this side is NotAttempted, which
 // does not count against the endpoint.
-func connectOutcome(ctx context.Context, err error) balance.Result {
+func connectResult(ctx context.Context, err error) balance.Result {
 	if ctx.Err() != nil || errors.Is(err, errNoSocket) {
 		return balance.NotAttempted
 	}
 	return balance.ConnectFailed
 }
 
-// connectOutcome is the outcome of an attempt that got no connection. One whose time ended meanwhile says nothing of the
+// connectResult is the result of an attempt that got no connection. One whose time ended meanwhile says nothing of the
 // endpoint, which may have got less time than the timeout of connections.
-func (a *Attempt) connectOutcome(err error) balance.Result {
+func (a *Attempt) connectResult(err error) balance.Result {
 	if a.expired() {
 		return balance.NotAttempted
 	}
-	return connectOutcome(a.Context, err)
+	return connectResult(a.Context, err)
 }
 
-// writeOutcome is the outcome of an attempt whose request could not be written completely, so that it was not executed.
-func (a *Attempt) writeOutcome(err error) balance.Result {
+// writeResult is the result of an attempt whose request could not be written completely, so that it was not executed.
+func (a *Attempt) writeResult(err error) balance.Result {
 	if a.Context.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return balance.NotAttempted
 	}
 	return balance.ConnectFailed
 }
 
-// readOutcome is the outcome of an attempt whose request was written completely, but whose response is incomplete: the
+// readResult is the result of an attempt whose request was written completely, but whose response is incomplete: the
 // request may have been executed.
-func (a *Attempt) readOutcome(err error) balance.Result {
+func (a *Attempt) readResult(err error) balance.Result {
 	if a.Context.Err() != nil {
 		return balance.Cancelled
 	}
-	return readOutcome(err)
+	return readResult(err)
 }
 
-// readOutcome is the outcome that an error from reading a response stands for.
-func readOutcome(err error) balance.Result {
+// readResult is the result that an error from reading a response stands for.
+func readResult(err error) balance.Result {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return balance.TimedOut
 	}
 	return balance.ConnReset
 }
 
-// streamOutcome is the outcome of an attempt whose response was streamed until err; nil: completely.
-func (a *Attempt) streamOutcome(err error) balance.Result {
+// streamResult is the result of an attempt whose response was streamed until err; nil: completely.
+func (a *Attempt) streamResult(err error) balance.Result {
 	switch {
 	case errors.Is(err, exchange.ErrDownloadStopped) || a.Context.Err() != nil:
 		return balance.Cancelled
@@ -70,8 +70,8 @@
 	return balance.OK
 }
 
-// statusOutcome is the outcome that the status of a response stands for.
-func statusOutcome(response *http.Response) balance.Result {
+// statusResult is the result that the status of a response stands for.
+func statusResult(response *http.Response) balance.Result {
 	switch response.StatusCode {
 	case http.StatusOK:
 		return balance.OK
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,7 +18,7 @@
 // Client sends attempts and health checks to endpoints. Its methods may be called from any goroutine.
 type Client struct {
 	pool       *Pool
-	loadFields []string // names of the figures of a load report, in the order of Result.LoadReport
+	loadFields []string // names of the figures of a load report, in the order of Ending.LoadReport
 	checkPath  string   // path of the requests of health checks
 
 	metrics *metrics.Metrics
@@ -35,13 +35,13 @@
 
 // Do makes an attempt and returns how it ended, which is at its deadline or soon after its cancellation at the latest
 // unless it streams the response.
-func (c *Client) Do(attempt *Attempt) Result {
+func (c *Client) Do(attempt *Attempt) Ending {
 	if attempt.obsolete() {
-		return Result{Outcome: balance.NotAttempted}
+		return Ending{Result: balance.NotAttempted}
 	}
 	conn, err := c.pool.get(attempt.Context, attempt.Endpoint, attempt.Deadline)
 	if err != nil {
-		return Result{Outcome: attempt.connectOutcome(err), Err: err}
+		return Ending{Result: attempt.connectResult(err), Err: err}
 	}
 	// Guards against executing a request for a client that has disconnected, or at an endpoint that drains, because that happened
 	// while the connection was being opened. The last check before the first byte asks the kernel about the client: the
@@ -49,18 +49,18 @@
 	clientDisconnected := attempt.Message.ClientDisconnected()
 	if clientDisconnected || attempt.mustNotSend() {
 		c.pool.put(conn)
-		return Result{Outcome: balance.NotAttempted, ClientDisconnected: clientDisconnected}
+		return Ending{Result: balance.NotAttempted, ClientDisconnected: clientDisconnected}
 	}
 	end := interruptible(attempt.Context, conn, attempt.Deadline, func() exchangeEnd { return c.exchange(attempt, conn) })
 	return c.finish(conn, end)
 }
 
 // finish ends the use of a connection and returns the result of its exchange.
-func (c *Client) finish(conn *endpointConn, end exchangeEnd) Result {
+func (c *Client) finish(conn *endpointConn, end exchangeEnd) Ending {
 	if end.reusable {
 		c.pool.put(conn)
 	} else {
 		c.pool.closeConn(conn)
 	}
-	return end.result
+	return end.ending
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -52,9 +52,9 @@
 		endpoint.Address.CompareAndSwap(endpoint.Address.Load(), &moved.Addr)
 		client.pool.AfterDial = nil
 	}
-	result := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
-	if string(result.Response.Body) != "new" || len(old.Requests()) > 0 {
-		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0", result.Response.Body, len(old.Requests()))
+	ending := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
+	if string(ending.Response.Body) != "new" || len(old.Requests()) > 0 {
+		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0", ending.Response.Body, len(old.Requests()))
 	}
 	if client.pool.open != 1 {
 		t.Errorf("%d connections are open, want 1", client.pool.open)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,13 +11,13 @@
 
 // exchangeEnd is how an exchange of a request and a response ended.
 type exchangeEnd struct {
-	result   Result
+	ending   Ending
 	reusable bool // the connection may carry another request
 }
 
 // failedExchange is the end of an exchange without a complete response. Its connection must be closed.
-func failedExchange(outcome balance.Result, err error) exchangeEnd {
-	return exchangeEnd{result: Result{Outcome: outcome, Err: err}}
+func failedExchange(result balance.Result, err error) exchangeEnd {
+	return exchangeEnd{ending: Ending{Result: result, Err: err}}
 }
 
 // interruptible runs an exchange until a deadline. The end of ctx interrupts it: everything that reads from or writes to the
@@ -48,12 +48,12 @@
 	// Guards against a retry of a request that was executed: with one write, the number of bytes that the kernel accepted
 	// shows whether the last byte was sent.
 	if written, err := conn.Write(request); written < len(request) {
-		return failedExchange(attempt.writeOutcome(err), err)
+		return failedExchange(attempt.writeResult(err), err)
 	}
 	c.metrics.Attempts.Add(1)
 	response, err := conn.reader.Next(attempt.Message.Method, deadlineObserver{attempt, conn})
 	if err != nil {
-		return failedExchange(attempt.readOutcome(err), err)
+		return failedExchange(attempt.readResult(err), err)
 	}
 	return c.conclude(attempt, conn, response)
 }
@@ -78,9 +78,9 @@
 		end.reusable = end.reusable && sent
 		return end
 	case sent:
-		return failedExchange(attempt.readOutcome(err), err)
+		return failedExchange(attempt.readResult(err), err)
 	default:
-		return exchangeEnd{result: upload.incompleteResult(attempt, err)}
+		return exchangeEnd{ending: upload.incompleteResult(attempt, err)}
 	}
 }
 
@@ -94,18 +94,18 @@
 
 // conclude returns the end of an exchange with a response. A streamed response has gone to the client when it returns.
 func (c *Client) conclude(attempt *Attempt, conn *endpointConn, response http1.Response) exchangeEnd {
-	result := Result{Outcome: statusOutcome(response.Head), LoadReport: loadReportFrom(response.Head, c.loadFields)}
-	if result.Outcome != balance.OK {
-		return exchangeEnd{result, !response.Streaming && conn.reusableAfter(response)}
+	ending := Ending{Result: statusResult(response.Head), LoadReport: loadReportFrom(response.Head, c.loadFields)}
+	if ending.Result != balance.OK {
+		return exchangeEnd{ending, !response.Streaming && conn.reusableAfter(response)}
 	}
 	response.Head.Header.Del(LoadReportHeader)
 	http1.RemoveHopHeaders(response.Head.Header)
 	if !response.Streaming {
-		result.Response = forClient(response)
-		return exchangeEnd{result, conn.reusableAfter(response)}
+		ending.Response = forClient(response)
+		return exchangeEnd{ending, conn.reusableAfter(response)}
 	}
 	err := stream(attempt, conn, response)
-	result.Outcome = attempt.streamOutcome(err)
-	result.Err = err
-	return exchangeEnd{result, err == nil && conn.reusableAfter(response)}
+	ending.Result = attempt.streamResult(err)
+	ending.Err = err
+	return exchangeEnd{ending, err == nil && conn.reusableAfter(response)}
 }
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -24,9 +24,9 @@
 	t.Cleanup(func() { fault.Use(nil) })
 	const attempts = 20
 	for range attempts {
-		result := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
-		if result.Response == nil || string(result.Response.Body) != "served" {
-			t.Fatalf("got %+v, want the body \"served\"", result)
+		ending := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
+		if ending.Response == nil || string(ending.Response.Body) != "served" {
+			t.Fatalf("got %+v, want the body \"served\"", ending)
 		}
 	}
 	if requests := server.Requests(); len(requests) != attempts {
@@ -54,10 +54,10 @@
 			}
 			return nil
 		}})
-		result := client.Do(newAttempt(newEndpoint(server.Addr), sidecartest.Timeout))
+		ending := client.Do(newAttempt(newEndpoint(server.Addr), sidecartest.Timeout))
 		fault.Use(nil)
-		if result.Outcome != want || !result.Outcome.NeverExecuted() || client.pool.open != 0 {
-			t.Errorf("%v: %v with %d connections open, want %v and none", errno, result.Outcome, client.pool.open, want)
+		if ending.Result != want || !ending.Result.NeverExecuted() || client.pool.open != 0 {
+			t.Errorf("%v: %v with %d connections open, want %v and none", errno, ending.Result, client.pool.open, want)
 		}
 	}
 }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -15,15 +15,15 @@
 
 // CheckHealth makes a health check of an endpoint and returns how it ended. It may take the time for a connection and
 // healthCheckSlack. Its result has no Response.
-func (c *Client) CheckHealth(ctx context.Context, endpoint *Endpoint) Result {
+func (c *Client) CheckHealth(ctx context.Context, endpoint *Endpoint) Ending {
 	deadline := time.Now().Add(c.pool.connectTimeout + healthCheckSlack)
 	conn, err := c.pool.get(ctx, endpoint, deadline)
 	if err != nil {
-		return Result{Outcome: connectOutcome(ctx, err)}
+		return Ending{Result: connectResult(ctx, err)}
 	}
 	if endpoint.Closed.Load() { // it began to drain while the connection was opened
 		c.pool.put(conn)
-		return Result{Outcome: balance.NotAttempted}
+		return Ending{Result: balance.NotAttempted}
 	}
 	end := interruptible(ctx, conn, deadline, func() exchangeEnd { return c.requestHealth(conn) })
 	return c.finish(conn, end)
@@ -36,19 +36,19 @@
 	}
 	response, err := conn.reader.Next(http.MethodGet, http1.IgnoreProgress{})
 	if err != nil {
-		return failedExchange(readOutcome(err), err)
+		return failedExchange(readResult(err), err)
 	}
 	return exchangeEnd{c.healthResult(response), conn.reusableAfter(response)}
 }
 
 // healthResult returns the result of a health check. The load report is in the header or in the body.
-func (c *Client) healthResult(response http1.Response) Result {
-	result := Result{Outcome: balance.ServerError, LoadReport: loadReportFrom(response.Head, c.loadFields)}
-	if result.LoadReport == nil {
-		result.LoadReport = parseLoadReport(string(response.Body), c.loadFields)
+func (c *Client) healthResult(response http1.Response) Ending {
+	ending := Ending{Result: balance.ServerError, LoadReport: loadReportFrom(response.Head, c.loadFields)}
+	if ending.LoadReport == nil {
+		ending.LoadReport = parseLoadReport(string(response.Body), c.loadFields)
 	}
 	if response.Head.StatusCode == http.StatusOK {
-		result.Outcome = balance.OK
+		ending.Result = balance.OK
 	}
-	return result
+	return ending
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -51,12 +51,12 @@
 }
 
 // expectOutcome makes an attempt, checks its outcome and returns its result.
-func expectOutcome(t *testing.T, client *Client, attempt *Attempt, want balance.Result) Result {
+func expectOutcome(t *testing.T, client *Client, attempt *Attempt, want balance.Result) Ending {
 	t.Helper()
-	result := client.Do(attempt)
+	ending := client.Do(attempt)
 	attempt.Cancel()
-	if result.Outcome != want {
-		t.Errorf("outcome %d, want %d", result.Outcome, want)
+	if ending.Result != want {
+		t.Errorf("outcome %d, want %d", ending.Result, want)
 	}
-	return result
+	return ending
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -69,8 +69,8 @@
 	}
 	defer client.pool.closeConn(conn)
 	expectOutcome(t, client, newAttempt(newEndpoint(second.Addr), sidecartest.Timeout), balance.NotAttempted)
-	if result := client.CheckHealth(context.Background(), newEndpoint(second.Addr)); result.Outcome != balance.NotAttempted {
-		t.Errorf("health check without a socket: outcome %d, want %d", result.Outcome, balance.NotAttempted)
+	if ending := client.CheckHealth(context.Background(), newEndpoint(second.Addr)); ending.Result != balance.NotAttempted {
+		t.Errorf("health check without a socket: outcome %d, want %d", ending.Result, balance.NotAttempted)
 	}
 }
 
@@ -83,8 +83,8 @@
 	client := newTestClient(t, 500)
 	endpoint := newEndpoint(server.Addr)
 	for range 2 {
-		if result := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK); result.Response != nil && len(result.Response.Body) != 0 {
-			t.Errorf("got the body %q, want an empty one", result.Response.Body)
+		if ending := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK); ending.Response != nil && len(ending.Response.Body) != 0 {
+			t.Errorf("got the body %q, want an empty one", ending.Response.Body)
 		}
 	}
 }
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -70,9 +70,9 @@
 			}
 			server := sidecartest.NewScriptedServer(t, step)
 			client := newTestClient(t, 500)
-			result := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
-			if result.Response == nil || string(result.Response.Body) != "served" || result.LoadReport != nil {
-				t.Errorf("got %+v, want the body \"served\" and no load report", result)
+			ending := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
+			if ending.Response == nil || string(ending.Response.Body) != "served" || ending.LoadReport != nil {
+				t.Errorf("got %+v, want the body \"served\" and no load report", ending)
 			}
 			if client.pool.open != test.open {
 				t.Errorf("%d connections are open, want %d", client.pool.open, test.open)
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -112,17 +112,17 @@
 
 // incompleteResult returns the result of an attempt whose response could not be read because of err, and whose upload was
 // stopped before the last byte was written.
-func (w *uploadWriter) incompleteResult(attempt *Attempt, err error) Result {
+func (w *uploadWriter) incompleteResult(attempt *Attempt, err error) Ending {
 	if attempt.Context.Err() != nil {
-		return Result{Outcome: balance.Cancelled}
+		return Ending{Result: balance.Cancelled}
 	}
 	select {
 	case <-w.done:
 		var clientError exchange.ClientError
 		if errors.As(w.err, &clientError) {
-			return Result{Outcome: balance.NotAttempted, UploadError: clientError, Err: w.err}
+			return Ending{Result: balance.NotAttempted, UploadError: clientError, Err: w.err}
 		}
 	case <-time.After(earlyResponseGrace): // the writer waits for the client, and ends when more of the body comes
 	}
-	return Result{Outcome: balance.ConnectFailed, Err: err}
+	return Ending{Result: balance.ConnectFailed, Err: err}
 }
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -116,9 +116,9 @@
 		server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 		client := newTestClient(t, 500)
 		unwrapped := func(tcp *net.TCPConn) net.Conn { return tcp }
-		result := expectOutcome(t, client, newUploadAttempt(t, client, newEndpoint(server.Addr), unwrapped, func() error { return err }), balance.NotAttempted)
-		if !errors.Is(result.UploadError, err) {
-			t.Errorf("upload error %v, want %v", result.UploadError, err)
+		ending := expectOutcome(t, client, newUploadAttempt(t, client, newEndpoint(server.Addr), unwrapped, func() error { return err }), balance.NotAttempted)
+		if !errors.Is(ending.UploadError, err) {
+			t.Errorf("upload error %v, want %v", ending.UploadError, err)
 		}
 		if got := len(server.Requests()); got != 0 {
 			t.Errorf("%v: the server received %d complete requests, want 0", err, got)
