--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -20,10 +20,14 @@
 }
 
 // TestJudgeCatchesEachFault checks that a run with sidecars which break a rule on purpose is caught by that rule, and that one
-// without a fault breaks none.
+// without a fault breaks none. Sidecars, endpoints and clients of a run share this process. The run without a fault has it for
+// itself: beside the others, its endpoints read requests late, which the judge takes for time that the sidecar lost.
 func TestJudgeCatchesEachFault(t *testing.T) {
+	t.Run(string(rogueNone), func(t *testing.T) {
+		records := runRogue(t, rogueNone)
+		reportViolations(t, records, Judge(records))
+	})
 	for fault, rule := range map[rogueFault]Rule{
-		rogueNone:        "",
 		rogueCloses:      RuleResponse,
 		rogueTruncates:   RuleResponse,
 		rogueMixes:       RuleResponse,
@@ -40,19 +44,20 @@
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
-			plan := quietPlan()
-			records, err := Run(plan, launchRogue(fault), t.TempDir())
-			if err != nil {
-				t.Fatal(err)
-			}
-			violations := Judge(records)
-			if rule == "" {
-				reportViolations(t, records, violations)
-				return
-			}
+			violations := Judge(runRogue(t, fault))
 			if !slices.ContainsFunc(violations, func(v Violation) bool { return v.Rule == rule }) {
 				t.Errorf("%d violations, none of rule %q", len(violations), rule)
 			}
 		})
 	}
 }
+
+// runRogue returns the records of a quiet run with sidecars that commit a fault.
+func runRogue(t *testing.T, fault rogueFault) *Records {
+	t.Helper()
+	records, err := Run(quietPlan(), launchRogue(fault), t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return records
+}
