--- a/internal/eventloop/gauges.go
+++ b/internal/eventloop/gauges.go
@@ -19,6 +19,7 @@
 
 // publishGauges stores the gauges that only the loop can compute.
 func (l *Loop) publishGauges() {
-	l.metrics.Endpoints.Store(int64(l.endpoints.len()))
+	// In this order, a reader that finds new endpoints counted finds the unavailable ones among them counted too.
 	l.metrics.UnavailableEndpoints.Store(int64(l.balancer.UnavailableCount(l.clock.now)))
+	l.metrics.Endpoints.Store(int64(l.endpoints.len()))
 }
