--- a/internal/exchange/download.go
+++ b/internal/exchange/download.go
@@ -6,22 +6,22 @@
 	"io"
 )
 
-// ErrDownloadStopped is the error of a Download whose rest is not read: its client has disconnected or does not accept it, or
-// the response is not forwarded to a client at all.
+// ErrDownloadStopped reports that the rest of a Download is not read: the client disconnected or stopped accepting
+// bytes, or the response is not forwarded to a client at all.
 var ErrDownloadStopped = errors.New("client stopped reading the response")
 
-// Download is the rest of a response that is too long to be buffered: it is copied to the client while it arrives. The
-// client side reads it; the attempt that it comes from stays open until Done has a value.
+// Download is the body of a response that is too long to be buffered. It is copied to the client while it arrives. The
+// client side reads it; the attempt that received the response stays open until Done has a value.
 type Download struct {
-	FirstBytes     []byte             // the part of the body that was read before the response was passed on
-	Body           io.Reader          // the part of the body that is still to come
-	ExtendDeadline func()             // gives the endpoint StallTimeout for the next bytes
-	Length         int64              // length of the complete body in bytes as the endpoint declared it; -1: none declared
-	Cancel         context.CancelFunc // ends the attempt
+	FirstBytes     []byte             // the part of the body that was read before the Response was delivered
+	Body           io.Reader          // the rest of the body, read from the endpoint
+	ExtendDeadline func()             // allows the endpoint StallTimeout for the next bytes
+	Length         int64              // length of the complete body in bytes declared by the endpoint; -1 if it declared none
+	Cancel         context.CancelFunc // cancels the attempt
 	Done           chan error         // receives how the download ended; buffered for one value
 }
 
-// Finish records how the download ended, nil for success. Only the first call has an effect. Any goroutine may call it.
+// Finish records how the download ended; nil means success. Only the first call has an effect. Any goroutine may call it.
 func (d *Download) Finish(err error) {
 	select {
 	case d.Done <- err:
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -7,25 +7,25 @@
 	"cindersaddle/balance"
 )
 
-// Exchange is one request of a client on its way through the sidecar. The client side creates it and hands it to the event
-// loop, which owns it from then on and sends exactly one Response, or none if the client has disconnected.
+// Exchange is one request of a client while the sidecar handles it. The client side creates it and hands it to the event
+// loop, which then owns it and sends exactly one Response, or none if the client has disconnected.
 type Exchange struct {
-	TraceID    string          // the client's identifier of the request
-	Request    balance.Request // the event for the balancer; ID is set by the event loop, Remaining counts from ReceivedAt
-	Message    *Message        // what is sent to an endpoint
-	ReceivedAt time.Time       // when its last byte was read; of an Upload, when its first part was
-	Responses  chan *Response  // receives the final response; buffered for one
-	Settings   *Settings       // the settings in force when it was read
+	TraceID    string          // the client's identifier of the request, from X-Trace-Id
+	Request    balance.Request // event for the balancer; the event loop sets ID; Remaining counts from ReceivedAt
+	Message    *Message        // the HTTP request that is sent to endpoints
+	ReceivedAt time.Time       // when its last byte was read; for an Upload, when its first part was read
+	Responses  chan *Response  // receives the final response; buffered for one value
+	Settings   *Settings       // settings that were in effect when it was read
 }
 
 // Response is the final response to a client.
 type Response struct {
 	Status    int // HTTP status
 	Header    http.Header
-	Body      []byte    // empty if there is a Download
-	CloseConn bool      // the client's connection is closed after it
-	Download  *Download // the body of a long response; nil: Body is complete
-	// Abort closes the connection without a response, because its client has disconnected. The client side cannot rely on
-	// noticing that itself: net/http stops watching a connection when a byte follows the request.
+	Body      []byte    // empty if Download is set
+	CloseConn bool      // close the client's connection after this response
+	Download  *Download // body of a streamed response; nil if Body is complete
+	// Abort closes the connection without a response because the client has disconnected. The client side cannot rely on
+	// detecting that itself: net/http stops monitoring a connection when a byte follows the request.
 	Abort bool
 }
--- a/internal/exchange/expiry_test.go
+++ b/internal/exchange/expiry_test.go
@@ -9,8 +9,8 @@
 	"cindersaddle/balance"
 )
 
-// A client states its deadline as text, which may be missing, longer than the class allows, or nonsense. Nonsense must not
-// become a deadline that never ends, as an infinite or a negative number would.
+// TestParseExpiry checks valid, missing and invalid values of ExpiryHeader. The limit of the class bounds a valid value. An
+// invalid one, such as an infinite or a negative number, must be rejected: it would become a deadline that never expires.
 func TestParseExpiry(t *testing.T) {
 	const limit balance.Milliseconds = 500
 	for text, want := range map[string]balance.Milliseconds{
@@ -31,7 +31,7 @@
 	}
 }
 
-// The value that goes to an endpoint is read back as the same time, and is never zero.
+// TestFormatExpiry checks that the header value sent to an endpoint is in microseconds and never less than one.
 func TestFormatExpiry(t *testing.T) {
 	for remaining, want := range map[time.Duration]string{
 		480 * time.Millisecond: "480000u", 1500 * time.Nanosecond: "1u", 0: "1u", -time.Second: "1u",
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Message is the part of a client's request that is sent to an endpoint. It does not change once the event loop has it; several
-// attempts may read it together.
+// Message is the HTTP request that is sent to endpoints. It does not change once the event loop owns its Exchange; several
+// attempts may read it concurrently.
 type Message struct {
 	Method     string
-	RequestURI string // as the client wrote it
+	RequestURI string // exactly as the client sent it
 	Host       string
 	Header     http.Header
 	Body       []byte
-	Upload     *Upload // the body if it is too long to be buffered, in place of Body
-	// ClientDisconnected checks the connection for a close by the client that the event loop may not have seen yet. It may
-	// discard bytes that the client sent after the request.
+	Upload     *Upload // replaces Body if the body is too long to be buffered
+	// ClientDisconnected reports whether the client has closed its connection, which the event loop may not know yet.
+	// It may discard bytes that the client sent after the request.
 	ClientDisconnected func() bool
 }
 
-// Encode returns the message in HTTP/1.1 form, with the time that remains until the deadline in ExpiryHeader.
+// Encode returns the message in HTTP/1.1 format. ExpiryHeader holds the time that remains until the deadline.
 func (m *Message) Encode(deadline time.Time) ([]byte, error) {
 	var body io.ReadCloser
 	if len(m.Body) > 0 {
@@ -37,12 +37,12 @@
 	return encoded.Bytes(), nil
 }
 
-// NewRequest returns the message as a request with the given body, whose length in bytes is -1 if it is unknown. The
-// remaining time goes to the endpoint in ExpiryHeader, as one microsecond at least.
+// NewRequest returns the message as an http.Request with the given body. length is the length of the body in bytes, or -1
+// if it is unknown. ExpiryHeader holds the remaining time, at least one microsecond.
 func (m *Message) NewRequest(remaining time.Duration, body io.ReadCloser, length int64) *http.Request {
 	req := &http.Request{
 		Method: m.Method,
-		URL:    &url.URL{Opaque: m.RequestURI}, // written as it is, without cleaning
+		URL:    &url.URL{Opaque: m.RequestURI}, // written as it is, without normalization
 		Header: m.Header.Clone(),
 		Host:   m.Host,
 	}
--- a/internal/exchange/replaybuffer.go
+++ b/internal/exchange/replaybuffer.go
@@ -6,20 +6,22 @@
 )
 
 const (
-	// MaxReplayBytes is how many bytes of one upload are buffered for another attempt.
+	// MaxReplayBytes is the maximum number of bytes of one upload that are buffered for another attempt.
 	MaxReplayBytes = 1 << 20
-	// replayMemoryDivisor is the part of the memory limit, one in so many bytes, that the buffers of all uploads may have.
+	// replayMemoryDivisor divides the memory limit into the share that the buffers of all uploads may occupy.
 	replayMemoryDivisor = 8
-	// unlimitedReplayBytes is the budget of a process without a memory limit.
+	// unlimitedReplayBytes is the budget in bytes if the process has no memory limit.
 	unlimitedReplayBytes = math.MaxInt32
-	// bytesPerMegabyte converts the memory limit of the configuration.
+	// bytesPerMegabyte converts the memory limit, which is configured in megabytes.
 	bytesPerMegabyte = 1 << 20
 )
 
-// BufferBudget is the number of bytes that all uploads together may still buffer. It is safe for concurrent use.
-type BufferBudget struct{ Remaining atomic.Int64 }
+// BufferBudget limits the bytes that all uploads together may buffer. It is safe for concurrent use.
+type BufferBudget struct {
+	Remaining atomic.Int64 // bytes that may still be buffered
+}
 
-// ReplayBufferBytes returns the budget in bytes for a memory limit in megabytes; 0 or less: there is no limit.
+// ReplayBufferBytes returns the budget in bytes for a memory limit in megabytes. A limit of 0 or less means no limit.
 func ReplayBufferBytes(memoryMB float64) int64 {
 	if memoryMB <= 0 {
 		return unlimitedReplayBytes
@@ -27,7 +29,7 @@
 	return int64(memoryMB * bytesPerMegabyte / replayMemoryDivisor)
 }
 
-// reserve takes n bytes from the budget and reports whether there were as many.
+// reserve takes n bytes from the budget. It reports false, and takes nothing, if fewer remain.
 func (b *BufferBudget) reserve(n int) bool {
 	if b.Remaining.Add(-int64(n)) >= 0 {
 		return true
@@ -39,8 +41,8 @@
 // release returns n bytes to the budget.
 func (b *BufferBudget) release(n int) { b.Remaining.Add(int64(n)) }
 
-// buffer appends bytes for another attempt, or discards the buffer if a limit is reached. The caller holds mu.
-func (u *Upload) buffer(p []byte) {
+// bufferForReplay buffers p for another attempt, or discards the buffer if a limit would be exceeded. The caller holds mu.
+func (u *Upload) bufferForReplay(p []byte) {
 	if u.Discarded.Load() || len(p) == 0 {
 		return
 	}
@@ -52,7 +54,7 @@
 	u.reserved += len(p)
 }
 
-// discardBuffer frees the buffer. The caller holds mu.
+// discardBuffer frees the buffer and returns its bytes to the budget. The caller holds mu.
 func (u *Upload) discardBuffer() {
 	u.Discarded.Store(true)
 	u.buffered = nil
--- a/internal/exchange/service.go
+++ b/internal/exchange/service.go
@@ -3,13 +3,13 @@
 import "sync/atomic"
 
 // ServiceState is the state of the process that the event loop, the client side and the admin server share. Any goroutine
-// may read it. Settings and Ready are written by the event loop, the other fields by package sidecar.
+// may read it. The event loop writes Settings and Ready; package sidecar writes the other fields.
 type ServiceState struct {
-	Settings     atomic.Pointer[Settings]      // for new requests
+	Settings     atomic.Pointer[Settings]      // apply to new requests
 	Ready        atomic.Bool                   // the endpoint list is not empty
-	ShuttingDown atomic.Bool                   // connections end with their next response
-	Shutdown     atomic.Pointer[ShutdownTimes] // its limits; nil before it begins
+	ShuttingDown atomic.Bool                   // connections are closed after their next response
+	Shutdown     atomic.Pointer[ShutdownTimes] // time limits of the shutdown; nil before it begins
 }
 
-// IsReady reports whether there are endpoints to send to and the sidecar does not shut down.
+// IsReady reports whether the endpoint list is not empty and the sidecar is not shutting down.
 func (s *ServiceState) IsReady() bool { return s.Ready.Load() && !s.ShuttingDown.Load() }
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -6,22 +6,23 @@
 	"cindersaddle/internal/metrics"
 )
 
-// noIndex stands for the index of a name that earlier settings did not have.
+// noIndex is the index of a name that is not in the previous table.
 const noIndex = -1
 
-// Settings are the part of the configuration that a request is read and handled under. They do not change: a new
-// configuration has Settings of its own, and requests that were read before it are handled under the earlier ones. Any goroutine may read them.
+// Settings are the part of the configuration that applies to requests. They are immutable: a new configuration creates new
+// Settings, and requests that were read before keep the Settings that they were read with. Any goroutine may read them.
 type Settings struct {
-	ClassIndex  map[string]int           // index in ClassNames and Classes by name
+	ClassIndex  map[string]int           // index in ClassNames and Classes, by name
 	ClassNames  []string                 // in the order of Classes
-	Classes     []balance.Class          // as the balancer has them
+	Classes     []balance.Class          // in the order of the balancer's classes
 	Counters    []*metrics.ClassCounters // in the order of Classes
-	TenantIndex map[string]int           // index in TenantNames by name
+	TenantIndex map[string]int           // index in TenantNames, by name
 	TenantNames []string                 // in the order of the balancer's tenants
-	MaxAttempts int                      // most attempts of one request
+	MaxAttempts int                      // maximum number of attempts per request
 }
 
-// NewSettings returns the settings of a configuration, with counters for each of its classes.
+// NewSettings returns the settings of a configuration. It registers counters for each of its classes in registry, which may
+// drop counters of other classes.
 func NewSettings(cfg *config.Config, registry *metrics.Metrics) *Settings {
 	settings := &Settings{
 		ClassIndex:  cfg.ClassIndex,
@@ -38,39 +39,40 @@
 	return settings
 }
 
-// PreviousIndexes returns, for each of the names, its index in an earlier table, or -1 if it was not there.
-func PreviousIndexes(names []string, earlier map[string]int) []int {
+// PreviousIndexes returns the index of each name in a previous table, or -1 for a name that the table does not contain.
+func PreviousIndexes(names []string, previous map[string]int) []int {
 	indexes := make([]int, len(names))
 	for i, name := range names {
 		indexes[i] = noIndex
-		if index, ok := earlier[name]; ok {
+		if index, ok := previous[name]; ok {
 			indexes[i] = index
 		}
 	}
 	return indexes
 }
 
-// Translate converts a request that was read under earlier settings to the indexes of these. The class and the number of
-// attempts that it was read under still apply to it; its tenant is the one of the same name, or none.
-func (s *Settings) Translate(earlier *Settings, req *balance.Request) {
-	if earlier == s {
+// Translate converts a request that was read with previous settings to the indexes of s. Its class and its maximum
+// number of attempts stay those of the previous settings. Its tenant becomes the tenant of s with the same name, or
+// none.
+func (s *Settings) Translate(previous *Settings, req *balance.Request) {
+	if previous == s {
 		return
 	}
-	req.ClassOverride = &earlier.Classes[req.Class]
-	req.MaxAttempts = earlier.MaxAttempts
-	if tenant, ok := s.TenantIndex[earlier.tenantName(req.Tenant)]; ok {
+	req.ClassOverride = &previous.Classes[req.Class]
+	req.MaxAttempts = previous.MaxAttempts
+	if tenant, ok := s.TenantIndex[previous.tenantName(req.Tenant)]; ok {
 		req.Tenant = tenant
 	} else {
-		req.Tenant = s.noTenant()
+		req.Tenant = s.noTenantIndex()
 	}
 }
 
-// noTenant returns the index of requests without a tenant, which the balancer counts after the last tenant.
-func (s *Settings) noTenant() int { return len(s.TenantNames) }
+// noTenantIndex returns the tenant index of requests without a tenant, which follows the index of the last tenant.
+func (s *Settings) noTenantIndex() int { return len(s.TenantNames) }
 
-// tenantName returns the name of a tenant, or an empty text for a request without a tenant.
+// tenantName returns the name of a tenant, or an empty string for noTenantIndex.
 func (s *Settings) tenantName(index int) string {
-	if index < s.noTenant() {
+	if index < s.noTenantIndex() {
 		return s.TenantNames[index]
 	}
 	return ""
--- a/internal/exchange/settings_test.go
+++ b/internal/exchange/settings_test.go
@@ -9,12 +9,12 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// Settings may be replaced between the moment a request is read and the moment the event loop handles it: the request keeps
-// the class and the attempts of the earlier ones, and its tenant by name.
-func TestTranslateKeepsClassAndAttemptsOfEarlierSettings(t *testing.T) {
+// TestTranslateKeepsClassAndAttemptsOfPreviousSettings checks a request that is read before the settings are replaced and
+// handled after: it keeps its class and its maximum number of attempts, and its tenant is looked up by name.
+func TestTranslateKeepsClassAndAttemptsOfPreviousSettings(t *testing.T) {
 	cfg := sidecartest.Config(t)
 	registry := &metrics.Metrics{}
-	earlier := NewSettings(cfg, registry)
+	previous := NewSettings(cfg, registry)
 	current := NewSettings(&config.Config{
 		ClassNames:  []string{"other"},
 		ClassIndex:  map[string]int{"other": 0},
@@ -22,16 +22,17 @@
 		TenantIndex: map[string]int{"bolt": 0},
 		Balance:     balance.Config{Classes: make([]balance.Class, 1), MaxAttempts: 1},
 	}, registry)
-	for tenant, want := range []int{1, 0} { // the first, acme, is no tenant any more
+	for tenant, want := range []int{1, 0} { // tenant 0, acme, is not in the current settings
 		req := balance.Request{Class: 2, Tenant: tenant}
-		current.Translate(earlier, &req)
-		if req.ClassOverride != &earlier.Classes[2] || req.MaxAttempts != 6 || req.Tenant != want {
-			t.Errorf("tenant %d: translated to %+v, want class and attempts of the earlier settings and tenant %d", tenant, req, want)
+		current.Translate(previous, &req)
+		if req.ClassOverride != &previous.Classes[2] || req.MaxAttempts != 6 || req.Tenant != want {
+			t.Errorf("tenant %d: got %+v, want the class and the 6 attempts of the previous settings, and tenant %d",
+				tenant, req, want)
 		}
 	}
 	req := balance.Request{Class: 2}
-	earlier.Translate(earlier, &req)
+	previous.Translate(previous, &req)
 	if req.ClassOverride != nil {
-		t.Error("request under the same settings got a class override")
+		t.Errorf("request translated to its own settings: got class override %+v, want none", req.ClassOverride)
 	}
 }
--- a/internal/exchange/shutdown.go
+++ b/internal/exchange/shutdown.go
@@ -6,33 +6,33 @@
 	"cindersaddle/balance"
 )
 
-// MaxShutdownDeadline bounds the longest deadline that a shutdown waits for: the platform kills the process soon after.
+// MaxShutdownDeadline is the longest request deadline that a shutdown waits for: the platform kills the process soon after.
 const MaxShutdownDeadline = 3 * time.Second
 
 const (
-	// killMargin is the time beyond the longest deadline by which everything must have ended. The platform kills the process
-	// after a little more, for which killDelay of package soak stands.
-	killMargin = 650 * time.Millisecond
-	// lateAfterSignal is how long after the signal a request on an open connection still has its complete deadline.
-	lateAfterSignal = 600 * time.Millisecond
-	// deliveryMargin is the time that a response needs to reach its client.
+	// shutdownMargin is the time after the longest deadline by which everything must have ended. It is a little less
+	// than the platform's delay before it kills the process, which killDelay of package soak simulates.
+	shutdownMargin = 650 * time.Millisecond
+	// fullDeadlinePeriod is how long after the signal requests on open connections still get their complete deadline.
+	fullDeadlinePeriod = 600 * time.Millisecond
+	// deliveryMargin is the time allowed for a response to reach its client.
 	deliveryMargin = 50 * time.Millisecond
 )
 
-// ShutdownTimes are the limits of a shutdown. They guard against responses that are lost because the process is killed
-// while it still sends them, which clients see as a reset connection: a request that arrives after LateAfter gets less time
-// than its client allows and no streamed response, so that all but responses that were being streamed before has ended by EndBy.
+// ShutdownTimes are the time limits of a shutdown. They keep the platform from killing the process while it still sends
+// responses, which clients would see as a reset connection. A request that arrives after LateAfter gets less time than its
+// client allows and no streamed response, so that everything except responses that are already streamed has ended by EndBy.
 type ShutdownTimes struct {
-	LateAfter time.Time // a request that arrives later is late
-	RespondBy time.Time // when a late request must have its response
-	EndBy     time.Time // when everything must have ended but long responses, which package downstream gives more time
+	LateAfter time.Time // requests that arrive later are late
+	RespondBy time.Time // when late requests must have their responses
+	EndBy     time.Time // when everything must have ended, except streamed responses: package downstream allows these more
 }
 
-// NewShutdownTimes returns the limits of a shutdown that started at signal, given the longest deadline of all classes.
+// NewShutdownTimes returns the time limits of a shutdown that started at signal, given the longest deadline of all classes.
 func NewShutdownTimes(signal time.Time, longestDeadline time.Duration) *ShutdownTimes {
-	end := signal.Add(longestDeadline + killMargin)
+	end := signal.Add(longestDeadline + shutdownMargin)
 	return &ShutdownTimes{
-		LateAfter: signal.Add(lateAfterSignal),
+		LateAfter: signal.Add(fullDeadlinePeriod),
 		RespondBy: end.Add(-deliveryMargin),
 		EndBy:     end,
 	}
--- a/internal/exchange/upload.go
+++ b/internal/exchange/upload.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// StallTimeout is how long a peer may neither send nor accept a byte of a long body. Slow peers pause for seconds; one that
-	// hangs must not occupy its connection for ever.
+	// StallTimeout is how long a peer may go without sending or accepting a byte of a streamed body. Slow peers pause for
+	// seconds; a peer that hangs must not occupy its connection forever.
 	StallTimeout = 5 * time.Second
-	// expiredTimeout is a read timeout that ends a read in progress.
+	// expiredTimeout is a read timeout that interrupts a read in progress.
 	expiredTimeout time.Duration = -1
 )
 
 var (
-	// ErrBodyDiscarded is the error for an attempt that needs bytes of the body that are not buffered any more.
+	// ErrBodyDiscarded means that an attempt needs bytes of the body that are no longer buffered.
 	ErrBodyDiscarded = errors.New("body bytes needed for another attempt are no longer buffered")
-	// ErrNoLongerAwaited is the error for a request or an attempt that has ended, or whose response is decided: no more of
-	// its body is read or sent.
+	// ErrUploadStopped means that no more of a body is read or sent, because its request or attempt has ended or the
+	// response has already been decided.
 	ErrNoLongerAwaited = errors.New("request is no longer waited for")
 )
 
-// ClientError is an error from reading a body that its client did not send to the end.
+// ClientError reports that a client did not send its request body completely, or does not wait for the response.
 type ClientError struct{ Err error }
 
 // Error returns the text of the cause.
@@ -33,29 +33,31 @@
 // Unwrap returns the cause.
 func (e ClientError) Unwrap() error { return e.Err }
 
-// Upload is a request body that is too long to be buffered: it is copied from the client to an endpoint as fast as both
-// allow. The bytes that were read are buffered while the budget allows, so that another attempt can be made. The client
-// side creates it; attempts read it through an UploadReader each, and the flags may be read by any goroutine.
+// Upload is a request body that is too long to be buffered completely. It is copied from the client to an endpoint as
+// fast as both allow. The bytes read so far are buffered while the budget allows, so that another attempt can send them
+// again. The client side creates the Upload, and each attempt reads it through its own UploadReader. Any goroutine may
+// read the flags.
 type Upload struct {
-	Length         int64               // length in bytes as the client declared it; -1: chunked
+	Length         int64               // length in bytes as declared by the client; -1 if chunked
 	Source         io.Reader           // the client's connection
 	SetReadTimeout func(time.Duration) // sets how long the client may take for the next bytes
-	// MarkAwaitingResponse records that the request is complete; an error if its client does not wait for a response.
+	// MarkAwaitingResponse records that the request is complete. It returns an error if the client does not wait for a
+	// response.
 	MarkAwaitingResponse func() error
-	Budget               *BufferBudget // what the buffer counts against
-	Discarded            atomic.Bool   // the bytes that were read are not buffered
+	Budget               *BufferBudget // budget that the buffered bytes count against
+	Discarded            atomic.Bool   // the bytes read so far are no longer buffered
 	Received             atomic.Bool   // the last byte was read from the client
-	clock                readClock
+	lastByte             lastByteTracker
 
 	mu        sync.Mutex // guards the fields below
-	buffered  []byte     // the bytes that were read, unless Discarded
+	buffered  []byte     // the bytes read so far, unless Discarded
 	reserved  int        // bytes taken from Budget
 	bytesRead int64      // bytes read from Source
-	err       error      // how reading ended; io.EOF: with the last byte
+	err       error      // why reading ended; io.EOF after the last byte
 }
 
-// SetFirstBytes records that the client side has read the first bytes of the body from Source. They do not count against
-// Budget. It must be called before the first attempt reads.
+// SetFirstBytes records the first bytes of the body, which the client side has already read from Source. They do not count
+// against Budget. It must be called before the first attempt reads.
 func (u *Upload) SetFirstBytes(first []byte) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -63,11 +65,11 @@
 	u.bytesRead = int64(len(first))
 }
 
-// Release frees the buffer. Nothing more is read; a reader that waits for the client returns with an error. The client side
+// Release frees the buffer and ends reading: a reader that waits for the client returns with an error. The client side
 // calls it when the request has ended.
 func (u *Upload) Release() {
 	if !u.Received.Load() {
-		u.SetReadTimeout(expiredTimeout) // releases mu, which a waiting reader holds
+		u.SetReadTimeout(expiredTimeout) // interrupts a reader that waits for the client and holds mu
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -75,25 +77,26 @@
 	u.discardBuffer()
 }
 
-// MarkReceived records that the last byte was read from the client, at a moment.
+// MarkReceived records that the last byte was read from the client at the given time.
 func (u *Upload) MarkReceived(at time.Time) {
-	u.clock.received(at)
+	u.lastByte.received(at)
 	u.Received.Store(true)
 }
 
-// PauseReading records that nobody reads from a moment on.
-func (u *Upload) PauseReading(from time.Time) { u.clock.pause(from) }
+// MarkReadingPaused records that no attempt reads the body, starting at from.
+func (u *Upload) PauseReading(from time.Time) { u.lastByte.pause(from) }
 
-// ResumeReading adds the time since which nobody reads to what SinceLastByte returns. It is called when reading is to go on.
+// CountReadingPause adds the time during which no attempt has read the body to the result of SinceLastByte, unless the last
+// byte was read. It is called when a new attempt is created.
 func (u *Upload) ResumeReading() {
 	if !u.Received.Load() {
-		u.clock.countPause(time.Now())
+		u.lastByte.addPause(time.Now())
 	}
 }
 
-// SinceLastByte returns how long ago the last byte can have arrived. While it has not been read, that is the time in which
-// nobody read, as it may have arrived then.
-func (u *Upload) SinceLastByte() time.Duration { return u.clock.sinceLastByte() }
+// SinceLastByte returns how long ago the last byte may have arrived, at most. While the byte has not been read, that is the
+// time during which no attempt was reading, because it may have arrived then.
+func (u *Upload) SinceLastByte() time.Duration { return u.lastByte.maxAge() }
 
 // readSource reads the next bytes from the client. The caller holds mu.
 func (u *Upload) readSource(p []byte) (int, error) {
@@ -101,11 +104,11 @@
 		return 0, u.err
 	}
 	u.SetReadTimeout(StallTimeout)
-	u.clock.read()
+	u.lastByte.resume()
 	n, err := u.Source.Read(p)
-	u.clock.pause(time.Now())
+	u.lastByte.pause(time.Now())
 	u.bytesRead += int64(n)
-	u.buffer(p[:n])
+	u.bufferForReplay(p[:n])
 	if err == io.EOF {
 		u.MarkReceived(time.Now())
 	}
--- a/internal/exchange/uploadreader.go
+++ b/internal/exchange/uploadreader.go
@@ -2,18 +2,19 @@
 
 import "sync/atomic"
 
-// UploadReader reads an upload from its first byte on behalf of one attempt, whose goroutine owns it.
+// UploadReader reads an upload from its first byte for one attempt, whose goroutine owns the reader.
 type UploadReader struct {
 	*Upload
-	offset  int64       // of the next byte
-	Stopped atomic.Bool // the attempt has ended; may be set by any goroutine
+	offset  int64       // offset in the body of the next byte to read
+	Stopped atomic.Bool // the attempt has ended; any goroutine may set it
 }
 
-// NewUploadReader returns a reader of the upload from its first byte.
+// NewUploadReader returns a reader that starts at the first byte of the upload.
 func NewUploadReader(u *Upload) *UploadReader { return &UploadReader{Upload: u} }
 
-// Read returns buffered bytes first and waits for the client after these. Its errors are ErrNoLongerAwaited, ErrBodyDiscarded,
-// io.EOF after the last byte, and ClientError.
+// Read returns buffered bytes first and then waits for bytes from the client. It returns ErrUploadStopped if the attempt or
+// the request has ended, ErrBodyDiscarded if the next bytes are no longer buffered, io.EOF after the last byte, and a
+// ClientError if reading from the client failed.
 func (r *UploadReader) Read(p []byte) (n int, err error) {
 	u := r.Upload
 	u.mu.Lock()
@@ -29,11 +30,11 @@
 		n = copy(p, u.buffered[r.offset:])
 	}
 	r.offset += int64(n)
-	if r.Stopped.Load() { // ended during the read: the bytes are for another attempt
+	if r.Stopped.Load() { // the attempt ended during the read; another attempt may read these bytes
 		return 0, ErrNoLongerAwaited
 	}
 	return n, err
 }
 
-// Close does nothing: the upload belongs to the client side. It makes the reader an io.ReadCloser.
+// Close does nothing, because the client side owns the upload. It makes UploadReader an io.ReadCloser.
 func (r *UploadReader) Close() error { return nil }
