--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -11,57 +11,58 @@
 	"cindersaddle/internal/socket"
 )
 
-// Attempt is one attempt of a request at an endpoint. The event loop creates it. The first group of fields does not
-// change once Client.Do has been called, and may be read by any goroutine.
+// Attempt is one attempt of a request at an endpoint. The event loop creates it. The fields of the first group do not
+// change after Client.Do has been called, and any goroutine may read them.
 type Attempt struct {
 	RequestID       balance.RequestID
-	Number          int // within the request, from 0
+	Number          int // index within the request, starting at 0
 	Endpoint        *Endpoint
 	Message         *exchange.Message
-	Deadline        time.Time     // when it is given up
-	TimeAfterUpload time.Duration // for the response to a streamed request body, from its last byte on
+	Deadline        time.Time     // when the attempt times out
+	TimeAfterUpload time.Duration // maximum time from the last byte of a streamed request body to the response
 	Context         context.Context
 	Cancel          context.CancelFunc
 	Observer        Observer
 	LoopDone        <-chan struct{} // closed when the event loop ends
 
-	// RequestDone is set by the event loop when the request has its final response: the attempt must not send any more.
+	// RequestDone is set by the event loop when the request has its final response: the attempt must send nothing more.
 	RequestDone atomic.Bool
 
-	// The fields below are the event loop's: the goroutine of the attempt does not use them.
+	// The event loop owns the fields below. The goroutine of the attempt does not use them.
 
-	SentAt        balance.Milliseconds // when it was sent, on the loop's clock
-	StreamLatency balance.Milliseconds // from SentAt to the start of its streamed response; 0: it has none
-	// NoRetry means that its request gets no other attempt: the response is too long to be forwarded before the
-	// end of a shutdown, and that of another attempt would be too.
+	SentAt        balance.Milliseconds // when the attempt was started, on the event loop's clock
+	StreamLatency balance.Milliseconds // from SentAt to the start of its streamed response; 0 if there is none
+	// NoRetry means that the request must not get another attempt: the response is too long to be forwarded before the
+	// end of a shutdown, and the response to another attempt would be too long as well.
 	NoRetry bool
 }
 
-// Observer follows an attempt. Its methods are called on the goroutines of the attempt, and must not block for long.
+// Observer is notified of the progress of an attempt. The goroutines of the attempt call its methods, which must not block
+// for long.
 type Observer interface {
 	// UploadSent is called when the last byte of a streamed request body was written to the endpoint.
 	UploadSent(*Attempt)
-	// ResponseStarted is called when the head of a successful response has come, but not its body.
+	// ResponseStarted is called when the head of a successful response has arrived, but not its complete body.
 	ResponseStarted(*Attempt, time.Time)
-	// StreamStarted is called with a response whose body the observer reads from its Download.
+	// StreamStarted is called with a streamed response. The observer must have its Download read or finished.
 	StreamStarted(*Attempt, *exchange.Response, time.Time)
 }
 
-// responseStarted notifies the observer that the head of a successful response has come.
-func (a *Attempt) responseStarted() { a.Observer.ResponseStarted(a, time.Now()) }
+// notifyResponseStarted notifies the observer that the head of a successful response has arrived.
+func (a *Attempt) notifyResponseStarted() { a.Observer.ResponseStarted(a, time.Now()) }
 
-// obsolete reports whether nobody waits for the attempt any more: nothing is sent for it then.
+// obsolete reports whether the result of the attempt is no longer needed, so that nothing may be sent for it.
 func (a *Attempt) obsolete() bool { return a.RequestDone.Load() || a.Context.Err() != nil }
 
 // expired reports whether the deadline of the attempt has passed.
 func (a *Attempt) expired() bool { return !time.Now().Before(a.Deadline) }
 
-// mustNotSend reports whether the attempt must end before its first byte is sent.
+// mustNotSend reports whether the attempt must end without sending its first byte.
 func (a *Attempt) mustNotSend() bool { return a.Endpoint.Closed.Load() || a.obsolete() || a.expired() }
 
-// setReadDeadline sets the deadline of the response. It guards against a cancellation that is lost because a new deadline
-// replaces the past one that the cancellation has set, so that the attempt would go on until its deadline: a cancellation
-// before the check is found by it, and one after the check sets its past deadline last.
+// setReadDeadline sets the deadline for reading the response. A cancellation interrupts the attempt by setting a past
+// deadline. If the new deadline replaced that one, the cancellation would be lost and the attempt would continue until its
+// deadline. The check below finds a cancellation that came before it; a later one sets the past deadline after this call.
 func (a *Attempt) setReadDeadline(conn net.Conn, deadline time.Time) {
 	conn.SetReadDeadline(deadline)
 	if a.Context.Err() != nil {
--- a/internal/upstream/attemptresult.go
+++ b/internal/upstream/attemptresult.go
@@ -10,56 +10,56 @@
 	"cindersaddle/internal/exchange"
 )
 
-// neverRanHeader is neverRan in a response with status 503 or 504 to a request that the endpoint did not execute.
+// An endpoint sets neverRanHeader to neverRanValue in a response with status 503 or 504 if it did not execute the request.
 const (
 	neverRanHeader = "X-Never-Ran"
-	neverRan       = "1"
+	neverRanValue  = "1"
 )
 
-// connectResult is the result of a health check that got no connection. A failure of this side is NotAttempted, which
-// does not count against the endpoint.
-func connectResult(ctx context.Context, err error) balance.Result {
+// connectErrorResult returns the result of an attempt or a health check that got no connection. A failure on the sidecar's
+// side is NotAttempted, which does not count against the endpoint.
+func connectErrorResult(ctx context.Context, err error) balance.Result {
 	if ctx.Err() != nil || errors.Is(err, errNoSocket) {
 		return balance.NotAttempted
 	}
 	return balance.ConnectFailed
 }
 
-// connectResult is the result of an attempt that got no connection. One whose time ended meanwhile says nothing of the
-// endpoint, which may have got less time than the timeout of connections.
-func (a *Attempt) connectResult(err error) balance.Result {
+// connectErrorResult returns the result of an attempt that got no connection. If its deadline has passed, the failure does
+// not count against the endpoint, which may have had less time than the connect timeout.
+func (a *Attempt) connectErrorResult(err error) balance.Result {
 	if a.expired() {
 		return balance.NotAttempted
 	}
-	return connectResult(a.Context, err)
+	return connectErrorResult(a.Context, err)
 }
 
-// writeResult is the result of an attempt whose request could not be written completely, so that it was not executed.
-func (a *Attempt) writeResult(err error) balance.Result {
+// writeErrorResult returns the result of an attempt whose request was not written completely, and so was not executed.
+func (a *Attempt) writeErrorResult(err error) balance.Result {
 	if a.Context.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return balance.NotAttempted
 	}
 	return balance.ConnectFailed
 }
 
-// readResult is the result of an attempt whose request was written completely, but whose response is incomplete: the
-// request may have been executed.
-func (a *Attempt) readResult(err error) balance.Result {
+// readErrorResult returns the result of an attempt whose request was written completely but whose response is incomplete.
+// The request may have been executed.
+func (a *Attempt) readErrorResult(err error) balance.Result {
 	if a.Context.Err() != nil {
 		return balance.Cancelled
 	}
-	return readResult(err)
+	return readErrorResult(err)
 }
 
-// readResult is the result that an error from reading a response stands for.
-func readResult(err error) balance.Result {
+// readErrorResult returns the result for an error from reading a response.
+func readErrorResult(err error) balance.Result {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return balance.TimedOut
 	}
 	return balance.ConnReset
 }
 
-// streamResult is the result of an attempt whose response was streamed until err; nil: completely.
+// streamResult returns the result of an attempt whose streamed response ended with err, or completely if err is nil.
 func (a *Attempt) streamResult(err error) balance.Result {
 	switch {
 	case errors.Is(err, exchange.ErrDownloadStopped) || a.Context.Err() != nil:
@@ -70,13 +70,13 @@
 	return balance.OK
 }
 
-// statusResult is the result that the status of a response stands for.
+// statusResult returns the result for the status of a response.
 func statusResult(response *http.Response) balance.Result {
 	switch response.StatusCode {
 	case http.StatusOK:
 		return balance.OK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if response.Header.Get(neverRanHeader) == neverRan {
+		if response.Header.Get(neverRanHeader) == neverRanValue {
 			return balance.Rejected
 		}
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,13 +1,13 @@
-// Package upstream sends attempts and health checks to endpoints over a pool of connections and reports how they ended.
+// Package upstream sends attempts and health checks to endpoints over a connection pool and reports their outcomes.
 //
-// It uses no http.Transport: that sends a request again by itself when an idle connection turns out to be dead, and does
-// not report whether the last byte was written. An attempt must know that: a request whose last byte was not written
-// was not executed, and may be retried.
+// It does not use http.Transport, which resends a request on its own when an idle connection turns out to be dead, and
+// does not report whether the last byte was written. An attempt must know that: a request whose last byte was not
+// written was not executed and may be retried.
 //
-// The event loop owns the endpoints and the attempts; the package reads them, and shares with the loop only the atomic
-// fields Endpoint.Address, Endpoint.Closed and Attempt.RequestDone. Client.Do and Client.CheckHealth run on a goroutine of
-// their caller, one for each attempt or health check. An attempt with a streamed request body starts one more, which
-// writes the body. Pool.Run is the goroutine that closes idle connections; a mutex guards the pool.
+// The event loop owns the endpoints and the attempts. The package reads them; the only fields that change while it does are
+// the atomic ones: Endpoint.Address, Endpoint.Closed and Attempt.RequestDone. The caller runs Client.Do and
+// Client.CheckHealth on one goroutine per attempt or health check. An attempt with a streamed request body starts a second
+// goroutine, which writes the body. Pool.Run closes idle connections on its own goroutine. A mutex guards the pool.
 package upstream
 
 import (
@@ -15,52 +15,55 @@
 	"cindersaddle/internal/metrics"
 )
 
-// Client sends attempts and health checks to endpoints. Its methods may be called from any goroutine.
+// Client sends attempts and health checks to endpoints. It is safe for concurrent use.
 type Client struct {
-	pool       *Pool
-	loadFields []string // names of the figures of a load report, in the order of Ending.LoadReport
-	checkPath  string   // path of the requests of health checks
+	pool             *Pool
+	loadReportFields []string // names of the values of a load report, in the order of Outcome.LoadReport
+	checkPath        string   // path that health checks request
 
 	metrics *metrics.Metrics
 }
 
-// NewClient returns a client that sends over the connections of a pool. Load reports are read in the order of fields,
-// and health checks request checkPath.
+// NewClient returns a client that uses the connections of pool. fields are the names of the values of a load report, in the
+// order that the balancer expects; health checks request checkPath.
 func NewClient(pool *Pool, fields []string, checkPath string, counters *metrics.Metrics) *Client {
-	return &Client{pool: pool, loadFields: fields, checkPath: checkPath, metrics: counters}
+	return &Client{pool: pool, loadReportFields: fields, checkPath: checkPath, metrics: counters}
 }
 
 // CloseIdle closes the idle connections to an endpoint.
 func (c *Client) CloseIdle(endpoint *Endpoint) { c.pool.CloseIdle(endpoint) }
 
-// Do makes an attempt and returns how it ended, which is at its deadline or soon after its cancellation at the latest
-// unless it streams the response.
+// Do makes an attempt and returns its outcome. Unless the response is streamed, it returns no later than the deadline
+// of the attempt, and soon after a cancellation.
 func (c *Client) Do(attempt *Attempt) Ending {
 	if attempt.obsolete() {
 		return Ending{Result: balance.NotAttempted}
 	}
 	conn, err := c.pool.get(attempt.Context, attempt.Endpoint, attempt.Deadline)
 	if err != nil {
-		return Ending{Result: attempt.connectResult(err), Err: err}
+		return Ending{Result: attempt.connectErrorResult(err), Err: err}
 	}
-	// Guards against executing a request for a client that has disconnected, or at an endpoint that drains, because that happened
-	// while the connection was being opened. The last check before the first byte asks the kernel about the client: the
-	// goroutine that watches its connection, and the event loop, may not have run since.
+	// While the connection was being opened, the client may have disconnected or the endpoint may have begun to drain.
+	// The request must not be executed then. This last check before the first byte asks the kernel about the client,
+	// because the goroutine that monitors its connection, and the event loop, may not have run since it disconnected.
 	clientDisconnected := attempt.Message.ClientDisconnected()
 	if clientDisconnected || attempt.mustNotSend() {
 		c.pool.put(conn)
 		return Ending{Result: balance.NotAttempted, ClientDisconnected: clientDisconnected}
 	}
-	end := interruptible(attempt.Context, conn, attempt.Deadline, func() exchangeEnd { return c.exchange(attempt, conn) })
-	return c.finish(conn, end)
+	result := runInterruptible(attempt.Context, conn, attempt.Deadline, func() exchangeOutcome {
+		return c.exchange(attempt, conn)
+	})
+	return c.releaseConn(conn, result)
 }
 
-// finish ends the use of a connection and returns the result of its exchange.
-func (c *Client) finish(conn *endpointConn, end exchangeEnd) Ending {
-	if end.reusable {
+// releaseConn returns a connection to the pool, or closes it if it cannot be reused. It returns the outcome of the
+// exchange.
+func (c *Client) releaseConn(conn *endpointConn, result exchangeOutcome) Ending {
+	if result.connReusable {
 		c.pool.put(conn)
 	} else {
 		c.pool.closeConn(conn)
 	}
-	return end.ending
+	return result.outcome
 }
--- a/internal/upstream/client_disconnect_test.go
+++ b/internal/upstream/client_disconnect_test.go
@@ -26,7 +26,7 @@
 	far, conn := acceptedConn(t)
 	attempt := newAttempt(newEndpoint(server.Addr), sidecartest.Timeout)
 	attempt.Message.ClientDisconnected = conn.CheckClientDisconnected
-	client.pool.AfterDial = func() {
+	client.pool.afterDial = func() {
 		disconnect(far)
 		awaitClosed(t, conn)
 	}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -48,16 +48,16 @@
 	moved := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "new"))
 	endpoint := newEndpoint(old.Addr)
 	client := newTestClient(t, 500)
-	client.pool.AfterDial = func() {
+	client.pool.afterDial = func() {
 		endpoint.Address.CompareAndSwap(endpoint.Address.Load(), &moved.Addr)
-		client.pool.AfterDial = nil
+		client.pool.afterDial = nil
 	}
-	ending := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
-	if string(ending.Response.Body) != "new" || len(old.Requests()) > 0 {
-		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0", ending.Response.Body, len(old.Requests()))
+	outcome := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
+	if string(outcome.Response.Body) != "new" || len(old.Requests()) > 0 {
+		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0", outcome.Response.Body, len(old.Requests()))
 	}
-	if client.pool.open != 1 {
-		t.Errorf("%d connections are open, want 1", client.pool.open)
+	if client.pool.openConns != 1 {
+		t.Errorf("%d connections are open, want 1", client.pool.openConns)
 	}
 }
 
@@ -85,7 +85,7 @@
 	}()
 	expectOutcome(t, client, attempt, balance.Cancelled)
 	sidecartest.Next(t, ended)
-	if client.pool.open != 0 || len(client.pool.idle) != 0 {
-		t.Errorf("%d connections are open and %d endpoints have idle ones, want none", client.pool.open, len(client.pool.idle))
+	if client.pool.openConns != 0 || len(client.pool.idle) != 0 {
+		t.Errorf("%d connections are open and %d endpoints have idle ones, want none", client.pool.openConns, len(client.pool.idle))
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,9 +10,9 @@
 	"cindersaddle/internal/socket"
 )
 
-// connect opens a connection until a deadline.
+// connect opens a new connection to an endpoint. It may take until the deadline.
 func (p *Pool) connect(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*endpointConn, error) {
-	if err := p.reserve(); err != nil {
+	if err := p.reserveConn(); err != nil {
 		return nil, fmt.Errorf("connect to endpoint %s: %w", endpoint.Name, err)
 	}
 	address := endpoint.Address.Load()
@@ -20,7 +20,7 @@
 	if err == nil {
 		return conn, nil
 	}
-	p.release()
+	p.releaseReservation()
 	if socket.Exhausted(err) {
 		p.Evict()
 		err = &noSocketError{Err: err}
@@ -28,7 +28,7 @@
 	return nil, &connectError{Endpoint: endpoint.Name, Address: *address, Err: err}
 }
 
-// dial opens a connection to an address that the endpoint has, or had a moment ago.
+// dial opens a connection to address, which Endpoint.Address held when connect was called. It may have changed since.
 func (p *Pool) dial(ctx context.Context, endpoint *Endpoint, address *string, deadline time.Time) (*endpointConn, error) {
 	dialer := net.Dialer{Timeout: p.connectTimeout, Deadline: deadline, KeepAlive: -1}
 	if err := fault.Injected(fault.Connect); err != nil {
@@ -38,8 +38,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.AfterDial != nil {
-		p.AfterDial()
+	if p.afterDial != nil {
+		p.afterDial()
 	}
 	return newEndpointConn(conn, endpoint, address), nil
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -7,20 +7,20 @@
 	"cindersaddle/internal/membership"
 )
 
-// Endpoint is where attempts and health checks are sent to. The event loop creates and changes it; attempts read only the
-// atomic fields and Name.
+// Endpoint is a server that attempts and health checks are sent to. The event loop creates and changes it; attempts and
+// health checks read only the atomic fields and Name.
 type Endpoint struct {
 	ID   balance.EndpointID
-	Name string // its ID in the endpoint list; does not change
+	Name string // its identifier in the endpoint list; immutable
 
-	// The fields below are the event loop's.
+	// The event loop owns the next two fields.
 
-	StartedAt balance.Milliseconds // when it last started, on the loop's clock; 0: long ago
-	Listed    membership.Endpoint  // as last listed
+	StartedAt balance.Milliseconds // when it last started, on the event loop's clock; 0 if long ago
+	Listed    membership.Endpoint  // its entry in the latest endpoint list that contained it
 
-	// Address is replaced by another pointer with each new address and each restart of the endpoint: connections with
-	// an earlier pointer are stale.
+	// Address gets a new pointer when the endpoint moves to a new address and whenever it restarts. Connections that were
+	// opened with a previous pointer are stale.
 	Address atomic.Pointer[string]
-	// Closed is set while it is draining or gone: nothing new may be sent to it.
+	// Closed is set while the endpoint is draining or gone: no new attempts or health checks may be sent to it.
 	Closed atomic.Bool
 }
--- a/internal/upstream/evict.go
+++ b/internal/upstream/evict.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// idleChecksPerTimeout is how often Run looks for expired connections during one idle timeout.
+	// idleChecksPerTimeout is the number of times that Run checks for expired connections during one idle timeout.
 	idleChecksPerTimeout = 20
-	// minIdleCheckInterval bounds that for a short idle timeout.
+	// minIdleCheckInterval is the minimum interval between these checks, which applies if the idle timeout is short.
 	minIdleCheckInterval = time.Millisecond
 )
 
-// Run closes connections that have been idle for idleTimeout, until ctx ends.
+// Run closes connections that have been idle for idleTimeout. It returns when ctx is done.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(max(p.idleTimeout/idleChecksPerTimeout, minIdleCheckInterval))
 	defer ticker.Stop()
@@ -26,25 +26,25 @@
 	}
 }
 
-// SetLimit changes the maximum number of connections. Idle connections are closed as far as it is exceeded.
+// SetLimit changes the maximum number of connections. If more are open, it closes idle ones down to the limit.
 func (p *Pool) SetLimit(maxConns int) {
 	p.mu.Lock()
 	p.maxConns = maxConns
-	excess := p.open - maxConns
+	excess := p.openConns - maxConns
 	p.mu.Unlock()
 	for ; excess > 0 && p.Evict(); excess-- {
 	}
 }
 
-// Evict closes the connection that has been idle for longest, and reports whether there was one.
+// Evict closes the connection that has been idle longest. It reports false if there is no idle connection.
 func (p *Pool) Evict() bool {
 	p.mu.Lock()
-	oldest := p.idle.takeOldest()
+	longestIdle := p.idle.takeLongestIdle()
 	p.mu.Unlock()
-	if oldest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	p.closeConn(oldest)
+	p.closeConn(longestIdle)
 	return true
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -9,82 +9,85 @@
 	"cindersaddle/internal/socket"
 )
 
-// exchangeEnd is how an exchange of a request and a response ended.
-type exchangeEnd struct {
-	ending   Ending
-	reusable bool // the connection may carry another request
+// exchangeOutcome describes how an exchange of a request and a response ended.
+type exchangeOutcome struct {
+	outcome      Ending
+	connReusable bool // the connection may carry another request
 }
 
-// failedExchange is the end of an exchange without a complete response. Its connection must be closed.
-func failedExchange(result balance.Result, err error) exchangeEnd {
-	return exchangeEnd{ending: Ending{Result: result, Err: err}}
+// failedExchange returns the outcome of an exchange without a complete response. Its connection must be closed.
+func failedExchange(result balance.Result, err error) exchangeOutcome {
+	return exchangeOutcome{outcome: Ending{Result: result, Err: err}}
 }
 
-// interruptible runs an exchange until a deadline. The end of ctx interrupts it: everything that reads from or writes to the
-// connection returns with an error, and the connection is not used again.
-func interruptible(ctx context.Context, conn *endpointConn, deadline time.Time, exchange func() exchangeEnd) exchangeEnd {
+// runInterruptible runs an exchange that may take until the deadline. If ctx is done, it interrupts the exchange: all
+// reads and writes of the connection return an error, and the connection is not reused.
+func runInterruptible(
+	ctx context.Context, conn *endpointConn, deadline time.Time, exchange func() exchangeOutcome,
+) exchangeOutcome {
 	conn.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(socket.PastDeadline) })
-	end := exchange()
+	result := exchange()
 	interrupted := !stop()
-	end.reusable = end.reusable && !interrupted
-	return end
+	result.connReusable = result.connReusable && !interrupted
+	return result
 }
 
 // exchange writes the request of an attempt and reads its response.
-func (c *Client) exchange(attempt *Attempt, conn *endpointConn) exchangeEnd {
+func (c *Client) exchange(attempt *Attempt, conn *endpointConn) exchangeOutcome {
 	if attempt.Message.Upload != nil {
 		return c.exchangeUpload(attempt, conn)
 	}
 	return c.exchangeBuffered(attempt, conn)
 }
 
-// exchangeBuffered exchanges a request whose body is in memory.
-func (c *Client) exchangeBuffered(attempt *Attempt, conn *endpointConn) exchangeEnd {
+// exchangeBuffered sends a request whose complete body is in memory and reads the response.
+func (c *Client) exchangeBuffered(attempt *Attempt, conn *endpointConn) exchangeOutcome {
 	request, err := attempt.Message.Encode(attempt.Deadline)
 	if err != nil {
 		return failedExchange(balance.NotAttempted, err)
 	}
-	// Guards against a retry of a request that was executed: with one write, the number of bytes that the kernel accepted
-	// shows whether the last byte was sent.
+	// A request that was executed must not be retried. Writing it in a single call makes the number of bytes that the
+	// kernel accepted show whether the last byte was sent.
 	if written, err := conn.Write(request); written < len(request) {
-		return failedExchange(attempt.writeResult(err), err)
+		return failedExchange(attempt.writeErrorResult(err), err)
 	}
 	c.metrics.Attempts.Add(1)
 	response, err := conn.reader.Next(attempt.Message.Method, deadlineObserver{attempt, conn})
 	if err != nil {
-		return failedExchange(attempt.readResult(err), err)
+		return failedExchange(attempt.readErrorResult(err), err)
 	}
-	return c.conclude(attempt, conn, response)
+	return c.handleResponse(attempt, conn, response)
 }
 
-// exchangeUpload writes a request while its body is still coming from the client. The response may come meanwhile.
-func (c *Client) exchangeUpload(attempt *Attempt, conn *endpointConn) exchangeEnd {
+// exchangeUpload sends a request while its body is still arriving from the client. The response may arrive before the
+// body is complete.
+func (c *Client) exchangeUpload(attempt *Attempt, conn *endpointConn) exchangeOutcome {
 	upload := newUploadWriter(attempt.Message.Upload, conn)
 	request := attempt.Message.NewRequest(attempt.TimeAfterUpload, upload.source, upload.source.Length)
 	go upload.run(request, func() { c.uploadSent(attempt, conn) })
 
 	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt: attempt})
-	var end exchangeEnd
+	var result exchangeOutcome
 	if err == nil {
-		end = c.conclude(attempt, conn, response)
+		result = c.handleResponse(attempt, conn, response)
 	}
 	sent := upload.stop()
 	if sent {
-		<-upload.done // it still sets deadlines of the connection and reports that the last byte was written
+		<-upload.done // until then, it may set deadlines of the connection and call uploadSent
 	}
 	switch {
 	case err == nil:
-		end.reusable = end.reusable && sent
-		return end
+		result.connReusable = result.connReusable && sent
+		return result
 	case sent:
-		return failedExchange(attempt.readResult(err), err)
+		return failedExchange(attempt.readErrorResult(err), err)
 	default:
-		return exchangeEnd{ending: upload.incompleteResult(attempt, err)}
+		return exchangeOutcome{outcome: upload.incompleteOutcome(attempt, err)}
 	}
 }
 
-// uploadSent reports that the last byte of a streamed request was written. From now on the response is due.
+// uploadSent is called when the last byte of a streamed request body was written. It starts the time limit of the response.
 func (c *Client) uploadSent(attempt *Attempt, conn *endpointConn) {
 	c.metrics.Attempts.Add(1)
 	due := time.Now().Add(attempt.TimeAfterUpload)
@@ -92,20 +95,21 @@
 	attempt.Observer.UploadSent(attempt)
 }
 
-// conclude returns the end of an exchange with a response. A streamed response has gone to the client when it returns.
-func (c *Client) conclude(attempt *Attempt, conn *endpointConn, response http1.Response) exchangeEnd {
-	ending := Ending{Result: statusResult(response.Head), LoadReport: loadReportFrom(response.Head, c.loadFields)}
-	if ending.Result != balance.OK {
-		return exchangeEnd{ending, !response.Streaming && conn.reusableAfter(response)}
+// handleResponse returns the outcome of an exchange that got a response. If the response is streamed, it returns when the
+// stream has ended.
+func (c *Client) handleResponse(attempt *Attempt, conn *endpointConn, response http1.Response) exchangeOutcome {
+	outcome := Ending{Result: statusResult(response.Head), LoadReport: loadReportFrom(response.Head, c.loadReportFields)}
+	if outcome.Result != balance.OK {
+		return exchangeOutcome{outcome, !response.Streaming && conn.reusableAfter(response)}
 	}
 	response.Head.Header.Del(LoadReportHeader)
 	http1.RemoveHopHeaders(response.Head.Header)
 	if !response.Streaming {
-		ending.Response = forClient(response)
-		return exchangeEnd{ending, conn.reusableAfter(response)}
+		outcome.Response = bufferedResponse(response)
+		return exchangeOutcome{outcome, conn.reusableAfter(response)}
 	}
-	err := stream(attempt, conn, response)
-	ending.Result = attempt.streamResult(err)
-	ending.Err = err
-	return exchangeEnd{ending, err == nil && conn.reusableAfter(response)}
+	err := streamToClient(attempt, conn, response)
+	outcome.Result = attempt.streamResult(err)
+	outcome.Err = err
+	return exchangeOutcome{outcome, err == nil && conn.reusableAfter(response)}
 }
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -24,9 +24,9 @@
 	t.Cleanup(func() { fault.Use(nil) })
 	const attempts = 20
 	for range attempts {
-		ending := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
-		if ending.Response == nil || string(ending.Response.Body) != "served" {
-			t.Fatalf("got %+v, want the body \"served\"", ending)
+		outcome := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
+		if outcome.Response == nil || string(outcome.Response.Body) != "served" {
+			t.Fatalf("got %+v, want the body \"served\"", outcome)
 		}
 	}
 	if requests := server.Requests(); len(requests) != attempts {
@@ -54,10 +54,10 @@
 			}
 			return nil
 		}})
-		ending := client.Do(newAttempt(newEndpoint(server.Addr), sidecartest.Timeout))
+		outcome := client.Do(newAttempt(newEndpoint(server.Addr), sidecartest.Timeout))
 		fault.Use(nil)
-		if ending.Result != want || !ending.Result.NeverExecuted() || client.pool.open != 0 {
-			t.Errorf("%v: %v with %d connections open, want %v and none", errno, ending.Result, client.pool.open, want)
+		if outcome.Result != want || !outcome.Result.NeverExecuted() || client.pool.openConns != 0 {
+			t.Errorf("%v: %v with %d connections open, want %v and none", errno, outcome.Result, client.pool.openConns, want)
 		}
 	}
 }
--- a/internal/upstream/health_test.go
+++ b/internal/upstream/health_test.go
@@ -12,12 +12,12 @@
 func TestHealthCheck(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "TEXT util=0.5, qps=12"), sidecartest.Respond(503, ""))
 	client := newTestClient(t, 500)
-	ending := client.CheckHealth(context.Background(), newEndpoint(server.Addr))
-	if ending.Result != balance.OK || len(ending.LoadReport) != 2 || ending.LoadReport[0] != 0.5 || ending.LoadReport[1] != 12 {
-		t.Errorf("healthy server: got %+v, want a report of 0.5 and 12", ending)
+	outcome := client.CheckHealth(context.Background(), newEndpoint(server.Addr))
+	if outcome.Result != balance.OK || len(outcome.LoadReport) != 2 || outcome.LoadReport[0] != 0.5 || outcome.LoadReport[1] != 12 {
+		t.Errorf("healthy server: got %+v, want a report of 0.5 and 12", outcome)
 	}
-	if ending := client.CheckHealth(context.Background(), newEndpoint(server.Addr)); ending.Result != balance.ServerError {
-		t.Errorf("unhealthy server: got %+v, want a server error", ending)
+	if outcome := client.CheckHealth(context.Background(), newEndpoint(server.Addr)); outcome.Result != balance.ServerError {
+		t.Errorf("unhealthy server: got %+v, want a server error", outcome)
 	}
 	if got := server.Requests()[0]; got.URL.Path != "/metrics/load" {
 		t.Errorf("the request was for %s, want /metrics/load", got.URL.Path)
@@ -30,8 +30,8 @@
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 	client := newTestClient(t, 500)
 	endpoint := newEndpoint(server.Addr)
-	client.pool.AfterDial = func() { endpoint.Closed.Store(true) }
-	if ending := client.CheckHealth(t.Context(), endpoint); ending.Result != balance.NotAttempted || len(server.Requests()) > 0 {
-		t.Errorf("outcome %d, and the server received %d requests; want %d and 0", ending.Result, len(server.Requests()), balance.NotAttempted)
+	client.pool.afterDial = func() { endpoint.Closed.Store(true) }
+	if outcome := client.CheckHealth(t.Context(), endpoint); outcome.Result != balance.NotAttempted || len(server.Requests()) > 0 {
+		t.Errorf("outcome %d, and the server received %d requests; want %d and 0", outcome.Result, len(server.Requests()), balance.NotAttempted)
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	pool := NewPool(PoolConfig{ConnectTimeout: sidecartest.Timeout, IdleTimeout: sidecartest.Timeout, MaxConns: maxConns})
 	t.Cleanup(pool.CloseAll)
-	return &Client{pool: pool, loadFields: []string{"busy", "rate"}, checkPath: "/metrics/load", metrics: &metrics.Metrics{}}
+	return &Client{pool: pool, loadReportFields: []string{"busy", "rate"}, checkPath: "/metrics/load", metrics: &metrics.Metrics{}}
 }
 
 // newEndpoint returns an endpoint whose name is its address.
@@ -53,10 +53,10 @@
 // expectOutcome makes an attempt, checks its outcome and returns its result.
 func expectOutcome(t *testing.T, client *Client, attempt *Attempt, want balance.Result) Ending {
 	t.Helper()
-	ending := client.Do(attempt)
+	outcome := client.Do(attempt)
 	attempt.Cancel()
-	if ending.Result != want {
-		t.Errorf("outcome %d, want %d", ending.Result, want)
+	if outcome.Result != want {
+		t.Errorf("outcome %d, want %d", outcome.Result, want)
 	}
-	return ending
+	return outcome
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// idleConns holds the idle connections to each endpoint, the most recently used last. No list is empty. Pool.mu guards
-// it.
+// idleConns holds the idle connections to each endpoint, ordered by last use with the most recently used last. No slice is
+// empty. Pool.mu guards it.
 type idleConns map[*Endpoint][]*endpointConn
 
 // add adds a connection that was just used.
@@ -14,8 +14,9 @@
 	i[conn.endpoint] = append(i[conn.endpoint], conn)
 }
 
-// takeLatest removes and returns the most recently used connection that has been idle for reuseDelay, or nil.
-func (i idleConns) takeLatest(endpoint *Endpoint, reuseDelay time.Duration) *endpointConn {
+// takeMostRecent removes and returns the most recently used connection to an endpoint that has been idle for at least
+// reuseDelay, or nil if there is none.
+func (i idleConns) takeMostRecent(endpoint *Endpoint, reuseDelay time.Duration) *endpointConn {
 	conns := i[endpoint]
 	for index, conn := range slices.Backward(conns) {
 		if time.Since(conn.idleSince) >= reuseDelay {
@@ -26,21 +27,21 @@
 	return nil
 }
 
-// takeOldest removes and returns the connection that has been idle for longest, or nil.
-func (i idleConns) takeOldest() *endpointConn {
-	var oldest *endpointConn
+// takeLongestIdle removes and returns the connection that has been idle longest, or nil if there is none.
+func (i idleConns) takeLongestIdle() *endpointConn {
+	var longestIdle *endpointConn
 	for _, conns := range i {
-		if oldest == nil || conns[0].idleSince.Before(oldest.idleSince) {
-			oldest = conns[0]
+		if longestIdle == nil || conns[0].idleSince.Before(longestIdle.idleSince) {
+			longestIdle = conns[0]
 		}
 	}
-	if oldest != nil {
-		i.set(oldest.endpoint, i[oldest.endpoint][1:])
+	if longestIdle != nil {
+		i.set(longestIdle.endpoint, i[longestIdle.endpoint][1:])
 	}
-	return oldest
+	return longestIdle
 }
 
-// takeWhere removes and returns the connections that match.
+// takeWhere removes and returns all connections that match.
 func (i idleConns) takeWhere(match func(*endpointConn) bool) []*endpointConn {
 	var removed []*endpointConn
 	for endpoint, conns := range i {
@@ -58,7 +59,7 @@
 	return removed
 }
 
-// set replaces the connections to an endpoint.
+// set replaces the connections to an endpoint, and removes its entry if conns is empty.
 func (i idleConns) set(endpoint *Endpoint, conns []*endpointConn) {
 	if len(conns) == 0 {
 		delete(i, endpoint)
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// LoadReportHeader is the header in which an endpoint adds a load report to a response. It does not go to the client.
+// LoadReportHeader is the response header in which an endpoint sends a load report. It is not forwarded to the client.
 const LoadReportHeader = "Endpoint-Load-Metrics"
 
-// loadReportPrefix starts a load report and names its format.
+// loadReportPrefix identifies the format of a load report, and precedes its values.
 const loadReportPrefix = "TEXT "
 
-// maxLoadValue is the largest figure of a load report: no share, rate or count of one endpoint is larger.
+// maxLoadValue is the largest valid value of a load report: no share, rate or count of one endpoint is larger.
 const maxLoadValue = 1e6
 
-// loadFieldAliases maps names that endpoints may use in load reports to those in the settings.
+// loadFieldAliases maps field names that endpoints may use in load reports to the names used in the settings.
 var loadFieldAliases = map[string]string{
 	"inflight":   "rif",
 	"queue":      "q",
@@ -25,8 +25,8 @@
 	"eps":        "fail_rate",
 }
 
-// loadReportFrom returns the first valid load report in the header of a response, or nil. An invalid one does not
-// invalidate the response.
+// loadReportFrom returns the first valid load report in the header of a response, or nil. An invalid load report does
+// not make the response invalid.
 func loadReportFrom(response *http.Response, fields []string) []float32 {
 	for _, text := range response.Header.Values(LoadReportHeader) {
 		if report := parseLoadReport(text, fields); report != nil {
@@ -36,8 +36,9 @@
 	return nil
 }
 
-// parseLoadReport reads a report such as "TEXT inflight=7, util=0.61" into the order of fields. It returns nil if the
-// report lacks a field or contains anything that is no number or no load: the balancer identifies figures by position.
+// parseLoadReport parses a report such as "TEXT inflight=7, util=0.61" and returns its values in the order of fields,
+// because the balancer identifies values by position. It returns nil if a field is missing or any value is not a valid
+// load value.
 func parseLoadReport(text string, fields []string) []float32 {
 	text, found := strings.CutPrefix(strings.TrimSpace(text), loadReportPrefix)
 	if !found || len(fields) == 0 {
@@ -45,9 +46,9 @@
 	}
 	values := make(map[string]float32, len(fields))
 	for part := range strings.SplitSeq(text, ",") {
-		name, figure, _ := strings.Cut(strings.TrimSpace(part), "=")
-		value, err := strconv.ParseFloat(figure, 32)
-		if err != nil || !validLoad(value) {
+		name, number, _ := strings.Cut(strings.TrimSpace(part), "=")
+		value, err := strconv.ParseFloat(number, 32)
+		if err != nil || !validLoadValue(value) {
 			return nil
 		}
 		values[name] = float32(value)
@@ -55,14 +56,14 @@
 			values[alias] = float32(value)
 		}
 	}
-	return inOrder(values, fields)
+	return orderValues(values, fields)
 }
 
-// validLoad reports whether a figure may be a load, which NaN is not.
-func validLoad(value float64) bool { return value >= 0 && value <= maxLoadValue }
+// validLoadValue reports whether a value is in the valid range. NaN is not.
+func validLoadValue(value float64) bool { return value >= 0 && value <= maxLoadValue }
 
-// inOrder returns the values of fields in their order, or nil if one is missing.
-func inOrder(values map[string]float32, fields []string) []float32 {
+// orderValues returns the values of fields, in their order, or nil if one is missing.
+func orderValues(values map[string]float32, fields []string) []float32 {
 	report := make([]float32, len(fields))
 	for i, name := range fields {
 		value, ok := values[name]
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,27 +8,26 @@
 
 // PoolConfig configures a Pool.
 type PoolConfig struct {
-	ConnectTimeout time.Duration // how long opening a connection may take
-	IdleTimeout    time.Duration // when Run closes an idle connection
-	// ReuseDelay is how long a connection must have been idle before it is used again. It guards against a client that gets
-	// the response to another request: a stray response that an endpoint sends after the complete one arrives in that time,
-	// and a connection on which bytes wait is not used again.
+	ConnectTimeout time.Duration // maximum time for opening a connection
+	IdleTimeout    time.Duration // how long a connection may be idle before Run closes it
+	// ReuseDelay is how long a connection must have been idle before it is reused. It keeps a client from receiving the
+	// response to another request: a stray response that an endpoint sends after the complete one arrives during the delay,
+	// and a connection with unread bytes is not reused.
 	ReuseDelay time.Duration
-	MaxConns   int // limit of the connections in use, idle and being opened
+	MaxConns   int // limit on the connections in use, idle and being opened
 }
 
-// Pool opens connections to endpoints up to a limit and caches idle ones for further use. All methods may be called from
-// any goroutine.
+// Pool opens connections to endpoints up to a limit and keeps idle ones for reuse. It is safe for concurrent use.
 type Pool struct {
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
 	reuseDelay     time.Duration
-	AfterDial      func() // for tests: called when a connection was opened; may be nil
+	afterDial      func() // test hook, called after a connection is opened; may be nil
 
-	mu       sync.Mutex
-	maxConns int       // limit of open
-	open     int       // connections in use, idle and being opened
-	idle     idleConns // the idle ones
+	mu        sync.Mutex
+	maxConns  int       // limit of openConns
+	openConns int       // connections in use, idle and being opened
+	idle      idleConns // connections that carry no request
 }
 
 // NewPool returns an empty pool.
@@ -42,8 +41,8 @@
 	}
 }
 
-// get returns an idle connection that is still open, or a new one. Its errors are connLimitError and connectError; one that
-// wraps errNoSocket says nothing of the endpoint.
+// get returns an idle connection that is still open, or a new one. It returns a connLimitError or a connectError. An
+// error that wraps errNoSocket does not count against the endpoint.
 func (p *Pool) get(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*endpointConn, error) {
 	if conn := p.takeHealthy(endpoint); conn != nil {
 		return conn, nil
@@ -53,14 +52,14 @@
 		if err != nil || !conn.stale() {
 			return conn, err
 		}
-		p.closeConn(conn) // it moved or restarted meanwhile; nothing was sent yet
+		p.closeConn(conn) // the endpoint moved or restarted in the meantime; nothing was sent yet
 	}
 }
 
-// takeHealthy takes an idle connection and closes those found to be dead; nil: there is none. It guards against a request
-// that is written to a connection which the endpoint has closed, or lost in a crash, while it was idle: the attempt would
-// end as a reset, which does not show whether the request was executed, and might not be retried. The kernel knows of the
-// close before the request is written.
+// takeHealthy takes an idle connection, or returns nil if there is none. It closes the stale and dead ones that it
+// finds. The endpoint may have closed an idle connection, or lost it in a crash, which the kernel knows before the
+// request is written. A request that is written to such a connection would end as a reset, which does not show whether
+// the request was executed, so that it might not be retried.
 func (p *Pool) takeHealthy(endpoint *Endpoint) *endpointConn {
 	for {
 		conn := p.takeIdle(endpoint)
@@ -71,14 +70,14 @@
 	}
 }
 
-// takeIdle takes the most recently used connection that has been idle for reuseDelay; nil: there is none.
+// takeIdle takes the most recently used connection that has been idle for reuseDelay, or returns nil if there is none.
 func (p *Pool) takeIdle(endpoint *Endpoint) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.idle.takeLatest(endpoint, p.reuseDelay)
+	return p.idle.takeMostRecent(endpoint, p.reuseDelay)
 }
 
-// put makes a connection idle, or closes it if its endpoint has changed.
+// put returns a connection to the pool as idle, or closes it if its endpoint is closed or has changed.
 func (p *Pool) put(conn *endpointConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
@@ -87,8 +86,8 @@
 	}
 }
 
-// addIdle adds a connection to the idle ones unless its endpoint is closed or has changed. It checks that under the
-// lock, which CloseIdle takes after such a change: the connection is either rejected here or closed there.
+// addIdle adds a connection to the idle ones and reports true, unless its endpoint is closed or has changed. It checks that
+// while it holds mu, which CloseIdle locks after such a change: the connection is either rejected here or closed there.
 func (p *Pool) addIdle(conn *endpointConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,16 +98,17 @@
 	return true
 }
 
-// closeConn closes a connection, which no longer counts.
+// closeConn closes a connection and releases its reservation.
 func (p *Pool) closeConn(conn *endpointConn) {
 	conn.Close()
-	p.release()
+	p.releaseReservation()
 }
 
-// reserve counts one more connection. At the limit it closes an idle one, or returns a connLimitError if there is none.
-func (p *Pool) reserve() error {
+// reserveConn reserves one more connection in openConns. At the limit, it closes an idle connection, or returns a
+// connLimitError if there is none.
+func (p *Pool) reserveConn() error {
 	for {
-		limit, reserved := p.tryReserve()
+		limit, reserved := p.tryReserveConn()
 		if reserved {
 			return nil
 		}
@@ -118,20 +118,20 @@
 	}
 }
 
-// tryReserve counts one more connection unless the limit is reached, and returns the limit.
-func (p *Pool) tryReserve() (limit int, reserved bool) {
+// tryReserveConn reserves one more connection unless the limit is reached, and returns the limit.
+func (p *Pool) tryReserveConn() (limit int, reserved bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= p.maxConns {
+	if p.openConns >= p.maxConns {
 		return p.maxConns, false
 	}
-	p.open++
+	p.openConns++
 	return p.maxConns, true
 }
 
-// release counts one connection less.
-func (p *Pool) release() {
+// releaseReservation subtracts one connection from openConns.
+func (p *Pool) releaseReservation() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openConns--
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -17,18 +17,18 @@
 // TestClosedIdleConnectionNotReused checks that a request is not written to a connection that the server has closed: it would
 // end as a reset, which does not show whether the request was executed.
 func TestClosedIdleConnectionNotReused(t *testing.T) {
-	ending := sidecartest.NewScriptedServer(t, func(c net.Conn) bool { sidecartest.Respond(200, "")(c); return false })
+	server := sidecartest.NewScriptedServer(t, func(c net.Conn) bool { sidecartest.Respond(200, "")(c); return false })
 	client := newTestClient(t, 500)
-	endpoint := newEndpoint(ending.Addr)
+	endpoint := newEndpoint(server.Addr)
 	expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
 	conn := client.pool.idle[endpoint][0]
 	sidecartest.WaitFor(t, "the server closes the connection", func() bool { return !conn.healthy() })
 	expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
-	if conns := ending.ConnCount(); conns != 2 {
+	if conns := server.ConnCount(); conns != 2 {
 		t.Errorf("the server accepted %d connections, want 2", conns)
 	}
-	if client.pool.open != len(client.pool.idle[endpoint]) {
-		t.Errorf("%d connections are counted as open, but %d are idle", client.pool.open, len(client.pool.idle[endpoint]))
+	if client.pool.openConns != len(client.pool.idle[endpoint]) {
+		t.Errorf("%d connections are counted as open, but %d are idle", client.pool.openConns, len(client.pool.idle[endpoint]))
 	}
 }
 
@@ -60,8 +60,8 @@
 	client := newTestClient(t, 1)
 	expectOutcome(t, client, newAttempt(newEndpoint(first.Addr), sidecartest.Timeout), balance.OK)
 	expectOutcome(t, client, newAttempt(newEndpoint(second.Addr), sidecartest.Timeout), balance.OK)
-	if client.pool.open != 1 {
-		t.Errorf("%d connections are open, want 1", client.pool.open)
+	if client.pool.openConns != 1 {
+		t.Errorf("%d connections are open, want 1", client.pool.openConns)
 	}
 	conn, err := client.pool.get(context.Background(), newEndpoint(first.Addr), time.Now().Add(sidecartest.Timeout))
 	if err != nil {
@@ -69,8 +69,8 @@
 	}
 	defer client.pool.closeConn(conn)
 	expectOutcome(t, client, newAttempt(newEndpoint(second.Addr), sidecartest.Timeout), balance.NotAttempted)
-	if ending := client.CheckHealth(context.Background(), newEndpoint(second.Addr)); ending.Result != balance.NotAttempted {
-		t.Errorf("health check without a socket: outcome %d, want %d", ending.Result, balance.NotAttempted)
+	if outcome := client.CheckHealth(context.Background(), newEndpoint(second.Addr)); outcome.Result != balance.NotAttempted {
+		t.Errorf("health check without a socket: outcome %d, want %d", outcome.Result, balance.NotAttempted)
 	}
 }
 
@@ -83,8 +83,8 @@
 	client := newTestClient(t, 500)
 	endpoint := newEndpoint(server.Addr)
 	for range 2 {
-		if ending := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK); ending.Response != nil && len(ending.Response.Body) != 0 {
-			t.Errorf("got the body %q, want an empty one", ending.Response.Body)
+		if outcome := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK); outcome.Response != nil && len(outcome.Response.Body) != 0 {
+			t.Errorf("got the body %q, want an empty one", outcome.Response.Body)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	if _, err := downstream.NewListener(inner, downstream.NewConnTracker(1), client.pool).Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the listener ended with %v, want %v", err, net.ErrClosed)
 	}
-	if client.pool.open != 0 {
+	if client.pool.openConns != 0 {
 		t.Error("an idle connection is open while descriptors are short")
 	}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -8,13 +8,14 @@
 	"cindersaddle/internal/http1"
 )
 
-// forClient returns a response as it goes to the client, with the body that was read.
-func forClient(response http1.Response) *exchange.Response {
+// bufferedResponse returns the response for the client, with the body that was read completely.
+func bufferedResponse(response http1.Response) *exchange.Response {
 	return &exchange.Response{Status: http.StatusOK, Header: response.Head.Header, Body: response.Body}
 }
 
-// forStreaming returns a response as it goes to the client, with a body that is read from the connection.
-func forStreaming(response http1.Response, attempt *Attempt, conn *endpointConn) *exchange.Response {
+// streamedResponse returns the response for the client, with a Download that reads the rest of the body from the
+// connection.
+func streamedResponse(response http1.Response, attempt *Attempt, conn *endpointConn) *exchange.Response {
 	download := &exchange.Download{
 		FirstBytes:     response.Body,
 		Body:           response.Head.Body,
@@ -26,14 +27,14 @@
 	return &exchange.Response{Status: http.StatusOK, Header: response.Head.Header, Download: download}
 }
 
-// stream lets the client read the response from the connection, and returns how that ended.
-func stream(attempt *Attempt, conn *endpointConn, response http1.Response) error {
-	streamed := forStreaming(response, attempt, conn)
+// streamToClient passes a streamed response to the observer, waits until its Download ends, and returns how it ended.
+func streamToClient(attempt *Attempt, conn *endpointConn, response http1.Response) error {
+	streamed := streamedResponse(response, attempt, conn)
 	attempt.Observer.StreamStarted(attempt, streamed, time.Now())
 	select {
 	case err := <-streamed.Download.Done:
 		return err
-	case <-attempt.LoopDone: // nobody may read the response any more
+	case <-attempt.LoopDone: // the Download may have no reader any more
 		return exchange.ErrDownloadStopped
 	}
 }
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -39,7 +39,7 @@
 			if took := time.Since(start); took > sidecartest.Timeout {
 				t.Errorf("the attempt took %v, want at most %v", took, sidecartest.Timeout)
 			}
-			if client.pool.open != 0 {
+			if client.pool.openConns != 0 {
 				t.Error("the connection is still open")
 			}
 		})
@@ -70,12 +70,12 @@
 			}
 			server := sidecartest.NewScriptedServer(t, step)
 			client := newTestClient(t, 500)
-			ending := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
-			if ending.Response == nil || string(ending.Response.Body) != "served" || ending.LoadReport != nil {
-				t.Errorf("got %+v, want the body \"served\" and no load report", ending)
+			outcome := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
+			if outcome.Response == nil || string(outcome.Response.Body) != "served" || outcome.LoadReport != nil {
+				t.Errorf("got %+v, want the body \"served\" and no load report", outcome)
 			}
-			if client.pool.open != test.open {
-				t.Errorf("%d connections are open, want %d", client.pool.open, test.open)
+			if client.pool.openConns != test.open {
+				t.Errorf("%d connections are open, want %d", client.pool.openConns, test.open)
 			}
 		})
 	}
--- a/internal/upstream/responseobserver.go
+++ b/internal/upstream/responseobserver.go
@@ -6,27 +6,27 @@
 	"cindersaddle/internal/http1"
 )
 
-// unknownLengthGrace is how long the body of a response of unknown length may take, from its head on, to be read
-// completely. A slower one is streamed to the client, which waits for its first bytes.
+// unknownLengthGrace is how long it may take, after the head, to read the complete body of a response of unknown
+// length. If it takes longer, the body is streamed to the client, which is waiting for the first bytes.
 const unknownLengthGrace = 20 * time.Millisecond
 
-// uploadObserver follows a response while the request body may still be on its way: it has no deadline to change.
+// uploadObserver observes a response that may arrive before the request body is complete. It changes no deadline.
 type uploadObserver struct {
 	http1.IgnoreProgress
 	attempt *Attempt
 }
 
 // ResponseStarted implements http1.ResponseObserver.
-func (o uploadObserver) ResponseStarted() { o.attempt.responseStarted() }
+func (o uploadObserver) ResponseStarted() { o.attempt.notifyResponseStarted() }
 
-// deadlineObserver follows a response to a complete request.
+// deadlineObserver observes a response to a complete request, and sets the deadline for reading it.
 type deadlineObserver struct {
 	attempt *Attempt
 	conn    *endpointConn
 }
 
 // ResponseStarted implements http1.ResponseObserver.
-func (o deadlineObserver) ResponseStarted() { o.attempt.responseStarted() }
+func (o deadlineObserver) ResponseStarted() { o.attempt.notifyResponseStarted() }
 
 // ShortenDeadline implements http1.ResponseObserver.
 func (o deadlineObserver) ShortenDeadline() {
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	conn := wrap(tcp.(*net.TCPConn))
-	client.pool.open++
+	client.pool.openConns++
 	client.pool.put(&endpointConn{Conn: conn, reader: http1.NewResponseReader(conn), endpoint: endpoint, address: endpoint.Address.Load()})
 	attempt := newAttempt(endpoint, sidecartest.Timeout)
 	attempt.TimeAfterUpload = sidecartest.Timeout
@@ -116,9 +116,9 @@
 		server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 		client := newTestClient(t, 500)
 		unwrapped := func(tcp *net.TCPConn) net.Conn { return tcp }
-		ending := expectOutcome(t, client, newUploadAttempt(t, client, newEndpoint(server.Addr), unwrapped, func() error { return err }), balance.NotAttempted)
-		if !errors.Is(ending.UploadError, err) {
-			t.Errorf("upload error %v, want %v", ending.UploadError, err)
+		outcome := expectOutcome(t, client, newUploadAttempt(t, client, newEndpoint(server.Addr), unwrapped, func() error { return err }), balance.NotAttempted)
+		if !errors.Is(outcome.UploadError, err) {
+			t.Errorf("upload error %v, want %v", outcome.UploadError, err)
 		}
 		if got := len(server.Requests()); got != 0 {
 			t.Errorf("%v: the server received %d complete requests, want 0", err, got)
