--- a/internal/upstream/cancel_stream_test.go
+++ b/internal/upstream/cancel_stream_test.go
@@ -9,7 +9,7 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// streamRecorder records whether a response is streamed. It calls onHead, if set, when the head of the response has come.
+// streamRecorder records whether a response is streamed. It calls onHead, if set, when the head of the response arrives.
 type streamRecorder struct {
 	ignoringObserver
 	onHead   func(*Attempt)
@@ -27,18 +27,18 @@
 	response.Download.Finish(exchange.ErrDownloadStopped)
 }
 
-// TestInterruptedResponseIsNotStreamed checks that a response of unknown length is not passed on if its attempt is
-// cancelled, or its deadline passes, while the first part of the body is read. Both interrupt the read just as the end of
-// the grace for such bodies does.
+// TestInterruptedResponseIsNotStreamed checks that a response of unknown length is not streamed if its attempt is
+// cancelled, or its deadline passes, while the first part of the body is read. Both interrupt the read in the same way
+// as the end of unknownLengthGrace, after which the response would be streamed.
 func TestInterruptedResponseIsNotStreamed(t *testing.T) {
 	responses := map[string]string{
 		"until close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart",
 		"chunked":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
 	}
 	for name, interruption := range map[string]struct {
-		within time.Duration
-		onHead func(*Attempt)
-		want   balance.Result
+		timeout time.Duration
+		onHead  func(*Attempt)
+		want    balance.Result
 	}{
 		"cancelled": {sidecartest.Timeout, func(attempt *Attempt) { attempt.Cancel() }, balance.Cancelled},
 		"deadline":  {unknownLengthGrace / 2, nil, balance.TimedOut},
@@ -46,12 +46,12 @@
 		for framing, response := range responses {
 			t.Run(name+", "+framing, func(t *testing.T) {
 				server := sidecartest.NewScriptedServer(t, sidecartest.RespondRaw(response))
-				attempt := newAttempt(newEndpoint(server.Addr), interruption.within)
+				attempt := newAttempt(newEndpoint(server.Addr), interruption.timeout)
 				recorder := &streamRecorder{onHead: interruption.onHead}
 				attempt.Observer = recorder
-				expectOutcome(t, newTestClient(t, 500), attempt, interruption.want)
+				expectResult(t, newTestClient(t, testMaxConns), attempt, interruption.want)
 				if recorder.streamed {
-					t.Error("the response was passed on")
+					t.Error("the response was streamed, want it not streamed")
 				}
 			})
 		}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -9,10 +9,11 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestObsoleteAttemptSendsNothing checks that nothing is sent if the endpoint begins to drain, the request ends or its client
-// disconnects before the connection is ready: the outcome is that the attempt was not made.
+// TestObsoleteAttemptSendsNothing checks that nothing is sent, and that the result is NotAttempted, if the endpoint
+// begins to drain, the request ends, the attempt is cancelled or expires, or the client disconnects before the request
+// is written.
 func TestObsoleteAttemptSendsNothing(t *testing.T) {
-	for name, late := range map[string]func(*Attempt){
+	for name, makeObsolete := range map[string]func(*Attempt){
 		"draining":            func(attempt *Attempt) { attempt.Endpoint.Closed.Store(true) },
 		"request done":        func(attempt *Attempt) { attempt.RequestDone.Store(true) },
 		"attempt cancelled":   func(attempt *Attempt) { attempt.Cancel() },
@@ -21,12 +22,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
-			client := newTestClient(t, 500)
+			client := newTestClient(t, testMaxConns)
 			endpoint := newEndpoint(server.Addr)
-			expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
+			expectResult(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
 			attempt := newAttempt(endpoint, sidecartest.Timeout)
-			late(attempt)
-			expectOutcome(t, client, attempt, balance.NotAttempted)
+			makeObsolete(attempt)
+			expectResult(t, client, attempt, balance.NotAttempted)
 			if got := len(server.Requests()); got != 1 {
 				t.Errorf("the server received %d requests, want 1", got)
 			}
@@ -34,48 +35,50 @@
 	}
 }
 
-// TestNoListenerIsConnectFailed checks the outcome of an attempt at an address where nothing listens.
+// TestNoListenerIsConnectFailed checks that the result of an attempt is ConnectFailed if no process listens at the address.
 func TestNoListenerIsConnectFailed(t *testing.T) {
 	ln := sidecartest.Listen(t)
 	ln.Close()
-	expectOutcome(t, newTestClient(t, 500), newAttempt(newEndpoint(ln.Addr().String()), sidecartest.Timeout), balance.ConnectFailed)
+	attempt := newAttempt(newEndpoint(ln.Addr().String()), sidecartest.Timeout)
+	expectResult(t, newTestClient(t, testMaxConns), attempt, balance.ConnectFailed)
 }
 
-// TestEndpointMovesWhileConnecting checks that a request goes to the new address of an endpoint that moves while a connection to the
-// old address is being opened.
+// TestEndpointMovesWhileConnecting checks that a request is sent to the new address of an endpoint that moves while a
+// connection to its old address is being opened.
 func TestEndpointMovesWhileConnecting(t *testing.T) {
 	old := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "old"))
 	moved := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "new"))
 	endpoint := newEndpoint(old.Addr)
-	client := newTestClient(t, 500)
+	client := newTestClient(t, testMaxConns)
 	client.pool.afterDial = func() {
 		endpoint.Address.CompareAndSwap(endpoint.Address.Load(), &moved.Addr)
 		client.pool.afterDial = nil
 	}
-	outcome := expectOutcome(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
+	outcome := expectResult(t, client, newAttempt(endpoint, sidecartest.Timeout), balance.OK)
 	if string(outcome.Response.Body) != "new" || len(old.Requests()) > 0 {
-		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0", outcome.Response.Body, len(old.Requests()))
+		t.Errorf("got the body %q, and the old address received %d requests; want the body \"new\" and 0 requests",
+			outcome.Response.Body, len(old.Requests()))
 	}
 	if client.pool.openConns != 1 {
-		t.Errorf("%d connections are open, want 1", client.pool.openConns)
+		t.Errorf("got %d open connections, want 1", client.pool.openConns)
 	}
 }
 
-// TestAbandonedAttemptClosesConnection checks that an attempt that times out or is cancelled closes its connection: it must neither
-// occupy a socket nor carry another request.
+// TestAbandonedAttemptClosesConnection checks that an attempt that times out or is cancelled closes its connection,
+// which would otherwise occupy a socket, or carry another request and receive the response to the abandoned one.
 func TestAbandonedAttemptClosesConnection(t *testing.T) {
-	ended := make(chan bool, 2)
+	connClosed := make(chan bool, 2)
 	hang := func(c net.Conn) bool {
 		var b [1]byte
 		_, err := c.Read(b[:])
-		ended <- err != nil
+		connClosed <- err != nil
 		return false
 	}
 	server := sidecartest.NewScriptedServer(t, hang)
-	client := newTestClient(t, 500)
+	client := newTestClient(t, testMaxConns)
 	endpoint := newEndpoint(server.Addr)
-	expectOutcome(t, client, newAttempt(endpoint, 2*time.Second), balance.TimedOut)
-	sidecartest.Next(t, ended)
+	expectResult(t, client, newAttempt(endpoint, 2*time.Second), balance.TimedOut)
+	sidecartest.Next(t, connClosed)
 	attempt := newAttempt(endpoint, sidecartest.Timeout)
 	go func() {
 		for len(server.Requests()) < 2 {
@@ -83,9 +86,10 @@
 		}
 		attempt.Cancel()
 	}()
-	expectOutcome(t, client, attempt, balance.Cancelled)
-	sidecartest.Next(t, ended)
+	expectResult(t, client, attempt, balance.Cancelled)
+	sidecartest.Next(t, connClosed)
 	if client.pool.openConns != 0 || len(client.pool.idle) != 0 {
-		t.Errorf("%d connections are open and %d endpoints have idle ones, want none", client.pool.openConns, len(client.pool.idle))
+		t.Errorf("got %d open connections and %d endpoints with idle connections, want 0 and 0",
+			client.pool.openConns, len(client.pool.idle))
 	}
 }
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -11,20 +11,20 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestExchangeGoesOnAfterErrors checks that an attempt is neither failed nor written twice because reads and writes fail for
-// want of memory, are interrupted, or transfer a part only.
+// TestExchangeGoesOnAfterErrors checks that an attempt does not fail, and does not send its request twice, when
+// reads and writes fail for lack of memory, are interrupted, or transfer only some of the bytes.
 func TestExchangeGoesOnAfterErrors(t *testing.T) {
 	plan, err := fault.ParsePlan("seed=7 rate=0.3 short=0.9 receive=EINTR,ENOBUFS,ENOMEM send=EINTR,ENOBUFS,ENOMEM")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	client := newTestClient(t, 500)
+	client := newTestClient(t, testMaxConns)
 	fault.Use(plan)
 	t.Cleanup(func() { fault.Use(nil) })
 	const attempts = 20
 	for range attempts {
-		outcome := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
+		outcome := expectResult(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
 		if outcome.Response == nil || string(outcome.Response.Body) != "served" {
 			t.Fatalf("got %+v, want the body \"served\"", outcome)
 		}
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestConnectErrors checks which errors of connect count against the endpoint, and that none leaves a connection counted.
+// TestConnectErrors checks which errors of connect count against the endpoint, and that a failed connection is not
+// counted as open.
 func TestConnectErrors(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	for errno, want := range map[syscall.Errno]balance.Result{
@@ -47,7 +48,7 @@
 		syscall.ENOBUFS:       balance.NotAttempted,
 		syscall.EADDRNOTAVAIL: balance.NotAttempted,
 	} {
-		client := newTestClient(t, 500)
+		client := newTestClient(t, testMaxConns)
 		fault.Use(&fault.Plan{Decide: func(call fault.Call) error {
 			if call == fault.Connect {
 				return errno
@@ -57,7 +58,8 @@
 		outcome := client.Do(newAttempt(newEndpoint(server.Addr), sidecartest.Timeout))
 		fault.Use(nil)
 		if outcome.Result != want || !outcome.Result.NeverExecuted() || client.pool.openConns != 0 {
-			t.Errorf("%v: %v with %d connections open, want %v and none", errno, outcome.Result, client.pool.openConns, want)
+			t.Errorf("%v: got %v with %d open connections, want %v with 0",
+				errno, outcome.Result, client.pool.openConns, want)
 		}
 	}
 }
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestParseLoadReport checks which reports are valid, and that names and aliases are put into the configured order.
+// TestParseLoadReport checks which reports are valid, and that the values of names and aliases are returned in the
+// configured order.
 func TestParseLoadReport(t *testing.T) {
 	fields := []string{"busy", "rate"}
 	for text, want := range map[string]int{
@@ -13,20 +14,21 @@
 		"": 0, "TEXT": 0, "TEXT busy=0.5": 0, "TEXT busy=x, rate=3": 0, "TEXT busy=NaN, rate=3": 0, "JSON {}": 0,
 	} {
 		if got := parseLoadReport(text, fields); len(got) != want || want > 0 && (got[0] != 0.5 || got[1] != 3) {
-			t.Errorf("%q: got %v, want %d figures", text, got, want)
+			t.Errorf("%q: got %v, want %d values, 0.5 and 3 if any", text, got, want)
 		}
 	}
 }
 
-// TestInvalidLoadReportDoesNotHideNext checks that the first valid of several load reports is used.
+// TestInvalidLoadReportDoesNotHideNext checks that an invalid load report is skipped if a valid one follows it.
 func TestInvalidLoadReportDoesNotHideNext(t *testing.T) {
 	resp := &http.Response{Header: http.Header{LoadReportHeader: {"TEXT ?", "TEXT busy=0.5, rate=3"}}}
 	if got := loadReportFrom(resp, []string{"busy", "rate"}); len(got) != 2 || got[0] != 0.5 {
-		t.Errorf("got %v, want a report that starts with 0.5", got)
+		t.Errorf("got %v, want 2 values, the first 0.5", got)
 	}
 }
 
-// FuzzParseLoadReport checks that a report has one figure for each field, and only figures that a load can have, or is nil.
+// FuzzParseLoadReport checks that a parsed report has one value for each field, and only values in the valid range, or
+// is nil.
 func FuzzParseLoadReport(f *testing.F) {
 	f.Add("TEXT busy=0.5, rate=3")
 	f.Add("TEXT busy=-1, rate=3")
@@ -35,11 +37,11 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		report := parseLoadReport(text, []string{"busy", "rate"})
 		if report != nil && len(report) != 2 {
-			t.Errorf("%q gave %d figures, want 2", text, len(report))
+			t.Errorf("%q: got %d values, want 2", text, len(report))
 		}
 		for _, v := range report {
 			if !(v >= 0 && v <= maxLoadValue) {
-				t.Errorf("%q gave %v, want figures from 0 to %v", text, report, maxLoadValue)
+				t.Errorf("%q: got %v, want values from 0 to %v", text, report, maxLoadValue)
 			}
 		}
 	})
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -9,8 +9,9 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestInvalidResponseFailsAtOnce checks the outcome of responses that cannot be used, and that it does not wait for the rest of one:
-// that may never come or never end, and would cost the request its time, or memory.
+// TestInvalidResponseFailsAtOnce checks the results of responses that cannot be used, and that the attempt does not
+// wait for the rest of such a response. The rest may never arrive or never end, which would use up the request's time
+// or the memory.
 func TestInvalidResponseFailsAtOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		response sidecartest.Step
@@ -33,26 +34,26 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := sidecartest.NewScriptedServer(t, test.response)
-			client := newTestClient(t, 500)
+			client := newTestClient(t, testMaxConns)
 			start := time.Now()
-			expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), 2*sidecartest.Timeout), test.want)
+			expectResult(t, client, newAttempt(newEndpoint(server.Addr), 2*sidecartest.Timeout), test.want)
 			if took := time.Since(start); took > sidecartest.Timeout {
-				t.Errorf("the attempt took %v, want at most %v", took, sidecartest.Timeout)
+				t.Errorf("got a duration of %v, want at most %v", took, sidecartest.Timeout)
 			}
 			if client.pool.openConns != 0 {
-				t.Error("the connection is still open")
+				t.Errorf("got %d open connections, want 0", client.pool.openConns)
 			}
 		})
 	}
 }
 
-// TestValidResponseAndConnectionReuse checks the body of valid responses, and that a connection is used again only if the server
-// does not close it and nothing follows the response.
+// TestValidResponseAndConnectionReuse checks the body of valid responses, and that a connection is kept for reuse only
+// if the server does not close it and no bytes follow the response.
 func TestValidResponseAndConnectionReuse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n"
 	for name, test := range map[string]struct {
-		text string
-		open int
+		text      string
+		openConns int
 	}{
 		"plain":                       {head + "\r\nserved", 1},
 		"interim":                     {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + head + "\r\nserved", 1},
@@ -65,17 +66,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			step := sidecartest.RespondRaw(test.text)
-			if test.open == 0 {
+			if test.openConns == 0 {
 				step = sidecartest.RespondRawAndClose(test.text)
 			}
 			server := sidecartest.NewScriptedServer(t, step)
-			client := newTestClient(t, 500)
-			outcome := expectOutcome(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
+			client := newTestClient(t, testMaxConns)
+			outcome := expectResult(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
 			if outcome.Response == nil || string(outcome.Response.Body) != "served" || outcome.LoadReport != nil {
 				t.Errorf("got %+v, want the body \"served\" and no load report", outcome)
 			}
-			if client.pool.openConns != test.open {
-				t.Errorf("%d connections are open, want %d", client.pool.openConns, test.open)
+			if client.pool.openConns != test.openConns {
+				t.Errorf("got %d open connections, want %d", client.pool.openConns, test.openConns)
 			}
 		})
 	}
