--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -11,9 +11,9 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestExchangeGoesOnAfterErrors checks that an attempt does not fail, and does not send its request twice, when
+// TestExchangeContinuesAfterTransientErrors checks that an attempt does not fail, and does not send its request twice, when
 // reads and writes fail for lack of memory, are interrupted, or transfer only some of the bytes.
-func TestExchangeGoesOnAfterErrors(t *testing.T) {
+func TestExchangeContinuesAfterTransientErrors(t *testing.T) {
 	plan, err := fault.ParsePlan("seed=7 rate=0.3 short=0.9 receive=EINTR,ENOBUFS,ENOMEM send=EINTR,ENOBUFS,ENOMEM")
 	if err != nil {
 		t.Fatal(err)
