--- a/internal/exchange/settings_test.go
+++ b/internal/exchange/settings_test.go
@@ -9,9 +9,9 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestTranslateKeepsClassAndAttemptsOfPreviousSettings checks a request that is read before the settings are replaced and
+// TestTranslateKeepsClassAndAttemptsOfEarlierSettings checks a request that is read before the settings are replaced and
 // handled after: it keeps its class and its maximum number of attempts, and its tenant is looked up by name.
-func TestTranslateKeepsClassAndAttemptsOfPreviousSettings(t *testing.T) {
+func TestTranslateKeepsClassAndAttemptsOfEarlierSettings(t *testing.T) {
 	cfg := sidecartest.Config(t)
 	registry := &metrics.Metrics{}
 	previous := NewSettings(cfg, registry)
