--- a/internal/exchange/download.go
+++ b/internal/exchange/download.go
@@ -16,7 +16,7 @@
 	FirstBytes     []byte             // the part of the body that was read before the Response was delivered
 	Body           io.Reader          // the rest of the body, read from the endpoint
 	ExtendDeadline func()             // allows the endpoint StallTimeout for the next bytes
-	Length         int64              // length of the complete body in bytes declared by the endpoint; -1 if it declared none
+	Length         int64              // declared length of the complete body in bytes; -1 if the endpoint declared none
 	Cancel         context.CancelFunc // cancels the attempt
 	Done           chan error         // receives how the download ended; buffered for one value
 }
--- a/internal/exchange/replaybuffer.go
+++ b/internal/exchange/replaybuffer.go
@@ -8,7 +8,7 @@
 const (
 	// MaxReplayBytes is the maximum number of bytes of one upload that are buffered for another attempt.
 	MaxReplayBytes = 1 << 20
-	// replayMemoryDivisor divides the memory limit into the share that the buffers of all uploads may occupy.
+	// replayMemoryDivisor is the inverse of the fraction of the memory limit that all upload buffers together may use.
 	replayMemoryDivisor = 8
 	// unlimitedReplayBytes is the budget in bytes if the process has no memory limit.
 	unlimitedReplayBytes = math.MaxInt32
--- a/internal/exchange/service.go
+++ b/internal/exchange/service.go
@@ -5,7 +5,7 @@
 // ServiceState is the state of the process that the event loop, the client side and the admin server share. Any goroutine
 // may read it. The event loop writes Settings and Ready; package sidecar writes the other fields.
 type ServiceState struct {
-	Settings     atomic.Pointer[Settings]      // apply to new requests
+	Settings     atomic.Pointer[Settings]      // settings for new requests
 	Ready        atomic.Bool                   // the endpoint list is not empty
 	ShuttingDown atomic.Bool                   // connections are closed after their next response
 	Shutdown     atomic.Pointer[ShutdownTimes] // time limits of the shutdown; nil before it begins
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// earlier returns the earlier one of two points in time.
+// earlier returns the earlier of two points in time.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -68,13 +68,13 @@
 // which would otherwise occupy a socket, or carry another request and receive the response to the abandoned one.
 func TestAbandonedAttemptClosesConnection(t *testing.T) {
 	connClosed := make(chan bool, 2)
-	hang := func(c net.Conn) bool {
+	awaitClose := func(c net.Conn) bool { // sends no response
 		var b [1]byte
 		_, err := c.Read(b[:])
 		connClosed <- err != nil
 		return false
 	}
-	server := sidecartest.NewScriptedServer(t, hang)
+	server := sidecartest.NewScriptedServer(t, awaitClose)
 	client := newTestClient(t, testMaxConns)
 	endpoint := newEndpoint(server.Addr)
 	expectResult(t, client, newAttempt(endpoint, 2*time.Second), balance.TimedOut)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -57,8 +57,8 @@
 }
 
 // takeHealthy takes an idle connection, or returns nil if there is none. It closes the stale and dead ones that it
-// finds. The endpoint may have closed an idle connection, or lost it in a crash, which the kernel knows before the
-// request is written. A request that is written to such a connection would end as a reset, which does not show whether
+// finds. The endpoint may have closed an idle connection, or lost it in a crash; the kernel can report that
+// before the request is written. A request that is written to such a connection would end as a reset, which does not show whether
 // the request was executed, so that it might not be retried.
 func (p *Pool) takeHealthy(endpoint *Endpoint) *endpointConn {
 	for {
