--- a/balance/classhealth.go
+++ b/balance/classhealth.go
@@ -1,30 +1,36 @@
 package balance
 
 const (
-	// classScoreLifetime is the time constant of a class's score at an endpoint. It is long because classes
-	// with little traffic reach an endpoint rarely.
-	classScoreLifetime Milliseconds = 15000
-	// classFailureLifetimes is how long a class counts as failing after its last failure, in lifetimes of a
-	// score.
-	classFailureLifetimes = 2
-	// classScoreGain is the weight of one result in the score.
+	// classScoreTimeConstant is the time constant with which a class's score at an endpoint loses its weight.
+	// It is long because requests of a class with little traffic rarely reach a given endpoint.
+	classScoreTimeConstant Milliseconds = 15000
+	// classFailureTimeConstants is how long a class counts as failing after its last failure, as a multiple
+	// of classScoreTimeConstant.
+	classFailureTimeConstants = 2
+	// classScoreGain is the weight of the latest result in the score.
 	classScoreGain = 0.6
-	// minClassFactor keeps some requests of a class at each endpoint, so that its recovery is noticed.
+	// minClassFactor is the lower bound of classFactor. It keeps a few requests of a failing class at each
+	// endpoint, so that a recovery is detected.
 	minClassFactor = 0.03
-	// failingClassScore is the mean score below which requests move from warm endpoints to those warming up.
+	// failingClassScore is the mean score of a failing class below which its requests are expected to move to
+	// the endpoints in slow start (slowStartPolicy).
 	failingClassScore = 0.8
+	// initialMeanScore is the mean score of a class without results. It counts in the mean like the score of
+	// one more endpoint.
+	initialMeanScore = 1.0
 )
 
-// classScore is the success rate of one class at one endpoint: a decaying mean of 1 (served) and 0
-// (failed). It is needed because some endpoints fail one class and serve the others, whose successes keep
-// the health multiplier at 1.
+// classScore is the recent success rate of one class at one endpoint: an exponentially weighted mean of
+// results, 1 (served) or 0 (failed). The health multiplier does not show an endpoint that fails only one
+// class, because the successes of the other classes keep it at 1.
 type classScore struct {
 	value         float64
 	updatedAt     Milliseconds
-	rotationValue float64 // running value for the class, used while the class fails
+	rotationValue float64 // rotation credit for the class, used while the class fails
 }
 
-// newClassScores returns the scores of an endpoint without history, one more than there are classes.
+// newClassScores returns the scores of an endpoint without history: one per class, and one for requests of
+// classes that are no longer configured.
 func newClassScores(classCount int) []classScore {
 	scores := make([]classScore, classCount+1)
 	for i := range scores {
@@ -33,17 +39,18 @@
 	return scores
 }
 
-// weight returns the weight that a score still has.
+// weight returns the weight of the score, which decays from 1 to 0 with the time since the last result.
 func (s *classScore) weight(now Milliseconds) float64 {
-	return decay(now-s.updatedAt, classScoreLifetime)
+	return decay(now-s.updatedAt, classScoreTimeConstant)
 }
 
-// expected returns the score, which regresses to the mean of all endpoints as its weight falls.
+// expected returns the expected success rate. It moves from the score to the mean score of all endpoints as
+// the weight of the score decays.
 func (s *classScore) expected(now Milliseconds, meanScore float64) float64 {
 	return meanScore + (s.value-meanScore)*s.weight(now)
 }
 
-// record adds a result, 1 (served) or 0 (failed).
+// record adds a result to the score: 1 (served) or 0 (failed).
 func (s *classScore) record(now Milliseconds, result, meanScore float64) {
 	expected := s.expected(now, meanScore)
 	s.value = expected + classScoreGain*(result-expected)
@@ -58,11 +65,11 @@
 	return &ep.classScores[req.stats.index]
 }
 
-// classFactor returns the factor of an endpoint's weight that follows from its score for the request's
-// class, while the class fails anywhere. An endpoint without recent results counts as the mean of the
-// others, so that a sidecar with few requests prefers endpoints known to serve the class. The factor also
-// covers errors that are returned fast. Where one sidecar causes most of the load, it may overload the few
-// good endpoints.
+// classFactor returns the factor by which the score for the request's class lowers an endpoint's weight,
+// while any endpoint fails the class. An endpoint without recent results counts with the mean score, so that
+// a sidecar with few requests prefers endpoints known to serve the class. The factor also covers errors that
+// are returned quickly. If a single sidecar causes most of the load, it may overload the few endpoints that
+// serve the class.
 func (b *Balancer) classFactor(req *request, ep *endpoint) float64 {
 	if !b.classFailing(req) {
 		return 1
@@ -73,12 +80,13 @@
 
 // classFailing reports whether an endpoint has failed the request's class recently.
 func (b *Balancer) classFailing(req *request) bool {
-	return b.now <= req.stats.lastFailureAt+classFailureLifetimes*classScoreLifetime
+	return b.now <= req.stats.lastFailureAt+classFailureTimeConstants*classScoreTimeConstant
 }
 
-// updateMeanScore computes the mean score of a failing class over all endpoints.
+// updateMeanScore computes the mean of all endpoints' scores for the request's class, each with its remaining
+// weight. The mean score of a class that does not fail is initialMeanScore.
 func (b *Balancer) updateMeanScore(req *request) {
-	sum, weight := 1.0, 1.0
+	sum, weight := initialMeanScore, 1.0
 	if b.classFailing(req) {
 		for _, ep := range b.endpoints.list {
 			score := ep.scoreFor(req)
@@ -90,14 +98,15 @@
 	req.stats.meanScore = sum / weight
 }
 
-// recordClassResult updates an endpoint's score for the request's class by the result of an attempt.
+// recordClassResult updates an endpoint's score for the request's class with the result of an attempt.
+// Results other than OK, ServerError and TimedOut are ignored.
 func (b *Balancer) recordClassResult(req *request, ep *endpoint, result Result) {
 	served := 1.0
 	switch result {
 	case OK:
 	case ServerError, TimedOut:
 		served = 0
-		b.startClassRotation(req)
+		b.initClassRotation(req)
 		req.stats.lastFailureAt = b.now
 	default:
 		return
@@ -105,8 +114,9 @@
 	ep.scoreFor(req).record(b.now, served, req.stats.meanScore)
 }
 
-// startClassRotation gives a class that starts to fail its own running values, a copy of the common ones.
-func (b *Balancer) startClassRotation(req *request) {
+// initClassRotation gives the request's class its own rotation credits, copied from the shared ones, unless
+// the class has been failing already.
+func (b *Balancer) initClassRotation(req *request) {
 	if b.classFailing(req) {
 		return
 	}
--- a/balance/classhealth_test.go
+++ b/balance/classhealth_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Half of the endpoints fail all requests of one class and serve the others, whose successes clear the
-// errors. The class, which must not be retried, has to use endpoints known to serve it, the other class goes
-// on using all of them, and the first returns to all after the failure.
+// Half of the endpoints fail all requests of a non-idempotent class, which cannot be retried. The successes of
+// the other class clear their errors. The failing class has to prefer the endpoints that serve it, while the
+// other class uses all endpoints. After the failure, it uses all endpoints again, too.
 func TestClassUsesEndpointsThatServeIt(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
-	failing := func(target EndpointID) bool { return target%2 == 0 }
-	serve := func(class int, fails bool) (EndpointID, bool) {
+	failsClass := func(target EndpointID) bool { return target%2 == 0 }
+	serve := func(class int, duringFailure bool) (target EndpointID, failed bool) {
 		h.now += 60
 		id, actions := h.request(class)
 		target, ok := sendTarget(actions)
@@ -16,41 +16,41 @@
 			return 0, false
 		}
 		h.now += 150
-		if fails && class == nonIdempotentClass && failing(target) {
+		if duringFailure && class == nonIdempotentClass && failsClass(target) {
 			h.finishAttempt(id, 0, ServerError, 40)
 			return target, true
 		}
 		h.finishAttempt(id, 0, OK, 40)
 		return target, false
 	}
-	used := map[EndpointID]bool{}
-	failed := 0
+	usedByOtherClass := map[EndpointID]bool{}
+	failureCount := 0
 	for i := range 120 {
-		_, f := serve(nonIdempotentClass, true)
-		if i >= 60 && f {
-			failed++
+		_, failed := serve(nonIdempotentClass, true)
+		if i >= 60 && failed {
+			failureCount++
 		}
 		target, _ := serve(idempotentClass, true)
-		used[target] = true
+		usedByOtherClass[target] = true
 	}
-	if failed > 8 { // 14 by consecutive errors alone
-		t.Errorf("%d of the last 60 failed", failed)
+	if failureCount > 8 { // consecutive errors alone would lead to 14
+		t.Errorf("got %d failures in the last 60 requests of the failing class, want at most 8", failureCount)
 	}
-	if len(used) < 12 {
-		t.Errorf("the other class used %d of 12 endpoints", len(used))
+	if len(usedByOtherClass) < 12 {
+		t.Errorf("the other class used %d endpoints, want all 12", len(usedByOtherClass))
 	}
-	back := map[EndpointID]bool{}
+	usedAfterFailure := map[EndpointID]bool{}
 	for range 400 {
 		target, _ := serve(nonIdempotentClass, false)
-		back[target] = true
+		usedAfterFailure[target] = true
 	}
-	if len(back) < 12 {
-		t.Errorf("after the failure %d of 12 endpoints are used", len(back))
+	if len(usedAfterFailure) < 12 {
+		t.Errorf("after the failure, the class used %d endpoints, want all 12", len(usedAfterFailure))
 	}
 }
 
-// An endpoint that loses the responses of one class and serves the others must lose its share of that class
-// only, although successes of other classes clear its errors.
+// An endpoint never responds to one class but serves another, whose successes clear its errors. It has to lose
+// its share of the requests of that class only.
 func TestClassAvoidsEndpointThatLosesItsResponses(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for _, class := range []int{idempotentClass, globalKeyClass} {
@@ -76,17 +76,17 @@
 	h.finishAttempt(lost, 1, OK, 30)
 	id, _ := h.request(globalKeyClass)
 	h.finishAttempt(id, 0, OK, 30)
-	for _, c := range []struct{ class, least, most int }{{idempotentClass, 0, 4}, {globalKeyClass, 6, 14}} {
-		n := 0
+	for _, c := range []struct{ class, minCount, maxCount int }{{idempotentClass, 0, 4}, {globalKeyClass, 6, 14}} {
+		count := 0
 		for range 40 {
 			id, actions := h.request(c.class)
-			if to, _ := sendTarget(actions); to == failing {
-				n++
+			if target, _ := sendTarget(actions); target == failing {
+				count++
 			}
 			h.finishAttempt(id, 0, OK, 30)
 		}
-		if n < c.least || n > c.most {
-			t.Errorf("%d of 40 of class %d at the endpoint, want %d to %d", n, c.class, c.least, c.most)
+		if count < c.minCount || count > c.maxCount {
+			t.Errorf("the endpoint got %d of 40 requests of class %d, want %d to %d", count, c.class, c.minCount, c.maxCount)
 		}
 	}
 }
--- a/balance/classstats.go
+++ b/balance/classstats.go
@@ -1,23 +1,25 @@
 package balance
 
 const (
-	// maxLatencySamples limits the number of samples of a class's mean latency.
+	// maxLatencySamples limits the sample count of a class's mean latency, and so bounds the weight of a new
+	// sample from below.
 	maxLatencySamples = 300
-	// classLatencyGain is the gain of a class's mean latency, relative to that of other means over responses.
+	// classLatencyGain is the weight of a sample in a class's mean latency, relative to its weight in the
+	// other means over responses (averagingGain).
 	classLatencyGain = 0.5
 )
 
 // classStats holds the statistics of a class.
 type classStats struct {
 	requestCounter
-	index            int     // in endpoint.classScores; -1: the class is no longer configured
-	samples          float64 // of meanLatency, up to maxLatencySamples
+	index            int     // index in endpoint.classScores; -1: the class is no longer configured
+	samples          float64 // samples of meanLatency, up to maxLatencySamples
 	meanLatency      Milliseconds
 	latencyDeviation Milliseconds // mean absolute deviation
-	longestTimeout   Milliseconds // longest Remaining of a request
+	longestTimeout   Milliseconds // longest Request.Remaining seen
 	priorityWeight   float64
-	lastFailureAt    Milliseconds // when an endpoint last failed a request of the class
-	meanScore        float64      // mean of the endpoints' scores for the class
+	lastFailureAt    Milliseconds // when any endpoint last failed a request of the class
+	meanScore        float64      // mean of the endpoints' scores for the class; see updateMeanScore
 }
 
 // newClassStats returns the statistics of a class without history.
@@ -27,18 +29,18 @@
 		index:          index,
 		priorityWeight: class.PriorityWeight,
 		lastFailureAt:  longAgo,
-		meanScore:      1,
+		meanScore:      initialMeanScore,
 	}
 }
 
-// recordRequest counts a request with the time that its client waits.
+// recordRequest counts a request whose client waits for the given timeout.
 func (c *classStats) recordRequest(timeout Milliseconds) {
 	c.count++
 	c.longestTimeout = max(c.longestTimeout, timeout)
 }
 
-// recordLatency adds a latency to the mean and the deviation. gain is the weight of the sample, but the
-// first samples have equal weights.
+// recordLatency adds a sample to the mean latency and its deviation. The weight of the sample is gain, but at
+// least 1/samples, so that the first samples have equal weights.
 func (c *classStats) recordLatency(latency Milliseconds, gain float64) {
 	c.samples = min(c.samples+1, maxLatencySamples)
 	gain = max(gain, 1/c.samples)
@@ -46,10 +48,11 @@
 	c.latencyDeviation += ((latency - c.meanLatency).abs() - c.latencyDeviation).scaled(gain)
 }
 
-// requestCounter counts the requests of a class or tenant. The count starts at 1, so that it is never 0.
+// requestCounter counts the requests of a class or tenant. The count starts at 1, so that it can be a
+// divisor.
 type requestCounter struct {
 	count      float64
-	quotaShare float64 // of a tenant: quota as a fraction of all requests
+	quotaShare float64 // quota of a tenant as a fraction of all requests; 0: no quota
 }
 
 // totalRequests returns the number of requests of all classes.
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -1,37 +1,40 @@
 package balance
 
 const (
-	// initialLatencyRatio is the assumed ratio of latency to objective until responses show the real one.
+	// initialLatencyRatio is the ratio of latency to objective that is assumed before there are responses.
 	initialLatencyRatio = 0.33
-	// maxLatencyRatio limits ratios of latency to objective.
+	// maxLatencyRatio caps the ratio of latency to objective.
 	maxLatencyRatio = 2
-	// queueingAllowance is the part of the latency objective, beyond the quickest responses, that queueing
-	// may take. Above it, load is shed.
+	// queueingAllowance is the fraction of the time between the lowest mean latency and the latency objective
+	// that queueing may take before load is shed.
 	queueingAllowance = 0.25
-	// averagingSamples is the number of responses or reports over which means are taken.
+	// averagingSamples is the number of responses or load reports over which means are taken.
 	averagingSamples = 50
-	// averagingTime is the time constant of means over responses, however many responses there are.
-	averagingTime Milliseconds = 1000
-	// minAveragingGain and maxAveragingGain limit the weight of one response, as single latencies scatter.
+	// averagingTimeConstant is the time constant of means over responses, regardless of the response rate.
+	averagingTimeConstant Milliseconds = 1000
+	// minAveragingGain and maxAveragingGain limit the weight of one response, because latencies vary widely.
 	minAveragingGain = 0.01
 	maxAveragingGain = 0.2
+	// averagingPriorResponses is assumed in addition to the counted responses, so that averagingGain never
+	// has a rate of 0.
+	averagingPriorResponses = 1
 )
 
-// latencyStats holds the latencies of the responses of all classes, relative to their latency objectives.
+// latencyStats holds statistics of the latencies of all classes, relative to their latency objectives.
 type latencyStats struct {
 	ratio          float64      // recent mean of latency / objective
-	ratioSamples   float64      // samples of this mean, up to averagingSamples
-	minRatio       float64      // least value of ratio: the latency without queueing
+	ratioSamples   float64      // samples of meanRatio, up to averagingSamples
+	minRatio       float64      // lowest value of meanRatio: the latency without queueing
 	lateFraction   float64      // recent fraction of attempts that ended after their latency objective
 	lastResponseAt Milliseconds // when the last response arrived
 }
 
-// newLatencyStats returns statistics without samples.
+// newLatencyStats returns statistics without samples, which assume initialLatencyRatio.
 func newLatencyStats() latencyStats {
 	return latencyStats{ratio: initialLatencyRatio, minRatio: initialLatencyRatio}
 }
 
-// recordResponse adds a response. gain is its weight in the means.
+// recordResponse adds the latency of a response. gain is its weight in the means.
 func (s *latencyStats) recordResponse(now, latency, objective Milliseconds, gain float64) {
 	s.lastResponseAt = now
 	s.recordLateness(latency > objective, gain)
@@ -42,13 +45,13 @@
 	}
 }
 
-// recordRejection adds an attempt that its endpoint rejected. That means overload: it counts as the slowest
-// response.
+// recordRejection adds an attempt that its endpoint rejected. A rejection indicates overload, so it counts
+// like a response with maxLatencyRatio.
 func (s *latencyStats) recordRejection(gain float64) {
 	s.ratio += (maxLatencyRatio - s.ratio) * gain
 }
 
-// recordLateness adds the end of an attempt to the fraction of late ones.
+// recordLateness adds an attempt that ended to the fraction of late attempts. gain is its weight.
 func (s *latencyStats) recordLateness(late bool, gain float64) {
 	s.lateFraction -= s.lateFraction * gain
 	if late {
@@ -61,28 +64,28 @@
 	return s.minRatio + queueingAllowance*(1-s.minRatio)
 }
 
-// recency returns the weight, at most 1, that the statistics still have. Those of an overload lose it when
-// no responses arrive: otherwise a sidecar that sheds all of its load would never notice the end of the
+// recency returns the weight of the statistics, which decays from 1 to 0 with the time since the last
+// response. Without the decay, a sidecar that sheds all of its load would never detect the end of an
 // overload.
 func (s *latencyStats) recency(now, longestObjective Milliseconds) float64 {
-	lifetime := max(responseRateObjectives*longestObjective, errorHalfLife)
-	return decay(now-s.lastResponseAt, lifetime)
+	timeConstant := max(responseRateObjectives*longestObjective, errorHalfLife)
+	return decay(now-s.lastResponseAt, timeConstant)
 }
 
-// recentRatio returns the mean ratio of latency to objective, which regresses to the least one as its
-// weight falls.
+// recentRatio returns the mean ratio of latency to objective, which moves to the lowest one as recency, the
+// weight of the statistics, decays.
 func (s *latencyStats) recentRatio(recency float64) float64 {
 	return s.minRatio + (s.ratio-s.minRatio)*recency
 }
 
-// averagingGain returns the weight of a response in a mean that covers averagingTime, but at least a few
-// responses. advanceResponseRate comes before it.
+// averagingGain returns the weight of one response in a mean with time constant averagingTimeConstant, within
+// minAveragingGain and maxAveragingGain. The caller has to call advanceResponseRate first.
 func (b *Balancer) averagingGain() float64 {
-	rate := b.responsesPerMillisecond(1)
-	return clamp(1/(float64(averagingTime)*rate), minAveragingGain, maxAveragingGain)
+	rate := b.responsesPerMillisecond(averagingPriorResponses)
+	return clamp(1/(float64(averagingTimeConstant)*rate), minAveragingGain, maxAveragingGain)
 }
 
-// recordLateness adds the end of an attempt to the fraction of late ones.
+// recordLateness adds an attempt that ended to the fraction of late attempts.
 func (b *Balancer) recordLateness(late bool) {
 	b.advanceResponseRate()
 	b.latency.recordLateness(late, b.averagingGain())
--- a/balance/learnedstate.go
+++ b/balance/learnedstate.go
@@ -1,95 +1,95 @@
 package balance
 
-// LearnedState is what a balancer has learned, in a form that another process can import. Points in time are
-// Unix milliseconds. Package upgrade encodes it.
+// LearnedState is what a balancer has learned, in a form that a successor process can import. Points in time
+// are Unix milliseconds. Package upgrade encodes it. Counts are not integers, because some of them decay.
 type LearnedState struct {
 	StartedAt          Milliseconds // when the balancer started
 	LastRequestAt      Milliseconds // when the last request arrived
 	LastResponseAt     Milliseconds // when the last response arrived
-	ResponsesCountedAt Milliseconds // when the two counts of responses were updated
+	ResponsesCountedAt Milliseconds // time to which the two response counts have decayed
 
-	ResponseCount       float64 // responses, decaying over several of the longest latency objectives
+	ResponseCount       float64 // responses, decaying over several times the longest latency objective
 	LatestResponseCount float64 // responses, decaying over the longest latency objective
-	MinLatencyRatio     float64 // least mean of latency / objective
+	MinLatencyRatio     float64 // lowest value of MeanLatencyRatio: without queueing
 	LatencyRatio        float64 // recent mean of latency / objective
-	LatencyRatioSamples float64
-	LateFraction        float64 // recent fraction of responses after their latency objective
-	SteadyShed          float64 // fraction of the load that is shed steadily
+	LatencyRatioSamples float64 // samples of MeanLatencyRatio
+	LateFraction        float64 // recent fraction of attempts that ended after their latency objective
+	SteadyShed          float64 // steady fraction of the load that is shed
 
 	ConnectFailureFraction float64      // recent fraction of attempts that could not connect
-	TimePerInFlight        Milliseconds // mean latency divided by the requests in flight at the endpoint
-	TimePerInFlightSamples float64
-	BusyFraction           float64 // recent fraction of checked endpoints that had requests in flight
+	TimePerInFlight        Milliseconds // mean of latency / requests in flight at the endpoint
+	TimePerInFlightSamples float64      // samples of TimePerInFlight
+	BusyFraction           float64      // recent fraction of checked endpoints that had requests in flight
 
-	CapacityUpdates float64         // updates of learned capacities
-	CapacityDrift   float64         // mean step of these updates
+	CapacityUpdates float64         // number of updates of learned capacities
+	CapacityDrift   float64         // mean step of the logarithm in these updates
 	MachineTypes    map[int]float64 // logarithm of the capacity factor by machine type
 	Zones           map[int]float64 // logarithm of the capacity factor by zone
 
 	Classes        []LearnedClass
-	TenantRequests []float64 // requests by tenant
+	TenantRequests []float64 // number of requests by tenant
 	Endpoints      []LearnedEndpoint
 }
 
-// LearnedClass is what is known of a class.
+// LearnedClass is what a balancer has learned about a class.
 type LearnedClass struct {
-	Requests         float64
-	LatencySamples   float64
+	Requests         float64 // number of requests
+	LatencySamples   float64 // samples of MeanLatency
 	MeanLatency      Milliseconds
-	LatencyDeviation Milliseconds // mean absolute deviation
-	LongestTimeout   Milliseconds // longest time that a client was willing to wait
-	LastFailureAt    Milliseconds // when an endpoint last failed a request of the class
-	MeanScore        float64      // mean of the endpoints' scores
+	LatencyDeviation Milliseconds // mean absolute deviation of the latency
+	LongestTimeout   Milliseconds // longest time that a client waits for a request
+	LastFailureAt    Milliseconds // when any endpoint last failed a request of the class
+	MeanScore        float64      // mean of the endpoints' scores for the class
 }
 
-// LearnedEndpoint is what is known of an endpoint.
+// LearnedEndpoint is what a balancer has learned about an endpoint.
 type LearnedEndpoint struct {
 	ID                EndpointID
 	CapacityLog       float64 // logarithm of the capacity factor
 	LastErrorAt       Milliseconds
 	LastResponseAt    Milliseconds
 	ConsecutiveErrors int
-	ConnectErrors     int // consecutive attempts that could not connect
-	Ejections         int // consecutive ejections
-	EjectedUntil      Milliseconds
-	SlowUntil         Milliseconds // until when it is avoided for sticky keys, because it was slow
-	WarmUpSince       Milliseconds
-	SlowStartTokens   float64 // attempts that the slow start allows
+	ConnectErrors     int          // failed connections among the consecutive errors
+	Ejections         int          // consecutive ejections
+	EjectedUntil      Milliseconds // end of the last ejection; 0: not ejected
+	SlowUntil         Milliseconds // until then, the endpoint is avoided for sticky keys, because it was slow
+	WarmUpSince       Milliseconds // start of the last slow start
+	SlowStartTokens   float64      // attempts that the slow start currently allows
 	TokensUpdatedAt   Milliseconds
 	ClassScores       []LearnedClassScore // by class
 }
 
-// LearnedClassScore is the score of a class at an endpoint.
+// LearnedClassScore is the recent success rate of a class at an endpoint.
 type LearnedClassScore struct {
-	Value     float64 // 0 (fails all requests) to 1
+	Value     float64 // from 0 (the endpoint fails all requests of the class) to 1
 	UpdatedAt Milliseconds
 }
 
-// ShiftTimes adds to all points in time, for a process whose clock differs from that of the one that exported
-// the state.
-func (s *LearnedState) ShiftTimes(by Milliseconds) {
-	moments := []*Milliseconds{&s.StartedAt, &s.LastRequestAt, &s.LastResponseAt, &s.ResponsesCountedAt}
-	for _, moment := range moments {
-		*moment += by
+// ShiftTimes adds offset to all points in time. It is needed when the clock of the process that imports the
+// state differs from the clock of the process that exported it.
+func (s *LearnedState) ShiftTimes(offset Milliseconds) {
+	times := []*Milliseconds{&s.StartedAt, &s.LastRequestAt, &s.LastResponseAt, &s.ResponsesCountedAt}
+	for _, t := range times {
+		*t += offset
 	}
 	for i := range s.Classes {
-		s.Classes[i].LastFailureAt += by
+		s.Classes[i].LastFailureAt += offset
 	}
 	for i := range s.Endpoints {
-		s.Endpoints[i].shiftTimes(by)
+		s.Endpoints[i].shiftTimes(offset)
 	}
 }
 
-func (ep *LearnedEndpoint) shiftTimes(by Milliseconds) {
-	moments := []*Milliseconds{
+func (ep *LearnedEndpoint) shiftTimes(offset Milliseconds) {
+	times := []*Milliseconds{
 		&ep.LastErrorAt, &ep.LastResponseAt,
 		&ep.EjectedUntil, &ep.SlowUntil,
 		&ep.WarmUpSince, &ep.TokensUpdatedAt,
 	}
-	for _, moment := range moments {
-		*moment += by
+	for _, t := range times {
+		*t += offset
 	}
 	for i := range ep.ClassScores {
-		ep.ClassScores[i].UpdatedAt += by
+		ep.ClassScores[i].UpdatedAt += offset
 	}
 }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -1,22 +1,23 @@
 package balance
 
 const (
-	// errorHalfLife is the time in which errors lose half of their weight: failures last seconds, not
-	// minutes.
+	// errorHalfLife is the time after which errors lose half of their weight. Failures typically last
+	// seconds, not minutes.
 	errorHalfLife Milliseconds = 5000
-	// errorPenalty is what each consecutive error takes off the health multiplier.
-	errorPenalty = 0.2
-	// minHealth is the least health multiplier: a recovered endpoint needs some requests to be noticed.
+	// healthPenaltyPerError is subtracted from the health multiplier for each consecutive error.
+	healthPenaltyPerError = 0.2
+	// minHealth is the lower bound of the health multiplier. It keeps a few requests at a failing endpoint,
+	// so that its recovery is detected.
 	minHealth = 0.25
 	// errorsToEject is the number of consecutive errors at which an endpoint is ejected.
 	errorsToEject = 3
-	// connectErrorsToEject is the number of consecutive attempts that could not connect at which an endpoint
-	// counts as stopped. A single one may be chance.
+	// connectErrorsToEject is the number of failed connections, without a success in between, at which an
+	// endpoint is ejected and counts as stopped. A single failed connection may be a coincidence.
 	connectErrorsToEject = 2
-	// restartSilence is the time since the last error after which a single failed connection, too, shows that
-	// an endpoint was stopped.
-	restartSilence Milliseconds = 1000
-	// maxEjectionDoublings limits the growth of consecutive ejections.
+	// connectErrorRestartTime is how long ago the last error must be for a single failed connection to count
+	// as a sign of a restart, when the endpoint responds again.
+	connectErrorRestartTime Milliseconds = 1000
+	// maxEjectionDoublings limits how often the duration of consecutive ejections doubles.
 	maxEjectionDoublings = 3
 )
 
@@ -24,37 +25,38 @@
 type errorKind bool
 
 const (
-	attemptError errorKind = false // a connection was open
-	connectError errorKind = true  // Result ConnectFailed
+	attemptError errorKind = false // the attempt failed on an open connection
+	connectError errorKind = true  // no connection was opened (ConnectFailed)
 )
 
-// outlierState counts the consecutive errors of an endpoint and its ejections (outlier detection).
+// outlierState holds the consecutive errors and ejections of an endpoint (outlier detection).
 //
-//   - An ejection begins with the third consecutive error, the second failed connection, or a failed health
-//     check. Errors of attempts that were in flight at once count one by one, and each further one ejects
-//     again, for longer.
-//   - It ends at ejectedUntil; the endpoint has the health then that its errors leave. It ends at once with a
-//     success, a restart, or a successful health check after a failed one, which clear the errors.
-//   - Where all endpoints are ejected, attempts go to them all the same (includeEjected).
+//   - An endpoint is ejected at its third consecutive error, its second failed connection, or a failed health
+//     check. Errors of concurrent attempts are counted individually, and each error beyond the threshold
+//     ejects the endpoint again, for longer.
+//   - An ejection ends at ejectedUntil. The errors still lower the health multiplier after that. A success, a
+//     restart, or a successful health check after a failed one clears the errors and ends the ejection
+//     immediately.
+//   - If all endpoints are ejected, attempts are sent to them nevertheless (includeEjected).
 type outlierState struct {
-	consecutiveErrors int
-	connectErrors     int // those among them that could not connect
-	lastErrorAt       Milliseconds
-	ejections         int          // consecutive ejections
-	ejectedUntil      Milliseconds // end of the last ejection; 0: none since the last clear
-	checkFailed       bool         // the last health check failed; one that succeeds clears all errors
+	consecutiveErrors    int
+	connectErrors        int // the consecutive errors that were failed connections
+	lastErrorAt          Milliseconds
+	consecutiveEjections int
+	ejectedUntil         Milliseconds // end of the last ejection; 0: not ejected since the last clear
+	checkFailed          bool         // the last health check failed; a successful one then clears all errors
 }
 
-// clear forgets the errors and ejections, but for the time of the last error.
+// clear resets the errors and ejections, but keeps the time of the last error.
 func (s *outlierState) clear() {
 	s.consecutiveErrors = 0
 	s.connectErrors = 0
-	s.ejections = 0
+	s.consecutiveEjections = 0
 	s.ejectedUntil = 0
 	s.checkFailed = false
 }
 
-// record counts an error.
+// record counts an error of the given kind.
 func (s *outlierState) record(now Milliseconds, kind errorKind) {
 	s.consecutiveErrors++
 	s.lastErrorAt = now
@@ -63,60 +65,64 @@
 	}
 }
 
-// isOutlier reports whether an error of this kind, which was counted last, ejects the endpoint.
-func (s *outlierState) isOutlier(kind errorKind) bool {
-	stopped := kind == connectError && s.connectErrors >= connectErrorsToEject
+// shouldEject reports whether the endpoint is to be ejected. lastKind is the kind of the error recorded last.
+func (s *outlierState) shouldEject(lastKind errorKind) bool {
+	stopped := lastKind == connectError && s.connectErrors >= connectErrorsToEject
 	return stopped || s.consecutiveErrors >= errorsToEject
 }
 
-// eject takes the endpoint out of the rotation, each consecutive time twice as long as before.
+// eject ejects the endpoint for firstEjection, doubled once for each consecutive ejection before, at most
+// maxEjectionDoublings times.
 func (s *outlierState) eject(now, firstEjection Milliseconds) {
-	s.ejectedUntil = now + firstEjection.scaled(backoffFactor(s.ejections, maxEjectionDoublings))
-	s.ejections++
+	s.ejectedUntil = now + firstEjection.scaled(backoffFactor(s.consecutiveEjections, maxEjectionDoublings))
+	s.consecutiveEjections++
 }
 
-// failHealthCheck takes the endpoint out of the rotation after a failed health check.
+// recordFailedHealthCheck ejects the endpoint after a failed health check.
 func (s *outlierState) failHealthCheck(now, firstEjection Milliseconds) {
 	s.eject(now, firstEjection)
 	s.checkFailed = true
 }
 
-// unproven reports whether the endpoint was ejected and has had no success since, even if the ejection is
-// over.
+// ejectedSinceLastSuccess reports whether the endpoint was ejected and its errors have not been cleared
+// since, even if the ejection is over.
 func (s *outlierState) unproven() bool { return s.ejectedUntil != 0 }
 
-// ejected reports whether the endpoint is out of the rotation.
+// ejected reports whether the endpoint is ejected at the given time.
 func (s *outlierState) ejected(now Milliseconds) bool { return now < s.ejectedUntil }
 
-// health returns the health multiplier of the endpoint's weight, from minHealth to 1.
+// health returns the health multiplier of the endpoint's capacity, from minHealth to 1. The weight of the
+// errors decays with the time since the last one.
 func (s *outlierState) health(now Milliseconds) float64 {
 	if s.consecutiveErrors == 0 {
 		return 1
 	}
 	effectiveErrors := float64(s.consecutiveErrors) * halved(now-s.lastErrorAt, errorHalfLife)
-	return clamp(1-errorPenalty*effectiveErrors, minHealth, 1)
+	return clamp(1-healthPenaltyPerError*effectiveErrors, minHealth, 1)
 }
 
-// wasStopped reports whether an endpoint that responds again was stopped, even if discovery has not
-// reported it.
+// likelyRestarted reports whether an endpoint that responds again has probably restarted, judging by its
+// failed connections. Discovery may not have reported the restart yet.
 func (s *outlierState) wasStopped(now Milliseconds) bool {
 	if s.connectErrors >= connectErrorsToEject {
 		return true
 	}
-	return s.connectErrors > 0 && now > s.lastErrorAt+restartSilence
+	return s.connectErrors > 0 && now > s.lastErrorAt+connectErrorRestartTime
 }
 
-// recordError counts an error of an endpoint, and ejects it after several consecutive ones.
+// recordError counts an error of an endpoint, and ejects the endpoint if it has too many consecutive errors.
+// The error also counts as a slow response for the learned capacity.
 func (b *Balancer) recordError(ep *endpoint, kind errorKind) {
 	ep.outlier.record(b.now, kind)
 	b.learnCapacity(ep, errorLatencyRatio)
-	if ep.outlier.isOutlier(kind) {
+	if ep.outlier.shouldEject(kind) {
 		b.eject(ep)
 	}
 }
 
-// eject takes an endpoint out of the rotation, at first for the longest latency objective.
+// eject ejects an endpoint. The first of consecutive ejections lasts as long as the longest latency
+// objective.
 func (b *Balancer) eject(ep *endpoint) { ep.outlier.eject(b.now, b.longestObjective) }
 
-// ejected reports whether an endpoint is out of the rotation, by itself or with its zone.
+// ejected reports whether an endpoint is ejected, either individually or because its zone is in an outage.
 func (b *Balancer) ejected(ep *endpoint) bool { return ep.outlier.ejected(b.now) || ep.zone.outage }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// An endpoint that leaves several attempts unanswered is ejected, and is used again when the ejection ends.
+// An endpoint with several consecutive errors is ejected, gets no requests while it is, and is used again after
+// the ejection. A success clears its errors.
 func TestConsecutiveErrorsEjectEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	ep := h.b.endpoints.list[0]
@@ -13,60 +14,63 @@
 		h.b.recordError(ep, false)
 	}
 	if h.b.ejected(ep) {
-		t.Fatal("ejected before the last error")
+		t.Fatalf("the endpoint is ejected after %d errors, want %d", errorsToEject-1, errorsToEject)
 	}
 	h.b.recordError(ep, false)
 	if !h.b.ejected(ep) {
-		t.Fatal("not ejected after the last error")
+		t.Fatalf("the endpoint is not ejected after %d errors", errorsToEject)
 	}
 	for range 12 {
 		id, actions := h.request(idempotentClass)
-		if to, _ := sendTarget(actions); to == ep.ID {
-			t.Fatal("an ejected endpoint got a request")
+		if target, _ := sendTarget(actions); target == ep.ID {
+			t.Fatalf("endpoint %d got a request while ejected", ep.ID)
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	h.now = ep.outlier.ejectedUntil
 	for range 12 {
 		id, actions := h.request(idempotentClass)
-		to, _ := sendTarget(actions)
-		if h.finishAttempt(id, 0, OK, 10); to == ep.ID && ep.outlier.ejectedUntil == 0 && ep.outlier.consecutiveErrors == 0 {
+		target, _ := sendTarget(actions)
+		h.finishAttempt(id, 0, OK, 10)
+		if target == ep.ID && ep.outlier.ejectedUntil == 0 && ep.outlier.consecutiveErrors == 0 {
 			return
 		}
 	}
-	t.Fatal("the endpoint was not used after its ejection")
+	t.Fatalf("after the ejection, endpoint %d got none of 12 requests, or its success did not clear its errors: %+v",
+		ep.ID, ep.outlier)
 }
 
-// When all endpoints are ejected the cause is hardly theirs, and requests are sent all the same.
+// When all endpoints are ejected, the cause is probably not in the endpoints, and requests are still sent.
 func TestAllEjectedEndpointsAreUsed(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	for _, ep := range h.b.endpoints.list {
 		h.b.recordError(ep, true)
 	}
 	if _, actions := h.request(idempotentClass); !hasAction(actions, SendAttempt) {
-		t.Fatalf("nothing was sent: %+v", actions)
+		t.Fatalf("got actions %+v, want an attempt", actions)
 	}
 }
 
-// The restart of an endpoint clears its ejections and that it was unreachable, as they belong to the old
+// A restart of an endpoint clears its ejections and its failed health check, because they concern the old
 // process.
 func TestRestartClearsErrorsAndEjection(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	ep := h.b.endpoints.list[0]
 	h.dispatch(HealthCheckResult{Endpoint: ep.ID, Result: TimedOut})
 	if !ep.outlier.checkFailed || !h.b.ejected(ep) {
-		t.Fatal("a health check without response does not eject the endpoint")
+		t.Fatal("a health check that timed out does not eject the endpoint")
 	}
 	entry := ep.Endpoint
 	entry.StartedAt = h.now
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
-	if ep.outlier.checkFailed || ep.outlier.ejections != 0 || h.b.ejected(ep) {
-		t.Fatalf("after the restart: unreachable %v, %d ejections", ep.outlier.checkFailed, ep.outlier.ejections)
+	if ep.outlier.checkFailed || ep.outlier.consecutiveEjections != 0 || h.b.ejected(ep) {
+		t.Fatalf("after the restart: health check failed: %v, %d ejections, ejected: %v; want false, 0, false",
+			ep.outlier.checkFailed, ep.outlier.consecutiveEjections, h.b.ejected(ep))
 	}
 }
 
-// A client that waits for less than the usual latency ends its request early, which is no error of the
-// endpoint. Counted as errors, a few such clients ejected healthy endpoints.
+// A client whose timeout is shorter than the usual latency ends its request early, which is not an error of the
+// endpoint. When such timeouts counted as errors, a few of these clients caused healthy endpoints to be ejected.
 func TestShortClientDeadlineIsNoEndpointError(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ClientRetriesMarked = true
@@ -79,38 +83,40 @@
 		h.lastRequest++
 		_, sent := sendTarget(h.dispatch(Request{ID: h.lastRequest, Class: idempotentClass, Remaining: 10}))
 		if !sent {
-			t.Fatalf("request %d is not sent", h.lastRequest)
+			t.Fatalf("request %d was not sent", h.lastRequest)
 		}
 		h.now += 10
 		h.finishAttempt(h.lastRequest, 0, TimedOut, 10)
 	}
 	for _, ep := range h.b.endpoints.list {
 		if h.health(ep) < 1 || h.b.ejected(ep) {
-			t.Errorf("endpoint %d: health %.2f, ejected: %v", ep.ID, h.health(ep), h.b.ejected(ep))
+			t.Errorf("endpoint %d: health %.2f, ejected: %v; want 1, false", ep.ID, h.health(ep), h.b.ejected(ep))
 		}
 	}
 }
 
-// When all endpoints are slow none is at fault: once the class is known to take long, an attempt of 430 ms
-// with an objective of 300 ms is no error. An attempt far slower than all others still is.
+// When all endpoints are slow, none of them is an outlier: once the class is known to be slow, an attempt of
+// 430 ms is not an error although the latency objective is 300 ms. An attempt that takes far longer than all
+// others still is an error.
 func TestHighLatencyInOverloadedFleetIsNoError(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
-	times := []Milliseconds{370, 430, 400}
+	latencies := []Milliseconds{370, 430, 400}
 	for i := range 60 {
 		id, actions := h.request(nonIdempotentClass)
 		if !hasAction(actions, SendAttempt) {
 			continue
 		}
-		end := h.now + times[i%3]
+		end := h.now + latencies[i%3]
 		for req := h.b.requests[id]; !req.done && req.nextTimerAt < end; {
 			h.now = req.nextTimerAt
 			h.dispatch(TimerFired{Token: uint64(id)})
 		}
 		h.now = end
 		if i > 30 && h.b.requests[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms is overdue after %v", i, times[i%3], h.b.overdueAfter(h.b.requests[id]))
+			t.Fatalf("attempt %d, which takes %v ms, is overdue after %v ms",
+				i, latencies[i%3], h.b.overdueAfter(h.b.requests[id]))
 		}
-		h.finishAttempt(id, 0, OK, times[i%3])
+		h.finishAttempt(id, 0, OK, latencies[i%3])
 	}
 	id, actions := h.request(nonIdempotentClass)
 	for !hasAction(actions, SendAttempt) {
@@ -119,22 +125,24 @@
 	}
 	req := h.b.requests[id]
 	if h.now = req.nextTimerAt; h.now >= req.deadline {
-		t.Fatal("no timer checks the attempt before its deadline")
+		t.Fatalf("the next timer fires at %v, want a time before the deadline %v", h.now, req.deadline)
 	}
-	if h.dispatch(TimerFired{Token: uint64(id)}); !req.attempts[0].overdue || req.attempts[0].endpoint.outlier.consecutiveErrors != 1 {
-		t.Fatal("an attempt far slower than all others is no error")
+	h.dispatch(TimerFired{Token: uint64(id)})
+	slowAttempt := req.attempts[0]
+	if errors := slowAttempt.endpoint.outlier.consecutiveErrors; !slowAttempt.overdue || errors != 1 {
+		t.Fatalf("an attempt far slower than all others: overdue: %v, %d errors; want true, 1", slowAttempt.overdue, errors)
 	}
 }
 
-// An instance with a request a second meets a zone that accepts requests and never responds. After some
-// overdue attempts most requests have to go elsewhere, although connections to that zone are open.
+// An instance with one request per second uses a zone that accepts requests but never responds. After some
+// overdue attempts, most requests have to go to other zones, although connections to the hung zone are open.
 func TestLowTrafficInstanceAvoidsHungZone(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnIdleTimeout, cfg.Costs.NewConnection, cfg.Costs.CrossZone = 15000, 0.08, 0.03
 	h := newHarness(t, cfg, newEndpoints(16)...) // four zones; this instance is in the first
 	h.randomizeRotation()
 	sendSequence(h, 30)
-	hung := 0
+	sentToHungZone := 0 // of the last 20 requests
 	for i := range 40 {
 		h.now += 1000
 		id, actions := h.request(idempotentClass)
@@ -147,7 +155,7 @@
 			continue
 		}
 		if i >= 20 {
-			hung++
+			sentToHungZone++
 		}
 		end := h.now + 900
 		for req := h.b.requests[id]; req.nextTimerAt < end; {
@@ -156,60 +164,60 @@
 		}
 		h.now = end
 		actions = h.finishAttempt(id, 0, TimedOut, 900)
-		if _, again := sendTarget(actions); again {
+		if _, retried := sendTarget(actions); retried {
 			h.finishAttempt(id, 1, OK, 30)
 		}
 	}
-	if hung > 4 { // 7 without counting errors, 20 without learning from them either
-		t.Errorf("%d of the last 20 requests went to the hung zone", hung)
+	if sentToHungZone > 4 { // 7 if errors are not counted, 20 if the capacity is not learned from them either
+		t.Errorf("%d of the last 20 requests went to the hung zone, want at most 4", sentToHungZone)
 	}
 }
 
-// Health falls with consecutive errors, recovers with time and after a success, and stays above a minimum.
-// Errors of one endpoint do not affect another.
+// The health multiplier falls with consecutive errors, recovers with time and after a success, and never falls
+// below its minimum. Errors of one endpoint do not affect another.
 func TestHealthFallsRecoversAndHasAFloor(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	ep := h.b.endpoints.list[0]
-	if m := h.health(ep); m != 1 {
-		t.Fatalf("health without errors is %v", m)
+	if got := h.health(ep); got != 1 {
+		t.Fatalf("health without errors is %v, want 1", got)
 	}
 	ep.outlier.consecutiveErrors, ep.outlier.lastErrorAt = 2, h.now
-	if m := h.health(ep); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
-		t.Fatalf("health after two errors is %v", m)
+	if got, want := h.health(ep), 1-2*healthPenaltyPerError; math.Abs(got-want) > 1e-9 {
+		t.Fatalf("health after two errors is %v, want %v", got, want)
 	}
 	h.b.now += errorHalfLife
-	if m := h.health(ep); math.Abs(m-(1-errorPenalty)) > 1e-9 {
-		t.Fatalf("health after a half-life is %v", m)
+	if got, want := h.health(ep), 1-healthPenaltyPerError; math.Abs(got-want) > 1e-9 {
+		t.Fatalf("health after a half-life is %v, want %v", got, want)
 	}
 	ep.outlier.consecutiveErrors = 1000
-	if m := h.health(ep); m != minHealth {
-		t.Fatalf("health after very many errors is %v, want the minimum", m)
+	if got := h.health(ep); got != minHealth {
+		t.Fatalf("health after 1000 errors is %v, want the minimum %v", got, minHealth)
 	}
-	if m := h.health(h.b.endpoints.list[1]); m != 1 {
-		t.Fatalf("errors of another endpoint changed health to %v", m)
+	if got := h.health(h.b.endpoints.list[1]); got != 1 {
+		t.Fatalf("errors of another endpoint changed health to %v, want 1", got)
 	}
 	ep.outlier.consecutiveErrors = 2
 	id, _ := h.request(idempotentClass)
 	h.b.requests[id].attempts[0].endpoint = ep
 	ep.load.inFlight, h.b.endpoints.list[1].load.inFlight = 1, 0
 	h.finishAttempt(id, 0, OK, 10)
-	if m := h.health(ep); m != 1 {
-		t.Fatalf("health after a success is %v", m)
+	if got := h.health(ep); got != 1 {
+		t.Fatalf("health after a success is %v, want 1", got)
 	}
 }
 
-// An endpoint at minimum health gets less than its share but still some requests, or its recovery would not
-// be noticed.
+// An endpoint at minimum health gets less than its share of the requests, but still some of them. Otherwise its
+// recovery would not be detected.
 func TestEndpointAtMinimumHealthIsStillUsed(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
-	hits := 0
-	for range 40 { // a success resets the errors, so they are set again each time
+	count := 0
+	for range 40 { // each success clears the errors, so they are set again every time
 		h.b.endpoints.list[2].outlier.consecutiveErrors, h.b.endpoints.list[2].outlier.lastErrorAt = 1000, h.now
 		if sendSequence(h, 1)[0] == 3 {
-			hits++
+			count++
 		}
 	}
-	if hits == 0 || hits >= 10 {
-		t.Fatalf("the endpoint at minimum health got %d of 40", hits)
+	if count == 0 || count >= 10 {
+		t.Fatalf("the endpoint at minimum health got %d of 40 requests, want 1 to 9", count)
 	}
 }
--- a/balance/polling_test.go
+++ b/balance/polling_test.go
@@ -7,28 +7,28 @@
 	"testing"
 )
 
-// discoveryServer is a discovery service under load: it serves calls in turn, and a caller gives up after
-// callTimeout while the service still does the work.
+// discoveryServer simulates a discovery service that serves one call after another. A call fails after
+// callTimeout, but the service still does its work.
 type discoveryServer struct {
 	serviceTime, callTimeout Milliseconds
-	freeAt                   Milliseconds
+	freeAt                   Milliseconds // when all calls so far are served
 }
 
-// call returns when a call that is made at the given time ends, and whether it succeeds.
-func (server *discoveryServer) call(now Milliseconds) (at Milliseconds, ok bool) {
+// call returns when a call that is made now ends, and whether it succeeds.
+func (server *discoveryServer) call(now Milliseconds) (endsAt Milliseconds, ok bool) {
 	server.freeAt = max(server.freeAt, now) + server.serviceTime
 	return min(server.freeAt, now+server.callTimeout), server.freeAt <= now+server.callTimeout
 }
 
-// simulateStart starts n instances together that poll the discovery service. It returns when the last of them
-// has the endpoints and how many calls were made.
+// simulateStart simulates n instances that start together and poll the discovery service. It returns the time until
+// all of them have the endpoint list, and the number of calls.
 func simulateStart(t *testing.T, n int, server *discoveryServer) (last Milliseconds, calls int) {
 	t.Helper()
-	all := make([]*harness, n)
-	due := make([]Milliseconds, n) // time of the next timer or response
-	calling := make([]bool, n)     // a call is in flight
-	succeeds := make([]bool, n)    // ... and will succeed
-	next := func(i int, now Milliseconds, actions []Action) {
+	instances := make([]*harness, n)
+	due := make([]Milliseconds, n) // time of the next timer or response of each instance
+	calling := make([]bool, n)     // a call of the instance is in flight
+	succeeds := make([]bool, n)    // this call will succeed
+	perform := func(i int, now Milliseconds, actions []Action) {
 		for _, a := range actions {
 			switch {
 			case a.Kind == WatchEndpoints:
@@ -41,86 +41,88 @@
 		}
 	}
 	const start = 1000
-	for i := range all {
+	for i := range instances {
 		cfg := largeFleetConfig(i, n)
 		cfg.PolledDiscovery = true
-		all[i] = newHarness(t, cfg, newZonedEndpoints(60)...)
-		next(i, start, all[i].actions)
+		instances[i] = newHarness(t, cfg, newZonedEndpoints(60)...)
+		perform(i, start, instances[i].actions)
 	}
 	for left := n; left > 0; {
 		i := slices.Index(due, slices.Min(due))
-		h := all[i]
+		h := instances[i]
 		if h.now = due[i]; h.now > start+60000 {
-			t.Fatalf("%d of %d instances have no endpoints after a minute and %d calls", left, n, calls)
+			t.Fatalf("%d of %d instances have no endpoint list after a minute and %d calls", left, n, calls)
 		}
 		switch {
 		case !calling[i]:
-			next(i, h.now, h.dispatch(TimerFired{Token: pollTimerToken}))
+			perform(i, h.now, h.dispatch(TimerFired{Token: pollTimerToken}))
 		case succeeds[i]:
 			h.dispatch(EndpointUpdate{Kind: UpdateDelta})
 			last, due[i] = h.now-start, never
 			left--
 		default:
 			calling[i] = false
-			next(i, h.now, h.dispatch(EndpointUpdate{Kind: UpdateFailed}))
+			perform(i, h.now, h.dispatch(EndpointUpdate{Kind: UpdateFailed}))
 		}
 	}
 	return last, calls
 }
 
-// A release starts most instances at once, while the discovery service serves a dozen calls a second. Polls
-// have to come one after another: calls that time out keep the service busy, and each is repeated.
+// A release starts most instances at once, but the discovery service can only serve about a dozen calls per
+// second. The instances have to poll one after another: calls that time out still keep the service busy, and each
+// of them is repeated.
 func TestStartingInstancesPollInTurn(t *testing.T) {
 	for _, n := range []int{3, 20, 80} {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
 			last, calls := simulateStart(t, n, &discoveryServer{serviceTime: 75, callTimeout: 2000})
-			if least := Milliseconds(n) * 75; last > least+1000 {
-				t.Errorf("%d instances: the last has its endpoints after %.0f ms; in turn it takes %.0f", n, last, least)
+			if serveAll := Milliseconds(n) * 75; last > serveAll+1000 {
+				t.Errorf("%d instances: all have the endpoint list after %.0f ms, want at most 1000 ms more than %.0f",
+					n, last, serveAll)
 			}
 			if calls > n+n/5 {
-				t.Errorf("%d instances made %d calls", n, calls)
+				t.Errorf("%d instances made %d calls, want at most %d", n, calls, n+n/5)
 			}
 		})
 	}
 }
 
-// simulateDiscoveryOutage has n instances poll a discovery service that is down for a while. A call during
-// the outage fails after failAfter. It returns how long after the recovery the last instance has the
-// endpoints and how many calls were made from then on.
+// simulateDiscoveryOutage simulates n instances that poll a discovery service which is down for a while. Calls
+// during the outage fail after failAfter. It returns the time from the recovery until all instances have the
+// endpoint list, and the number of calls after the recovery.
 func simulateDiscoveryOutage(t *testing.T, n int, down, failAfter Milliseconds,
 	server *discoveryServer) (last Milliseconds, calls int) {
 	t.Helper()
 	const start = 1000.0
-	back := start + down
+	recoveredAt := start + down
 	random := rand.New(rand.NewPCG(uint64(n), uint64(down)))
-	all, due := make([]*harness, n), make([]Milliseconds, n)
+	instances, due := make([]*harness, n), make([]Milliseconds, n)
 	calling, succeeds := make([]bool, n), make([]bool, n)
 	call := func(i int, now Milliseconds) {
 		calling[i] = true
-		if succeeds[i] = false; now < back {
+		if succeeds[i] = false; now < recoveredAt {
 			due[i] = now + failAfter
 			return
 		}
 		calls++
 		due[i], succeeds[i] = server.call(now)
 	}
-	for i := range all {
+	for i := range instances {
 		cfg := largeFleetConfig(i, n)
 		cfg.PolledDiscovery = true
-		all[i] = newHarness(t, cfg, newZonedEndpoints(9)...)
-		call(i, start+Milliseconds(random.Float64()*1000)) // watches break one by one
+		instances[i] = newHarness(t, cfg, newZonedEndpoints(9)...)
+		call(i, start+Milliseconds(random.Float64()*1000)) // the watches fail one by one within a second
 	}
 	for left := n; left > 0; {
 		i := slices.Index(due, slices.Min(due))
-		h := all[i]
-		if h.now = due[i]; h.now > back+90000 {
-			t.Fatalf("%d of %d instances have no endpoints 90 s after the recovery", left, n)
+		h := instances[i]
+		if h.now = due[i]; h.now > recoveredAt+90000 {
+			t.Fatalf("%d of %d instances have no endpoint list 90 s after the recovery", left, n)
 		}
 		switch {
 		case !calling[i]:
 			call(i, h.now)
 		case succeeds[i]:
-			last, due[i] = h.now-back, never
+			last, due[i] = h.now-recoveredAt, never
 			left--
 		default:
 			calling[i] = false
@@ -130,16 +132,17 @@
 	return last, calls
 }
 
-// Whatever failed before, a change has to arrive within 6 s after the discovery service has it and can be
-// reached: the delay after failed calls leaves time for one more that is lost and for one that succeeds.
-// Where the service cannot serve all instances in that time they must not overload it.
+// After an outage of the discovery service, all instances have to know the endpoint list within propagationLimit:
+// the backoff after failed calls has to leave time for one more call that fails and for one that succeeds. If the
+// service cannot serve all instances in that time, they must not overload it.
 func TestEndpointsAreCurrentSoonAfterDiscoveryOutage(t *testing.T) {
 	for _, n := range []int{1, 3, 20, 55, 65} {
 		for down := Milliseconds(500); down < 30000; down += 700 {
 			for name, failAfter := range map[string]Milliseconds{"silent": 2100, "connection rejected": 5} {
 				server := &discoveryServer{serviceTime: 47, callTimeout: 2000}
 				if last, _ := simulateDiscoveryOutage(t, n, down, failAfter, server); last > propagationLimit {
-					t.Errorf("%d instances, %s for %.0f ms: the last has its endpoints after %.0f ms", n, name, down, last)
+					t.Errorf("%d instances, %s for %.0f ms: all have the endpoint list after %.0f ms, want at most %.0f",
+						n, name, down, last, propagationLimit)
 				}
 			}
 		}
@@ -147,41 +150,43 @@
 	for _, n := range []int{80, 150, 300, 1024} {
 		for down := Milliseconds(4000); down < 30000; down += 4000 {
 			last, calls := simulateDiscoveryOutage(t, n, down, pollTimeout, &discoveryServer{serviceTime: 47, callTimeout: 2000})
-			if round := Milliseconds(n) * pollServiceTime; last > round+pollTimeout || calls > n+n/20 {
-				t.Errorf("%d instances, down for %.0f ms: the last has its endpoints after %.0f ms, a round takes %.0f; %d calls",
-					n, down, last, round, calls)
+			if maxTime := Milliseconds(n)*pollServiceTime + pollTimeout; last > maxTime || calls > n+n/20 {
+				t.Errorf("%d instances, down for %.0f ms: all have the endpoint list after %.0f ms and %d calls, "+
+					"want at most %.0f ms and %d calls", n, down, last, calls, maxTime, n+n/20)
 			}
 		}
 	}
 }
 
-// Failed polls keep the known endpoints and are repeated with growing delays, within the limit.
+// A failed poll leaves the known endpoints as they are, and is repeated. The delays grow up to a limit.
 func TestFailedPollsBackOff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PolledDiscovery = true
 	h := newHarness(t, cfg, newEndpoints(3)...)
 	if !hasAction(h.actions, WatchEndpoints) {
-		t.Fatal("not polled at once")
+		t.Fatalf("got actions %+v at the start, want a poll", h.actions)
 	}
 	var delays []Milliseconds
 	for range 6 {
 		actions := h.dispatch(EndpointUpdate{Kind: UpdateFailed})
 		if len(actions) != 1 || actions[0].Token != pollTimerToken || actions[0].Delay > cfg.MaxPollInterval/3 {
-			t.Fatalf("after a failed call: %+v", actions)
+			t.Fatalf("got actions %+v after a failed poll, want one poll timer of at most %v ms",
+				actions, cfg.MaxPollInterval/3)
 		}
 		delays = append(delays, actions[0].Delay)
 		h.now += actions[0].Delay
 		if !hasAction(h.dispatch(TimerFired{Token: pollTimerToken}), WatchEndpoints) {
-			t.Fatal("not polled again")
+			t.Fatal("the endpoint list was not polled when the poll timer fired")
 		}
 	}
 	if delays[5] < 2*delays[0] || len(h.b.endpoints.list) != 3 {
-		t.Fatalf("delays %v, %d endpoints", delays, len(h.b.endpoints.list))
+		t.Fatalf("got delays %v and %d endpoints, want the last delay at least twice the first, and 3 endpoints",
+			delays, len(h.b.endpoints.list))
 	}
 }
 
-// While the discovery service is unreachable polls are repeated within the stated interval, after which the
-// endpoints count as known.
+// A sidecar has to know the endpoint list once MaxPollInterval has passed. While the discovery service is unreachable,
+// polls are repeated often enough that at least three of the delays fit into that interval.
 func TestPollsRepeatWithinTheInterval(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PolledDiscovery, cfg.MaxPollInterval = true, 3000
@@ -189,23 +194,24 @@
 	for range 20 {
 		actions := h.dispatch(EndpointUpdate{Kind: UpdateFailed})
 		if len(actions) != 1 || actions[0].Kind != SetTimer || actions[0].Delay > cfg.MaxPollInterval/3 {
-			t.Fatalf("after a failed call: %+v", actions)
+			t.Fatalf("got actions %+v after a failed poll, want one timer of at most %v ms",
+				actions, cfg.MaxPollInterval/3)
 		}
 		h.now += actions[0].Delay
 		if actions = h.dispatch(TimerFired{Token: actions[0].Token}); !hasAction(actions, WatchEndpoints) {
-			t.Fatalf("not polled again: %+v", actions)
+			t.Fatalf("got actions %+v when the timer fired, want a poll", actions)
 		}
 	}
 }
 
-// An index beyond the count of instances, or no count, must not prevent decisions.
+// Requests are served even if the index is beyond the count of instances, or if either number is invalid.
 func TestInvalidInstanceNumbersAreAccepted(t *testing.T) {
 	for _, c := range [][2]int{{0, 0}, {7, 3}, {-1, 1}, {5, -2}} {
 		t.Run(fmt.Sprintf("%d of %d", c[0], c[1]), func(t *testing.T) {
 			cfg := baseConfig()
 			cfg.InstanceIndex, cfg.InstanceCount = c[0], c[1]
 			if got := sendSequence(newHarness(t, cfg, newEndpoints(3)...), 6); len(got) != 6 {
-				t.Errorf("instance %d of %d: %v", c[0], c[1], got)
+				t.Errorf("instance %d of %d sent to endpoints %v, want 6 requests sent", c[0], c[1], got)
 			}
 		})
 	}
--- a/balance/responserate.go
+++ b/balance/responserate.go
@@ -3,63 +3,64 @@
 import "math"
 
 const (
-	// responseRateObjectives is the time constant of the rate of responses, in longest latency objectives.
+	// responseRateObjectives is the time constant of the long-term response count, as a multiple of the
+	// longest latency objective.
 	responseRateObjectives = 8
-	// minObservedFraction bounds the fraction of the time constant that has been observed, shortly after
-	// the start.
+	// minObservedFraction is the lower bound of the fraction of the long-term window that has been observed
+	// since the start. It keeps the divisor of the mean rate above 0.
 	minObservedFraction = 1e-3
 	// chanceDeviations is the number of standard deviations by which a count may exceed its mean by chance.
 	chanceDeviations = 2
 )
 
-// responseRate counts the responses of endpoints to this sidecar. Its counts decay with time. What changes
-// them calls advance first; perMillisecond is valid at the time of the last call of advance.
+// responseRate estimates the rate at which endpoints respond to this sidecar, from two exponentially decaying
+// counts. Callers have to call advance before they use or change the counts.
 type responseRate struct {
-	startedAt   Milliseconds // when the balancer started
-	countedAt   Milliseconds // time of the last advance
-	count       float64      // decays over responseRateObjectives longest latency objectives
-	latestCount float64      // decays over one
+	startedAt      Milliseconds // when the balancer started
+	countedAt      Milliseconds // time to which the counts have decayed
+	longTermCount  float64      // time constant: responseRateObjectives * longest latency objective
+	shortTermCount float64      // time constant: longest latency objective
 }
 
-// advance lets the counts decay to now.
+// advance decays the counts to the given time.
 func (r *responseRate) advance(now, longestObjective Milliseconds) {
 	elapsed := now - r.countedAt
 	if elapsed == 0 {
 		return
 	}
-	r.latestCount *= decay(elapsed, longestObjective)
-	r.count *= decay(elapsed, responseRateObjectives*longestObjective)
+	r.shortTermCount *= decay(elapsed, longestObjective)
+	r.longTermCount *= decay(elapsed, responseRateObjectives*longestObjective)
 	r.countedAt = now
 }
 
 // record counts one response.
 func (r *responseRate) record() {
-	r.count++
-	r.latestCount++
+	r.longTermCount++
+	r.shortTermCount++
 }
 
-// perMillisecond returns the responses per millisecond, priorResponses included. It is a mean over the long
-// time constant. Where the short one alone shows more than chance explains, that counts instead: traffic
-// may grow fast.
+// perMillisecond returns the rate of responses per millisecond: the long-term mean, which includes
+// priorResponses, or a lower bound of the short-term rate if that is higher. Traffic may grow quickly, and
+// the lower bound discounts growth that may be due to chance.
 func (r *responseRate) perMillisecond(longestObjective Milliseconds, priorResponses float64) float64 {
 	timeConstant := responseRateObjectives * longestObjective
 	observedFraction := max(-math.Expm1(-ratio(r.countedAt-r.startedAt, timeConstant)), minObservedFraction)
-	meanRate := (r.count + priorResponses) / float64(timeConstant) / observedFraction
-	latestSurely := r.latestCount - chanceDeviations*math.Sqrt(r.latestCount)
-	return max(meanRate, latestSurely/float64(longestObjective))
+	meanRate := (r.longTermCount + priorResponses) / float64(timeConstant) / observedFraction
+	shortTermLowerBound := r.shortTermCount - chanceDeviations*math.Sqrt(r.shortTermCount)
+	return max(meanRate, shortTermLowerBound/float64(longestObjective))
 }
 
-// halve gives half of the counts away to a process that takes over, with which this one shares the load
-// from now on.
+// halve halves the counts when a successor takes over, because the two processes share the load from then on.
 func (r *responseRate) halve() {
-	r.count /= 2
-	r.latestCount /= 2
+	r.longTermCount /= 2
+	r.shortTermCount /= 2
 }
 
-// advanceResponseRate lets the counts of responses decay to the present.
+// advanceResponseRate decays the response counts to the current time.
 func (b *Balancer) advanceResponseRate() { b.responses.advance(b.now, b.longestObjective) }
 
-// responsesPerMillisecond returns the rate of responses. advanceResponseRate comes before it.
+// responsesPerMillisecond returns the rate of responses, with priorResponses assumed in addition to the
+// counted ones. The caller has to call advanceResponseRate first.
 func (b *Balancer) responsesPerMillisecond(priorResponses float64) float64 {
 	return b.responses.perMillisecond(b.longestObjective, priorResponses)
 }
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// Limits of imported values. Whatever exceeds them is corrupt.
+// Upper bounds of imported values. A value beyond its bound is considered corrupt.
 const (
-	maxImportedCount               = 1e12
-	maxImportedRecent              = 1e9
-	maxImportedTime   Milliseconds = 1e9
-	maxImportedRatio               = 2
-	maxImportedDrift               = 2
-	maxImportedDelay  Milliseconds = 60e3 // from now until the end of an ejection
+	maxImportedCount                    = 1e12 // requests since the start
+	maxImportedRecentCount              = 1e9  // decaying counts and slow-start tokens
+	maxImportedDuration    Milliseconds = 1e9
+	maxImportedRatio                    = 2    // latency / objective
+	maxImportedMeanStep                 = 2    // absolute value of the mean capacity step
+	maxImportedDelay       Milliseconds = 60e3 // from now until EjectedUntil or SlowUntil
 )
 
-// ExportState returns what was learned for a process that takes over. It halves the counts of responses here,
-// and the slow-start tokens here and there: until this process ends, both act as one sidecar.
+// ExportState returns the learned state for a successor. It halves the response counts of this balancer, and
+// the slow-start tokens of both: until this process ends, the two share the traffic and the limits of one
+// sidecar.
 func (b *Balancer) ExportState(now Milliseconds) LearnedState {
 	b.now = now
 	b.advanceResponseRate()
@@ -22,8 +23,8 @@
 		LastRequestAt:          b.shedder.lastRequestAt,
 		LastResponseAt:         b.latency.lastResponseAt,
 		ResponsesCountedAt:     b.responses.countedAt,
-		ResponseCount:          b.responses.count,
-		LatestResponseCount:    b.responses.latestCount,
+		ResponseCount:          b.responses.longTermCount,
+		LatestResponseCount:    b.responses.shortTermCount,
 		MinLatencyRatio:        b.latency.minRatio,
 		LatencyRatio:           b.latency.ratio,
 		LatencyRatioSamples:    b.latency.ratioSamples,
@@ -41,7 +42,8 @@
 	return state
 }
 
-// exportCollections adds what was learned of machine types, zones, classes, tenants and endpoints.
+// exportCollections adds what was learned about machine types, zones, classes, tenants and endpoints to
+// state. It halves the slow-start tokens of the endpoints before it exports them.
 func (b *Balancer) exportCollections(state *LearnedState) {
 	state.MachineTypes = map[int]float64{}
 	for number, factor := range b.endpoints.machineTypes {
@@ -83,7 +85,7 @@
 		LastResponseAt:    ep.activity.lastResponseAt,
 		ConsecutiveErrors: ep.outlier.consecutiveErrors,
 		ConnectErrors:     ep.outlier.connectErrors,
-		Ejections:         ep.outlier.ejections,
+		Ejections:         ep.outlier.consecutiveEjections,
 		EjectedUntil:      ep.outlier.ejectedUntil,
 		SlowUntil:         ep.sticky.slowUntil,
 		WarmUpSince:       ep.slowStart.warmUpSince,
@@ -97,9 +99,10 @@
 	return state
 }
 
-// ImportState continues with what another process learned. classes and tenants give the index in state of
-// each own class and tenant, or -1 if it has none. ImportState has to be called after Start and the
-// endpoint list of the other process. The state may be corrupt: invalid values are ignored.
+// ImportState continues with the state that a predecessor has learned. classes and tenants give the index in
+// state of each class and tenant of this balancer, or -1 for one that is not in state. ImportState has to be
+// called after Start, and after the endpoint list of the predecessor was handled. The state may be corrupt:
+// invalid values are ignored.
 func (b *Balancer) ImportState(now Milliseconds, state LearnedState, classes, tenants []int) {
 	b.now = now
 	b.importTimes(&state)
@@ -123,28 +126,28 @@
 }
 
 func (b *Balancer) importTimes(state *LearnedState) {
-	b.responses.startedAt = min(pastTime(state.StartedAt, b.now), b.now)
-	b.responses.countedAt = pastTime(state.ResponsesCountedAt, b.now)
-	b.latency.lastResponseAt = pastTime(state.LastResponseAt, b.now)
+	b.responses.startedAt = min(pastTimeOrLongAgo(state.StartedAt, b.now), b.now)
+	b.responses.countedAt = pastTimeOrLongAgo(state.ResponsesCountedAt, b.now)
+	b.latency.lastResponseAt = pastTimeOrLongAgo(state.LastResponseAt, b.now)
 }
 
 func (b *Balancer) importStatistics(state *LearnedState) {
-	b.responses.count = validOr(state.ResponseCount, 0, maxImportedRecent)
-	b.responses.latestCount = validOr(state.LatestResponseCount, 0, maxImportedRecent)
+	b.responses.longTermCount = validOr(state.ResponseCount, 0, maxImportedRecentCount)
+	b.responses.shortTermCount = validOr(state.LatestResponseCount, 0, maxImportedRecentCount)
 	b.latency.minRatio = validOr(state.MinLatencyRatio, b.latency.minRatio, maxImportedRatio)
 	b.latency.ratio = validOr(state.LatencyRatio, b.latency.ratio, maxImportedRatio)
 	b.latency.ratioSamples = validOr(state.LatencyRatioSamples, 0, averagingSamples)
 	b.latency.lateFraction = validOr(state.LateFraction, 0, 1)
 	b.shedder.restore(state, b.now)
 	b.connectFailures.fraction = validOr(state.ConnectFailureFraction, 0, 1)
-	b.timePerInFlight.mean = validOr(state.TimePerInFlight, b.timePerInFlight.mean, maxImportedTime)
+	b.timePerInFlight.mean = validOr(state.TimePerInFlight, b.timePerInFlight.mean, maxImportedDuration)
 	b.timePerInFlight.samples = max(1, validOr(state.TimePerInFlightSamples, 1, averagingSamples))
 	b.checks.busyFraction = validOr(state.BusyFraction, b.checks.busyFraction, 1)
 }
 
 func (b *Balancer) importCapacities(state *LearnedState) {
 	b.capacity.updates = validOr(state.CapacityUpdates, 0, maxImportedCount)
-	if math.Abs(state.CapacityDrift) <= maxImportedDrift {
+	if math.Abs(state.CapacityDrift) <= maxImportedMeanStep {
 		b.capacity.drift = state.CapacityDrift
 	}
 	for number, logarithm := range state.MachineTypes {
@@ -158,23 +161,23 @@
 func (c *classStats) restore(state *LearnedClass, now Milliseconds) {
 	c.count = max(1, validOr(state.Requests, 1, maxImportedCount))
 	c.samples = validOr(state.LatencySamples, 0, maxLatencySamples)
-	c.meanLatency = validOr(state.MeanLatency, 0, maxImportedTime)
-	c.latencyDeviation = validOr(state.LatencyDeviation, 0, maxImportedTime)
-	c.longestTimeout = validOr(state.LongestTimeout, 0, maxImportedTime)
-	c.lastFailureAt = pastTime(state.LastFailureAt, now)
-	c.meanScore = validOr(state.MeanScore, 1, 1)
+	c.meanLatency = validOr(state.MeanLatency, 0, maxImportedDuration)
+	c.latencyDeviation = validOr(state.LatencyDeviation, 0, maxImportedDuration)
+	c.longestTimeout = validOr(state.LongestTimeout, 0, maxImportedDuration)
+	c.lastFailureAt = pastTimeOrLongAgo(state.LastFailureAt, now)
+	c.meanScore = validOr(state.MeanScore, initialMeanScore, 1)
 }
 
 func (ep *endpoint) restore(state *LearnedEndpoint, classes []int, now Milliseconds) {
 	ep.ownCapacity.restore(state.CapacityLog)
 	ep.outlier.restore(state, now)
 	ep.slowStart.restore(state, now)
-	ep.activity.lastResponseAt = max(0, pastTime(state.LastResponseAt, now))
+	ep.activity.lastResponseAt = max(0, pastTimeOrLongAgo(state.LastResponseAt, now))
 	ep.sticky.slowUntil = validOr(state.SlowUntil, 0, now+maxImportedDelay)
 	for i := range ep.classScores[:len(ep.classScores)-1] {
 		if old, ok := oldIndex(classes, i, len(state.ClassScores)); ok {
 			ep.classScores[i].value = validOr(state.ClassScores[old].Value, 0, 1)
-			ep.classScores[i].updatedAt = pastTime(state.ClassScores[old].UpdatedAt, now)
+			ep.classScores[i].updatedAt = pastTimeOrLongAgo(state.ClassScores[old].UpdatedAt, now)
 		}
 	}
 }
@@ -182,44 +185,45 @@
 func (s *outlierState) restore(state *LearnedEndpoint, now Milliseconds) {
 	s.consecutiveErrors = max(0, state.ConsecutiveErrors)
 	s.connectErrors = max(0, state.ConnectErrors)
-	s.lastErrorAt = pastTime(state.LastErrorAt, now)
-	s.ejections = max(0, state.Ejections)
+	s.lastErrorAt = pastTimeOrLongAgo(state.LastErrorAt, now)
+	s.consecutiveEjections = max(0, state.Ejections)
 	s.ejectedUntil = validOr(state.EjectedUntil, 0, now+maxImportedDelay)
 }
 
 func (s *loadShedder) restore(state *LearnedState, now Milliseconds) {
-	s.lastRequestAt = pastTime(state.LastRequestAt, now)
+	s.lastRequestAt = pastTimeOrLongAgo(state.LastRequestAt, now)
 	s.steadyFraction = validOr(state.SteadyShed, 0, maxShedFraction)
 }
 
-// restore leaves a warm-up alone that began later, according to the endpoint list.
+// restore imports a slow start, unless the endpoint list shows that the endpoint started later.
 func (s *slowStart) restore(state *LearnedEndpoint, now Milliseconds) {
-	since := pastTime(state.WarmUpSince, now)
+	since := pastTimeOrLongAgo(state.WarmUpSince, now)
 	if since < s.warmUpSince {
 		return
 	}
 	s.warmUpSince = since
-	s.tokens = validOr(state.SlowStartTokens, 0, maxImportedRecent)
-	s.updatedAt = max(0, pastTime(state.TokensUpdatedAt, now))
+	s.tokens = validOr(state.SlowStartTokens, 0, maxImportedRecentCount)
+	s.updatedAt = max(0, pastTimeOrLongAgo(state.TokensUpdatedAt, now))
 }
 
-// restore sets a capacity factor, unless the logarithm is out of bounds or NaN.
+// restore sets the capacity factor, unless the logarithm is out of bounds or NaN.
 func (f *capacityFactor) restore(logarithm float64) {
 	if logarithm >= -maxCapacityLog && logarithm <= maxCapacityLog {
 		f.set(logarithm)
 	}
 }
 
-// validOr returns an imported value if it is within [0, high], and otherwise a fallback.
-func validOr[T ~float64](value, fallback, high T) T {
-	if value >= 0 && value <= high {
+// validOr returns an imported value if it is within [0, limit], and otherwise fallback. NaN is not valid.
+func validOr[T ~float64](value, fallback, limit T) T {
+	if value >= 0 && value <= limit {
 		return value
 	}
 	return fallback
 }
 
-// pastTime returns an imported time if it is not in the future, and otherwise longAgo.
-func pastTime(value, now Milliseconds) Milliseconds {
+// pastTimeOrLongAgo returns an imported point in time unless it is in the future or NaN, and otherwise
+// longAgo.
+func pastTimeOrLongAgo(value, now Milliseconds) Milliseconds {
 	if value <= now {
 		return value
 	}
--- a/balance/transfer_test.go
+++ b/balance/transfer_test.go
@@ -6,46 +6,52 @@
 	"testing"
 )
 
-// What one process learned of endpoints is valid in the next one, and the slow start budget of an endpoint is
-// divided between them.
+// A successor continues with what its predecessor has learned about endpoints and classes, and the two divide the
+// slow-start tokens of an endpoint.
 func TestImportState(t *testing.T) {
 	cfg := Config{Seed: 1, MaxAttempts: 3, WarmUpInitialFraction: 0.2, WarmUpDuration: 10000,
 		OverloadFactor: 4, OverloadWindow: 1000,
 		Classes: []Class{{LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1},
 			{LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1}}}
-	list := EndpointUpdate{Kind: UpdateSnapshot, Endpoints: []Endpoint{{ID: 1, Rating: 1}, {ID: 2, Rating: 1, StartedAt: 9000}}}
+	list := EndpointUpdate{Kind: UpdateSnapshot, Endpoints: []Endpoint{
+		{ID: 1, Rating: 1}, {ID: 2, Rating: 1, StartedAt: 9000},
+	}}
 	start := func() *Balancer {
 		b := New(cfg)
 		b.Start(10000)
 		b.Handle(10000, list)
 		return b
 	}
-	one := start()
-	one.endpoints.byID[1].outlier.consecutiveErrors, one.endpoints.byID[1].outlier.lastErrorAt, one.endpoints.byID[1].outlier.ejectedUntil = 2, 9900, 12000
-	one.endpoints.byID[1].classScores[1] = classScore{value: 0.25, updatedAt: 9800}
-	one.endpoints.byID[2].slowStart.tokens = 0.8
-	one.classes[0].meanLatency, one.classes[1].meanLatency = 30, 70
-	state := one.ExportState(10000)
-	two := start()
-	two.ImportState(10000, state, []int{1, -1}, nil) // its first class was the second of the old process, the other is new
-	if ep := two.endpoints.byID[1]; ep.outlier.consecutiveErrors != 2 || ep.outlier.lastErrorAt != 9900 || ep.outlier.ejectedUntil != 12000 ||
+	predecessor := start()
+	failing := predecessor.endpoints.byID[1]
+	failing.outlier.consecutiveErrors, failing.outlier.lastErrorAt, failing.outlier.ejectedUntil = 2, 9900, 12000
+	failing.classScores[1] = classScore{value: 0.25, updatedAt: 9800}
+	predecessor.endpoints.byID[2].slowStart.tokens = 0.8
+	predecessor.classes[0].meanLatency, predecessor.classes[1].meanLatency = 30, 70
+	state := predecessor.ExportState(10000)
+	successor := start()
+	// The first class of the successor is the second one of the predecessor, and the other class is new.
+	successor.ImportState(10000, state, []int{1, -1}, nil)
+	ep := successor.endpoints.byID[1]
+	if ep.outlier.consecutiveErrors != 2 || ep.outlier.lastErrorAt != 9900 || ep.outlier.ejectedUntil != 12000 ||
 		ep.classScores[0].value != 0.25 {
-		t.Errorf("state of the failing endpoint: %+v", ep)
+		t.Errorf("state of the failing endpoint is %+v, want 2 errors, the last at 9900, ejected until 12000, score 0.25", ep)
 	}
-	if two.UnavailableCount(11000) != 1 || two.UnavailableCount(13000) != 0 {
-		t.Errorf("unavailable: %d, then %d", two.UnavailableCount(11000), two.UnavailableCount(13000))
+	if successor.UnavailableCount(11000) != 1 || successor.UnavailableCount(13000) != 0 {
+		t.Errorf("got %d unavailable endpoints during the ejection and %d after it, want 1 and 0",
+			successor.UnavailableCount(11000), successor.UnavailableCount(13000))
 	}
-	if got := two.classes[0].meanLatency; got != 70 {
-		t.Errorf("mean latency of its first class is %v", got)
+	if got := successor.classes[0].meanLatency; got != 70 {
+		t.Errorf("mean latency of the first class is %v, want 70", got)
 	}
-	sum := one.endpoints.byID[2].slowStart.tokens + two.endpoints.byID[2].slowStart.tokens
-	if math.Abs(sum-0.8) > 1e-9 || two.endpoints.byID[2].slowStart.warmUpSince != 9000 {
-		t.Errorf("both have %v slow start tokens for an endpoint that warms up since %v",
-			sum, two.endpoints.byID[2].slowStart.warmUpSince)
+	sum := predecessor.endpoints.byID[2].slowStart.tokens + successor.endpoints.byID[2].slowStart.tokens
+	if math.Abs(sum-0.8) > 1e-9 || successor.endpoints.byID[2].slowStart.warmUpSince != 9000 {
+		t.Errorf("predecessor and successor have %v slow-start tokens in sum, slow start since %v; want 0.8, 9000",
+			sum, successor.endpoints.byID[2].slowStart.warmUpSince)
 	}
 }
 
-// Invalid figures in an imported state must not prevent decisions.
+// After the import of a corrupt state, requests are still sent.
 func TestImportStateWithInvalidFigures(t *testing.T) {
 	cfg := Config{Seed: 1, MaxAttempts: 3, Classes: []Class{{LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1}}}
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 1e300} {
@@ -73,7 +79,7 @@
 				sent = sent || a.Kind == SendAttempt
 			}
 			if err != nil || !sent {
-				t.Errorf("after importing %v: %v, %v", v, actions, err)
+				t.Errorf("after importing %v: got actions %v, error %v; want an attempt, no error", v, actions, err)
 			}
 		})
 	}
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -3,36 +3,39 @@
 import "slices"
 
 const (
-	// silentEndpointsForOutage is the number of consecutive silent endpoints at which a zone counts as
-	// unreachable. It is low, because endpoints hang rarely.
-	silentEndpointsForOutage = 2
-	// restartOutage is the length of an outage in which the endpoints of the zone may have restarted.
-	restartOutage Milliseconds = 1000
-	// maxZoneCheckDoublings limits the growth of the delay between the health checks of a zone.
+	// unresponsiveEndpointsForOutage is the number of unresponsive endpoints, without any response from the
+	// zone in between, at which an outage of the zone begins. It is low because single endpoints rarely hang.
+	unresponsiveEndpointsForOutage = 2
+	// minRestartOutage is the shortest outage during which the endpoints of the zone may have restarted.
+	minRestartOutage Milliseconds = 1000
+	// maxZoneCheckDoublings limits how often the delay between the health checks of a zone doubles.
 	maxZoneCheckDoublings = 2
+	// roundsBeforeOutageLog is the number of check rounds before an outage is logged. The first health check
+	// may merely have been lost, and a message in each later round would flood the log.
+	roundsBeforeOutageLog = 1
 )
 
-// zone is the state that this sidecar keeps for all endpoints of a zone together. In an outage they
-// count as ejected, until one of them responds to anything or none is ready.
+// zone is the state that the endpoints of a zone share. During an outage, all of them count as ejected, until
+// one of them responds to an attempt or a health check, or none of them is ready.
 type zone struct {
-	number          int
-	capacity        capacityFactor
-	lastResponseAt  Milliseconds // when any endpoint of the zone responded last
-	silentEndpoints []*endpoint  // endpoints that did not respond since then, or since the last check
-	outage          bool         // the zone is considered unreachable as a whole
-	outageSince     Milliseconds
-	checkRounds     int          // times that a check was due since then
-	nextCheckAt     Milliseconds // when the next one is due
+	number                int            // as in Endpoint.Zone
+	capacity              capacityFactor // learned; see capacity.go
+	lastResponseAt        Milliseconds   // last response of any endpoint of the zone
+	unresponsiveEndpoints []*endpoint    // endpoints that did not respond since then or since the last check
+	outage                bool           // the whole zone is considered unreachable
+	outageSince           Milliseconds
+	checkRounds           int          // number of times that a check was due during the outage
+	nextCheckAt           Milliseconds // when the next check is due
 }
 
-// recordSilence counts an endpoint that did not respond to what was sent at sentAt, and reports whether the
-// zone counts as unreachable now.
-func (z *zone) recordSilence(ep *endpoint, now, sentAt Milliseconds) (outageBegins bool) {
-	if z.outage || sentAt < z.lastResponseAt || slices.Contains(z.silentEndpoints, ep) {
+// recordUnresponsive records that an endpoint did not respond to an attempt sent at sentAt, and reports
+// whether an outage begins.
+func (z *zone) recordUnresponsive(ep *endpoint, now, sentAt Milliseconds) (outageBegins bool) {
+	if z.outage || sentAt < z.lastResponseAt || slices.Contains(z.unresponsiveEndpoints, ep) {
 		return false
 	}
-	z.silentEndpoints = append(z.silentEndpoints, ep)
-	if len(z.silentEndpoints) < silentEndpointsForOutage {
+	z.unresponsiveEndpoints = append(z.unresponsiveEndpoints, ep)
+	if len(z.unresponsiveEndpoints) < unresponsiveEndpointsForOutage {
 		return false
 	}
 	z.outage = true
@@ -41,34 +44,36 @@
 	return true
 }
 
-// recordResponse ends an outage, and reports whether there was one.
+// recordResponse records a response of any endpoint of the zone. It ends an outage, and reports whether there
+// was one.
 func (z *zone) recordResponse(now Milliseconds) (outageEnds bool) {
 	z.lastResponseAt = now
-	z.silentEndpoints = z.silentEndpoints[:0]
+	z.unresponsiveEndpoints = z.unresponsiveEndpoints[:0]
 	outageEnds = z.outage
 	z.outage = false
 	return outageEnds
 }
 
-// recordSilence counts an endpoint that did not respond to what was sent at sentAt. A single endpoint may
-// hang, but several in a row mean that their zone is unreachable: detected for each endpoint separately,
-// that would cost each sidecar requests at every one.
+// recordUnresponsive records that an endpoint did not respond to an attempt sent at sentAt. A single endpoint
+// may hang, but several in a row indicate that their zone is unreachable. If each endpoint of the zone were
+// detected separately, every sidecar would lose requests at each of them.
 func (b *Balancer) recordSilence(ep *endpoint, sentAt Milliseconds) {
-	if b.cfg.HealthChecks && ep.zone.recordSilence(ep, b.now, sentAt) {
+	if b.cfg.HealthChecks && ep.zone.recordUnresponsive(ep, b.now, sentAt) {
 		b.checkZone(ep.zone)
 	}
 }
 
-// checkZone checks an endpoint of an unreachable zone, and schedules the next check after a growing delay
-// with jitter. A health check costs far less than a lost request.
+// checkZone sends a health check to an endpoint of an unreachable zone, and schedules the next check after an
+// exponentially growing delay with jitter. A health check costs far less than a lost request. The outage ends
+// if the zone has no ready endpoints.
 func (b *Balancer) checkZone(zone *zone) {
 	chosen, readyCount := b.chooseZoneCheck(zone)
-	zone.silentEndpoints = zone.silentEndpoints[:0]
+	zone.unresponsiveEndpoints = zone.unresponsiveEndpoints[:0]
 	if readyCount == 0 {
 		zone.outage = false
 		return
 	}
-	if zone.checkRounds == 1 { // the first check may have been lost; later messages would flood the log
+	if zone.checkRounds == roundsBeforeOutageLog {
 		b.logf("zone %d is unreachable: no requests go there until a health check succeeds", zone.number)
 	}
 	if chosen != nil {
@@ -81,7 +86,7 @@
 	b.emit(Action{Kind: SetTimer, Token: zoneTimerToken + uint64(zone.number), Delay: delay})
 }
 
-// onZoneTimer checks an unreachable zone again.
+// onZoneTimer repeats the check of a zone that is still unreachable.
 func (b *Balancer) onZoneTimer(number int) {
 	zone := b.endpoints.zones[number]
 	if zone != nil && zone.outage && b.now > zone.nextCheckAt-timerTolerance {
@@ -89,8 +94,9 @@
 	}
 }
 
-// chooseZoneCheck chooses an endpoint of a zone at random, and returns it with the number of ready
-// endpoints. It leaves out the silent endpoints and those with a pending health check.
+// chooseZoneCheck chooses a ready endpoint of a zone at random, and returns it with the number of ready
+// endpoints. It skips the endpoints that were unresponsive since the last check and those with a pending
+// health check; chosen is nil if no others are left.
 func (b *Balancer) chooseZoneCheck(zone *zone) (chosen *endpoint, readyCount int) {
 	candidateCount := 0.0
 	for _, ep := range b.endpoints.list {
@@ -98,30 +104,31 @@
 			continue
 		}
 		readyCount++
-		if ep.healthCheck.pending || slices.Contains(zone.silentEndpoints, ep) {
+		if ep.healthCheck.pending || slices.Contains(zone.unresponsiveEndpoints, ep) {
 			continue
 		}
 		candidateCount++
-		if b.random.next() < 1/candidateCount {
+		if b.random.next() < 1/candidateCount { // reservoir sampling: each candidate is equally likely
 			chosen = ep
 		}
 	}
 	return chosen, readyCount
 }
 
-// recordResponse records that an endpoint responded, which ends an outage of its zone. After a long outage
-// the endpoints may have restarted, even if discovery has not reported it.
+// recordResponse records that an endpoint responded, which ends an outage of its zone. After a long outage,
+// the slow start of all endpoints of the zone begins: they may have restarted, even if discovery has not
+// reported it.
 func (b *Balancer) recordResponse(responding *endpoint) {
 	zone := responding.zone
 	responding.activity.lastResponseAt = b.now
 	if !zone.recordResponse(b.now) {
 		return
 	}
-	if zone.checkRounds > 1 {
+	if zone.checkRounds > roundsBeforeOutageLog { // the outage was logged
 		b.logf("zone %d is reachable again after %.0f ms", zone.number, b.now-zone.outageSince)
 	}
 	for _, ep := range b.endpoints.list {
-		if ep.zone == zone && !b.warmingUp(ep) && b.now >= zone.outageSince+restartOutage {
+		if ep.zone == zone && !b.warmingUp(ep) && b.now >= zone.outageSince+minRestartOutage {
 			b.startWarmUp(ep, b.now)
 		}
 	}
