--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -20,8 +20,9 @@
 
 // This file is a characterization test. It runs seeded simulations against the exported interface of the package and
 // compares a hash of all decisions with testdata/golden.txt. A change that must not alter the behaviour must not
-// alter that file; a change of behaviour rewrites the file with -update and says so. The hashes cover the bits of
-// floating-point numbers, so they are only valid on amd64 with FMA: other processors may round differently.
+// alter that file; a change of behaviour rewrites the file with -update and says so in its commit. The hashes cover
+// the bits of floating-point numbers, so they are only valid on amd64 with FMA: other processors may round
+// differently.
 
 const (
 	goldenFile             = "testdata/golden.txt"
@@ -33,6 +34,7 @@
 	recordedKindCount      = len(recordedKinds) + 3 // three further kinds have been removed
 	resultCount            = int(balance.NotAttempted) + 1
 	eventsBetweenChanges   = 40 // events between two changes of the environment
+	maxRecentRequests      = 30 // requests whose clients may disconnect
 )
 
 // recordedKinds maps the kinds of actions to the numbers that they had when the golden file was recorded.
@@ -233,10 +235,10 @@
 // simulatedRequest is a request of the simulation.
 type simulatedRequest struct {
 	id         balance.RequestID
-	classIndex int
+	classIndex int // -1: the class is no longer configured
 	class      balance.Class
 	deadline   balance.Milliseconds
-	uploadedAt balance.Milliseconds
+	uploadedAt balance.Milliseconds // end of the upload
 	attempts   []*simulatedAttempt
 	finished   bool // has its final response, or needs none
 }
@@ -298,19 +300,19 @@
 	endpoints              []*simulatedEndpoint
 	byID                   map[balance.EndpointID]*simulatedEndpoint // for lookups only
 	requests               map[balance.RequestID]*simulatedRequest
-	recentRequests         []*simulatedRequest // latest requests, some of whose clients disconnect
+	recentRequests         []*simulatedRequest // latest requests; some of their clients disconnect
 	lastRequest            balance.RequestID
 	lastEndpoint           balance.EndpointID
 	zones                  int
 	endpointsPerCell       int
-	hasRatings             bool // new endpoints have a rating
-	unresponsiveUntil      []balance.Milliseconds
-	slowdown               float64              // factor of all latencies
-	meanInterval           balance.Milliseconds // mean time between requests at intervalFactor 1
-	intervalFactor         float64              // current factor of meanInterval
-	keys                   *rand.Zipf           // sticky keys
-	removedClasses         []*balance.Class     // no longer configured; some requests still use them
-	nextChangeAtEvent      int                  // event counts at which the next change happens
+	hasRatings             bool                   // new endpoints have a rating
+	unresponsiveUntil      []balance.Milliseconds // by zone
+	slowdown               float64                // factor of all latencies
+	meanInterval           balance.Milliseconds   // mean time between requests at intervalFactor 1
+	intervalFactor         float64                // current factor of meanInterval
+	keys                   *rand.Zipf             // sticky keys
+	removedClasses         []*balance.Class       // no longer configured; some requests still use them
+	nextChangeAtEvent      int                    // event count of the next change of the environment
 	nextReconfigureAtEvent int
 	nextHandoverAtEvent    int
 }
@@ -355,7 +357,7 @@
 		OverQuotaWeight: s.random.Float64(), MinBatchInterval: s.duration(0, 6),
 		ClientRetriesMarked: s.chanceAfterSkippedDraw(0.5), KeyCaching: s.number%2 == 0,
 		PolledDiscovery: s.number%4 != 3, LoadReports: balance.LoadReportMode(s.number % 3),
-		LoadReportFields: s.drawFields(), MaxAttempts: 1 + s.number%5,
+		LoadReportFields: s.drawLoadReportFields(), MaxAttempts: 1 + s.number%5,
 	}
 	s.hasRatings = s.random.IntN(4) > 0
 	c.Cancellation = s.chanceAfterSkippedDraw(0.7)
@@ -383,7 +385,7 @@
 	return c
 }
 
-func (s *simulation) drawFields() []balance.LoadField {
+func (s *simulation) drawLoadReportFields() []balance.LoadField {
 	fields := make([]balance.LoadField, 1+s.random.IntN(6))
 	for i := range fields {
 		fields[i] = balance.LoadField(s.random.IntN(int(balance.LoadFieldErrorRate) + 1))
@@ -483,7 +485,7 @@
 func (s *simulation) start() {
 	s.balancer = balance.New(s.config)
 	s.perform(s.balancer.Start(s.now))
-	s.handle(balance.EndpointUpdate{Kind: balance.UpdateCachedSnapshot, Endpoints: s.entries()})
+	s.handle(balance.EndpointUpdate{Kind: balance.UpdateCachedSnapshot, Endpoints: s.shuffledEntries()})
 }
 
 // schedule schedules a call after the given delay.
@@ -601,6 +603,7 @@
 	return balance.OK, latency
 }
 
+// resultIf returns the given result if failing, and otherwise OK.
 func resultIf(failing bool, result balance.Result) balance.Result {
 	if failing {
 		return result
@@ -648,7 +651,7 @@
 		Finished: request.finished, NoRetry: !request.finished && s.chance(0.03),
 	}
 	if s.config.LoadReports == balance.LoadReportsPiggybacked {
-		outcome.LoadReport = s.drawReport(attempt.endpoint)
+		outcome.LoadReport = s.drawLoadReport(attempt.endpoint)
 	}
 	s.handle(outcome)
 }
@@ -659,7 +662,7 @@
 	s.schedule(delay, func() { s.endAttempt(request, number, balance.Cancelled, delay) })
 }
 
-func (s *simulation) drawReport(endpoint *simulatedEndpoint) []float32 {
+func (s *simulation) drawLoadReport(endpoint *simulatedEndpoint) []float32 {
 	report := make([]float32, s.random.IntN(len(s.config.LoadReportFields)+2))
 	for i := range report {
 		report[i] = float32(endpoint.inFlight + s.random.IntN(3))
@@ -684,7 +687,7 @@
 	s.schedule(latency, func() {
 		checkResult := balance.HealthCheckResult{Endpoint: endpoint.entry.ID, Result: result, Duration: latency}
 		if result == balance.OK {
-			checkResult.LoadReport = s.drawReport(endpoint)
+			checkResult.LoadReport = s.drawLoadReport(endpoint)
 		}
 		s.handle(checkResult)
 	})
@@ -696,10 +699,11 @@
 		s.handle(balance.EndpointUpdate{Kind: balance.UpdateFailed})
 		return
 	}
-	s.handle(balance.EndpointUpdate{Kind: balance.UpdateSnapshot, Endpoints: s.entries()})
+	s.handle(balance.EndpointUpdate{Kind: balance.UpdateSnapshot, Endpoints: s.shuffledEntries()})
 }
 
-func (s *simulation) entries() []balance.Endpoint {
+// shuffledEntries returns the current endpoint list in random order.
+func (s *simulation) shuffledEntries() []balance.Endpoint {
 	list := make([]balance.Endpoint, len(s.endpoints))
 	for i, endpoint := range s.endpoints {
 		list[i] = endpoint.entry
@@ -746,7 +750,7 @@
 	}
 	s.requests[event.ID] = request
 	s.recentRequests = append(s.recentRequests, request)
-	if len(s.recentRequests) > 30 {
+	if len(s.recentRequests) > maxRecentRequests {
 		s.recentRequests = s.recentRequests[1:]
 	}
 	s.handle(event)
@@ -853,8 +857,8 @@
 		return
 	}
 	endpoint.entry.State, endpoint.behaviour = balance.Gone, behaviourUnreachable
-	oldIndex := slices.Index(s.endpoints, endpoint)
-	s.endpoints = slices.Delete(s.endpoints, oldIndex, oldIndex+1)
+	index := slices.Index(s.endpoints, endpoint)
+	s.endpoints = slices.Delete(s.endpoints, index, index+1)
 }
 
 // disconnectClients disconnects the clients of some recent requests.
--- a/balance/polling_test.go
+++ b/balance/polling_test.go
@@ -22,7 +22,7 @@
 
 // simulateStart simulates n instances that start together and poll the discovery service. It returns the time until
 // all of them have the endpoint list, and the number of calls.
-func simulateStart(t *testing.T, n int, server *discoveryServer) (last Milliseconds, calls int) {
+func simulateStart(t *testing.T, n int, server *discoveryServer) (completedAfter Milliseconds, calls int) {
 	t.Helper()
 	instances := make([]*harness, n)
 	due := make([]Milliseconds, n) // time of the next timer or response of each instance
@@ -47,25 +47,25 @@
 		instances[i] = newHarness(t, cfg, newZonedEndpoints(60)...)
 		perform(i, start, instances[i].actions)
 	}
-	for left := n; left > 0; {
+	for waiting := n; waiting > 0; {
 		i := slices.Index(due, slices.Min(due))
 		h := instances[i]
 		if h.now = due[i]; h.now > start+60000 {
-			t.Fatalf("%d of %d instances have no endpoint list after a minute and %d calls", left, n, calls)
+			t.Fatalf("%d of %d instances have no endpoint list after a minute and %d calls", waiting, n, calls)
 		}
 		switch {
 		case !calling[i]:
 			perform(i, h.now, h.dispatch(TimerFired{Token: pollTimerToken}))
 		case succeeds[i]:
 			h.dispatch(EndpointUpdate{Kind: UpdateDelta})
-			last, due[i] = h.now-start, never
-			left--
+			completedAfter, due[i] = h.now-start, never
+			waiting--
 		default:
 			calling[i] = false
 			perform(i, h.now, h.dispatch(EndpointUpdate{Kind: UpdateFailed}))
 		}
 	}
-	return last, calls
+	return completedAfter, calls
 }
 
 // A release starts most instances at once, but the discovery service can only serve about a dozen calls per
@@ -74,10 +74,10 @@
 func TestStartingInstancesPollInTurn(t *testing.T) {
 	for _, n := range []int{3, 20, 80} {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
-			last, calls := simulateStart(t, n, &discoveryServer{serviceTime: 75, callTimeout: 2000})
-			if serveAll := Milliseconds(n) * 75; last > serveAll+1000 {
+			completedAfter, calls := simulateStart(t, n, &discoveryServer{serviceTime: 75, callTimeout: 2000})
+			if serveAll := Milliseconds(n) * 75; completedAfter > serveAll+1000 {
 				t.Errorf("%d instances: all have the endpoint list after %.0f ms, want at most 1000 ms more than %.0f",
-					n, last, serveAll)
+					n, completedAfter, serveAll)
 			}
 			if calls > n+n/5 {
 				t.Errorf("%d instances made %d calls, want at most %d", n, calls, n+n/5)
@@ -90,7 +90,7 @@
 // during the outage fail after failAfter. It returns the time from the recovery until all instances have the
 // endpoint list, and the number of calls after the recovery.
 func simulateDiscoveryOutage(t *testing.T, n int, down, failAfter Milliseconds,
-	server *discoveryServer) (last Milliseconds, calls int) {
+	server *discoveryServer) (completedAfter Milliseconds, calls int) {
 	t.Helper()
 	const start = 1000.0
 	recoveredAt := start + down
@@ -112,24 +112,24 @@
 		instances[i] = newHarness(t, cfg, newZonedEndpoints(9)...)
 		call(i, start+Milliseconds(random.Float64()*1000)) // the watches fail one by one within a second
 	}
-	for left := n; left > 0; {
+	for waiting := n; waiting > 0; {
 		i := slices.Index(due, slices.Min(due))
 		h := instances[i]
 		if h.now = due[i]; h.now > recoveredAt+90000 {
-			t.Fatalf("%d of %d instances have no endpoint list 90 s after the recovery", left, n)
+			t.Fatalf("%d of %d instances have no endpoint list 90 s after the recovery", waiting, n)
 		}
 		switch {
 		case !calling[i]:
 			call(i, h.now)
 		case succeeds[i]:
-			last, due[i] = h.now-recoveredAt, never
-			left--
+			completedAfter, due[i] = h.now-recoveredAt, never
+			waiting--
 		default:
 			calling[i] = false
 			due[i] = h.now + h.dispatch(EndpointUpdate{Kind: UpdateFailed})[0].Delay
 		}
 	}
-	return last, calls
+	return completedAfter, calls
 }
 
 // After an outage of the discovery service, all instances have to know the endpoint list within propagationLimit:
@@ -140,19 +140,20 @@
 		for down := Milliseconds(500); down < 30000; down += 700 {
 			for name, failAfter := range map[string]Milliseconds{"silent": 2100, "connection rejected": 5} {
 				server := &discoveryServer{serviceTime: 47, callTimeout: 2000}
-				if last, _ := simulateDiscoveryOutage(t, n, down, failAfter, server); last > propagationLimit {
+				if completedAfter, _ := simulateDiscoveryOutage(t, n, down, failAfter, server); completedAfter > propagationLimit {
 					t.Errorf("%d instances, %s for %.0f ms: all have the endpoint list after %.0f ms, want at most %.0f",
-						n, name, down, last, propagationLimit)
+						n, name, down, completedAfter, propagationLimit)
 				}
 			}
 		}
 	}
 	for _, n := range []int{80, 150, 300, 1024} {
 		for down := Milliseconds(4000); down < 30000; down += 4000 {
-			last, calls := simulateDiscoveryOutage(t, n, down, pollTimeout, &discoveryServer{serviceTime: 47, callTimeout: 2000})
-			if maxTime := Milliseconds(n)*pollServiceTime + pollTimeout; last > maxTime || calls > n+n/20 {
+			server := &discoveryServer{serviceTime: 47, callTimeout: 2000}
+			completedAfter, calls := simulateDiscoveryOutage(t, n, down, pollTimeout, server)
+			if maxTime := Milliseconds(n)*pollServiceTime + pollTimeout; completedAfter > maxTime || calls > n+n/20 {
 				t.Errorf("%d instances, down for %.0f ms: all have the endpoint list after %.0f ms and %d calls, "+
-					"want at most %.0f ms and %d calls", n, down, last, calls, maxTime, n+n/20)
+					"want at most %.0f ms and %d calls", n, down, completedAfter, calls, maxTime, n+n/20)
 			}
 		}
 	}
