--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -175,7 +175,7 @@
 
 // The health multiplier falls with consecutive errors, recovers with time and after a success, and never falls
 // below its minimum. Errors of one endpoint do not affect another.
-func TestHealthFallsRecoversAndHasAFloor(t *testing.T) {
+func TestHealthFallsRecoversAndHasAMinimum(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	ep := h.b.endpoints.list[0]
 	if got := h.health(ep); got != 1 {
