--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -11,12 +11,12 @@
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	ep := h.b.endpoints.list[0]
 	for range errorsToEject - 1 {
-		h.b.recordError(ep, false)
+		h.b.recordError(ep, attemptError)
 	}
 	if h.b.ejected(ep) {
 		t.Fatalf("the endpoint is ejected after %d errors, want %d", errorsToEject-1, errorsToEject)
 	}
-	h.b.recordError(ep, false)
+	h.b.recordError(ep, attemptError)
 	if !h.b.ejected(ep) {
 		t.Fatalf("the endpoint is not ejected after %d errors", errorsToEject)
 	}
@@ -44,7 +44,7 @@
 func TestAllEjectedEndpointsAreUsed(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	for _, ep := range h.b.endpoints.list {
-		h.b.recordError(ep, true)
+		h.b.recordError(ep, connectError)
 	}
 	if _, actions := h.request(idempotentClass); !hasAction(actions, SendAttempt) {
 		t.Fatalf("got actions %+v, want an attempt", actions)
