--- a/balance/classstats.go
+++ b/balance/classstats.go
@@ -40,7 +40,7 @@
 }
 
 // recordLatency adds a sample to the mean latency and its deviation. The weight of the sample is gain, but at
-// least 1/samples, so that the first samples have equal weights.
+// least 1/latencySamples, so that the first samples have equal weights.
 func (c *classStats) recordLatency(latency Milliseconds, gain float64) {
 	c.samples = min(c.samples+1, maxLatencySamples)
 	gain = max(gain, 1/c.samples)
--- a/balance/learnedstate.go
+++ b/balance/learnedstate.go
@@ -8,8 +8,8 @@
 	LastResponseAt     Milliseconds // when the last response arrived
 	ResponsesCountedAt Milliseconds // time to which the two response counts have decayed
 
-	ResponseCount       float64 // responses, decaying over several times the longest latency objective
-	LatestResponseCount float64 // responses, decaying over the longest latency objective
+	ResponseCount       float64 // responses; time constant: a multiple of the longest objective
+	LatestResponseCount float64 // responses; time constant: the longest latency objective
 	MinLatencyRatio     float64 // lowest value of MeanLatencyRatio: without queueing
 	LatencyRatio        float64 // recent mean of latency / objective
 	LatencyRatioSamples float64 // samples of MeanLatencyRatio
@@ -52,7 +52,7 @@
 	ConnectErrors     int          // failed connections among the consecutive errors
 	Ejections         int          // consecutive ejections
 	EjectedUntil      Milliseconds // end of the last ejection; 0: not ejected
-	SlowUntil         Milliseconds // until then, the endpoint is avoided for sticky keys, because it was slow
+	SlowUntil         Milliseconds // until then avoided for sticky keys, because it was slow
 	WarmUpSince       Milliseconds // start of the last slow start
 	SlowStartTokens   float64      // attempts that the slow start currently allows
 	TokensUpdatedAt   Milliseconds
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -44,7 +44,7 @@
 	lastErrorAt          Milliseconds
 	consecutiveEjections int
 	ejectedUntil         Milliseconds // end of the last ejection; 0: not ejected since the last clear
-	checkFailed          bool         // the last health check failed; a successful one then clears all errors
+	checkFailed          bool         // the last health check failed; a success then clears all errors
 }
 
 // clear resets the errors and ejections, but keeps the time of the last error.
