--- a/balance/actions.go
+++ b/balance/actions.go
@@ -1,9 +1,9 @@
 package balance
 
-// ActionKind says what to do.
+// ActionKind says what the caller must do.
 type ActionKind uint8
 
-// The kinds of actions. The comment names the fields of Action that are used in addition to Kind.
+// The kinds of actions. Each comment lists the fields of Action that are set in addition to Kind.
 const (
 	SendAttempt    ActionKind = iota // Request, Endpoint, Deadline
 	RejectRequest                    // Request, RetryAfter: final response; the client may retry safely
@@ -15,15 +15,16 @@
 	WatchEndpoints                   // poll the endpoint list, or subscribe to it
 )
 
-// Action is an output of the balancer. Actions are to be performed in the order given.
+// Action is an output of [Balancer.Handle] and [Balancer.Start]. The caller performs actions in the given
+// order.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
 	Attempt    int // index of the attempt, from 0
 	Endpoint   EndpointID
-	Deadline   Milliseconds // when the attempt times out; 0: with its request
+	Deadline   Milliseconds // when the attempt times out; 0: when its request does
 	RetryAfter Milliseconds // how long a rejected client should wait before a retry
 	Delay      Milliseconds // time until the timer fires
-	Token      uint64       // identifies a timer
+	Token      uint64       // identifies the timer
 	Text       string       // log message
 }
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -2,25 +2,26 @@
 
 // attempt is one attempt of a request at an endpoint.
 type attempt struct {
-	endpoint       *endpoint
-	sentAt         Milliseconds
-	inFlight       bool
-	neverExecuted  bool // proven by its result
-	connReset      bool // its connection broke
-	overdue        bool // it takes far longer than is usual in its class
-	countedAsLoad  bool // it is part of the endpoint's load, or of the overdue load
-	resultRecorded bool // its response has started, and the result was recorded then
-	abandoned      bool // cancelled: the endpoint responded to newer attempts, or its zone is unreachable
-	// inFlightBefore is the number of requests in flight at the endpoint before the attempt, according to a
-	// fresh load report, or unknownInFlight.
+	endpoint        *endpoint
+	sentAt          Milliseconds
+	inFlight        bool
+	neverExecuted   bool // its result proves that it was not executed
+	connReset       bool // it ended because its connection broke
+	overdue         bool // it takes far longer than usual for its class
+	countedAsLoad   bool // it is counted in the endpoint's load or in the overdue load
+	resultRecorded  bool // its result was recorded when its response started
+	cancelledAsLost bool // cancelled because it is presumed lost or its zone is unreachable
+	// inFlightBefore is the number of requests in flight at the endpoint before the attempt was sent,
+	// according to a fresh load report, or unknownInFlight.
 	inFlightBefore float64
 }
 
-// noAttempt is the index of no attempt.
+// noAttempt is an attempt index that cancelAttempts accepts to keep no attempt.
 const noAttempt = -1
 
-// overtaken reports whether the endpoint has responded to an attempt that was sent later.
-func (a *attempt) overtaken() bool { return a.endpoint.activity.newestRespondedSentAt > a.sentAt }
+// presumedLost reports whether an overdue attempt is probably lost: the endpoint has responded to an attempt
+// that was sent later.
+func (a *attempt) presumedLost() bool { return a.endpoint.activity.newestRespondedSentAt > a.sentAt }
 
 // sendAttempt sends a request to an endpoint.
 func (b *Balancer) sendAttempt(req *request, ep *endpoint) {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// endAttempt removes an attempt from what is in flight.
+// endAttempt updates the counts of attempts in flight and the load when an attempt ends.
 func (b *Balancer) endAttempt(req *request, attempt *attempt, ev Outcome) {
 	attempt.inFlight = false
 	attempt.neverExecuted = ev.Result.NeverExecuted()
@@ -83,7 +84,8 @@
 	b.connectFailures.record(ev.Result == ConnectFailed)
 }
 
-// onUploadComplete starts the time of a request with a long body. Only now does it load its endpoint.
+// onUploadComplete handles the end of an upload. The deadline and the latency of the request count from here,
+// and its attempts in flight are load of their endpoints only from here on.
 func (b *Balancer) onUploadComplete(ev UploadComplete) {
 	req := b.requests[ev.Request]
 	if req == nil || req.done || !req.Uploading {
@@ -102,7 +104,8 @@
 	b.advance(req)
 }
 
-// onStreamStarted hands a request over to its client: it has no deadline and no retries any more.
+// onStreamStarted handles the start of a streamed response. From here on, the request has no deadline and is
+// not retried, because the client decides how long the stream lasts.
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
 	req := b.requests[ev.Request]
 	if req == nil || req.done || req.streaming || ev.Attempt >= len(req.attempts) {
@@ -123,8 +126,8 @@
 	b.advance(req)
 }
 
-// recordResponseStart records the result of an attempt when its response starts. The rest is transfer: it
-// is no load for the endpoint, and never overdue.
+// recordResponseStart records the result of an attempt when its response starts. The transfer of the
+// remaining response is not counted as load of the endpoint and is never overdue.
 func (b *Balancer) recordResponseStart(req *request, index int, latency Milliseconds) {
 	attempt := req.attemptInFlight(index)
 	if attempt == nil || attempt.resultRecorded {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// Tokens of timers. Requests use their ID, which is below 2^52.
+// Timer tokens. The timer of a request has the request's ID, which is below 2^52, as its token.
 const (
-	pollTimerToken = 1 << 60 // polls the endpoint list
-	zoneTimerToken = 1 << 61 // checks an unreachable zone; the zone's number is added
+	pollTimerToken = 1 << 60 // timer of the next poll of the endpoint list
+	zoneTimerToken = 1 << 61 // timer of the next check of an unreachable zone: this plus the zone's number
 )
 
-// timerTolerance is how much too early a timer may fire.
+// timerTolerance is how much earlier than requested a timer may fire.
 const timerTolerance Milliseconds = 1
 
-// Balancer takes the decisions of one sidecar. It is not safe for concurrent use. Each of its parts has a
-// type that owns its state; the methods of Balancer join them.
+// Balancer makes the load balancing decisions of one sidecar. It is not safe for concurrent use. The state of
+// each concern is in a type of its own; the methods of Balancer combine them.
 type Balancer struct {
 	cfg              Config
 	longestObjective Milliseconds // longest latency objective of all classes
 	now              Milliseconds // time of the current event
-	actions          []Action     // output of the current call
+	actions          []Action     // actions returned by the current call
 	random           randomSource
 
 	requests  map[RequestID]*request // open requests
@@ -26,7 +26,7 @@
 	polling   pollBackoff
 
 	classes []*classStats     // by class
-	tenants []*requestCounter // by tenant; the last is for requests without one
+	tenants []*requestCounter // by tenant; the last is for requests without a tenant
 	keys    keyCounter
 
 	shedder         loadShedder
@@ -54,7 +54,7 @@
 	return b
 }
 
-// Start starts the balancer. The actions are valid until the next call.
+// Start starts the balancer and returns the actions to perform. The actions are valid until the next call.
 func (b *Balancer) Start(now Milliseconds) []Action {
 	b.now = now
 	b.responses.startedAt = now
@@ -66,7 +66,8 @@
 }
 
 // Handle processes an event and returns the actions to perform. The actions are valid until the next call.
-// An error is an [UnknownClassError] or an [UnknownAttemptError], and leaves the balancer unchanged.
+// The error, if any, is an [UnknownClassError] or an [UnknownAttemptError]. The event is ignored in this
+// case.
 func (b *Balancer) Handle(now Milliseconds, ev Event) ([]Action, error) {
 	b.now = now
 	b.actions = b.actions[:0]
@@ -94,7 +95,7 @@
 	return b.actions, err
 }
 
-// onTimer hands a timer to the part that set it.
+// onTimer dispatches a timer by its token.
 func (b *Balancer) onTimer(ev TimerFired) {
 	switch {
 	case ev.Token == pollTimerToken:
@@ -106,9 +107,10 @@
 	}
 }
 
-// emit adds an action to the output of the current call.
+// emit appends an action to those returned by the current call.
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
+// logf emits a log action.
 func (b *Balancer) logf(format string, args ...any) {
 	b.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
--- a/balance/config.go
+++ b/balance/config.go
@@ -6,8 +6,8 @@
 // The kinds of idempotency.
 const (
 	Idempotent     Idempotency = iota // may be executed any number of times
-	IdempotencyKey                    // endpoints deduplicate by key, within the class's scope and window
-	NonIdempotent                     // must never be executed twice
+	IdempotencyKey                    // endpoints deduplicate by key, within DedupScope and DedupWindow
+	NonIdempotent                     // must not be executed twice
 )
 
 // DedupScope says which endpoints share their memory of idempotency keys.
@@ -20,28 +20,29 @@
 	DedupCell                   // the endpoints of a cell
 )
 
-// Class describes one class of requests.
+// Class holds the settings of a class of requests.
 type Class struct {
 	Idempotency Idempotency
 	DedupScope  DedupScope
 
-	// DedupWindow is how long endpoints remember a key, from the first attempt that may have been executed.
+	// DedupWindow is how long endpoints remember an idempotency key, counted from the first attempt that may
+	// have been executed.
 	DedupWindow Milliseconds
 	// LatencyObjective is the latency within which a response earns the full priority weight.
 	LatencyObjective Milliseconds
-	// Deadline is how long a client waits at most, over all attempts of its own.
+	// Deadline is how long a client waits at most, including its own retries.
 	Deadline Milliseconds
 	// PriorityWeight is what a response within the latency objective earns.
 	PriorityWeight float64
-	// LateWeight is the fraction of PriorityWeight that a response after the latency objective still earns.
+	// LateWeight is the fraction of PriorityWeight that a response after the latency objective earns.
 	LateWeight float64
-	// Streaming is set if responses are streams. No decision uses it.
+	// Streaming is set if responses are streams. It is not used in decisions.
 	Streaming bool
 }
 
-// Tenant is one customer of the service.
+// Tenant holds the settings of a tenant, a customer of the service.
 type Tenant struct {
-	QuotaShare float64 // quota as a fraction of the service's requests
+	QuotaShare float64 // quota as a fraction of all requests; 0 or less: no quota
 }
 
 // LoadReportMode says how load reports reach a sidecar.
@@ -49,15 +50,15 @@
 
 // The modes of load reports.
 const (
-	LoadReportsNone        LoadReportMode = iota // there are none
+	LoadReportsNone        LoadReportMode = iota // no load reports
 	LoadReportsPiggybacked                       // with the responses
 	LoadReportsPolled                            // with the results of health checks
 )
 
-// LoadField identifies one value of a load report.
+// LoadField identifies a value in a load report.
 type LoadField uint8
 
-// The values that a load report can contain. LoadFieldUnknown is skipped.
+// The values that a load report can contain. A value of LoadFieldUnknown is skipped.
 const (
 	LoadFieldUnknown     LoadField = iota
 	LoadFieldInFlight              // requests in flight
@@ -70,43 +71,43 @@
 
 // Config holds the settings of one sidecar.
 type Config struct {
-	Seed            uint64 // of the random numbers
-	InstanceIndex   int    // number of this sidecar, from 0
+	Seed            uint64 // seed of the random numbers; the same seed gives the same decisions
+	InstanceIndex   int    // index of this sidecar, from 0
 	InstanceCount   int    // number of sidecars
 	Zone            int    // zone of this sidecar
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // priority of a request beyond its tenant's quota, as a fraction
+	OverQuotaWeight float64 // fraction of its priority that a request beyond its tenant's quota has
 
 	MinBatchInterval    Milliseconds // shortest time between two batches of events
-	ClientRetriesMarked bool         // clients mark their retries, so that Request.ClientRetry can be trusted
+	ClientRetriesMarked bool         // clients mark their retries, so that Request.ClientRetry is reliable
 	KeyCaching          bool         // an endpoint does less work for a key that it served recently
 
-	PolledDiscovery  bool           // the endpoint list has to be polled
+	PolledDiscovery  bool           // the endpoint list is polled, not watched
 	LoadReports      LoadReportMode // how load reports arrive
-	LoadReportFields []LoadField    // the values of a load report, in order
+	LoadReportFields []LoadField    // values in a load report, in order
 
-	MaxAttempts     int          // attempts per request at most; retrypolicy.go limits them further
+	MaxAttempts     int          // limit of attempts per request; retrypolicy.go has further limits
 	Cancellation    bool         // attempts may be cancelled
 	HealthChecks    bool         // endpoints may be health-checked
 	RetryAfter      bool         // rejections carry a Retry-After time
-	MaxRetryAfter   Milliseconds // longest Retry-After time that a client obeys
-	ConnectTimeout  Milliseconds
-	ConnIdleTimeout Milliseconds // an unused connection is closed after this
+	MaxRetryAfter   Milliseconds // longest Retry-After time that clients respect
+	ConnectTimeout  Milliseconds // limit on opening a connection
+	ConnIdleTimeout Milliseconds // time after which an idle connection is closed
 
-	DrainGrace            Milliseconds // attempts to a draining or removed endpoint must stop within this
-	WarmUpInitialFraction float64      // least fraction of its capacity that an endpoint starts with
-	WarmUpDuration        Milliseconds // duration of an endpoint's warm-up
-	OverloadFactor        float64      // a warming-up endpoint fails above this multiple of its capacity
-	OverloadWindow        Milliseconds // ... if that lasts this long
-	MaxPollInterval       Milliseconds // without a subscription, how often the list has to be polled
+	DrainGrace            Milliseconds // attempts to a draining or removed endpoint must end within this
+	WarmUpInitialFraction float64      // least fraction of its capacity that an endpoint has at its start
+	WarmUpDuration        Milliseconds // duration of an endpoint's slow start
+	OverloadFactor        float64      // an endpoint in slow start fails above this multiple of its capacity
+	OverloadWindow        Milliseconds // duration of such an overload after which it fails
+	MaxPollInterval       Milliseconds // without a watch, longest time between polls of the endpoint list
 
 	Costs Costs
 }
 
-// Costs are subtracted from the result, each per unit of what it names.
+// Costs are deducted from the priority weight that responses earn, per operation of each kind.
 type Costs struct {
-	CrossZone     float64 // attempts to endpoints of another zone
-	NewConnection float64 // connections opened
-	HealthCheck   float64 // health checks sent
+	CrossZone     float64 // an attempt to an endpoint of another zone
+	NewConnection float64 // a connection that is opened
+	HealthCheck   float64 // a health check
 }
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,25 +1,25 @@
-// Package balance takes the decisions of one sidecar's load balancer: which endpoint gets a request, when the
-// request is retried, and when it is rejected. It is pure: it has no clock, socket or goroutine. Events go in
-// through [Balancer.Handle], which returns the actions to perform.
+// Package balance makes the decisions of a sidecar's load balancer: which endpoint gets a request, when the
+// request is retried, and when it is rejected. It is pure decision logic without clocks, sockets or
+// goroutines. The caller passes events to [Balancer.Handle] and performs the actions that it returns.
 //
-// The algorithm is AWRR (health-weighted round robin). Each endpoint has a health multiplier that falls with
-// its consecutive errors and recovers with time. Smooth weighted round robin over capacity times health picks
-// the endpoint. A failed request that may be executed again goes to the healthiest endpoint that it has not
-// tried.
+// The algorithm is a health-weighted round robin (AWRR). Each endpoint has a health multiplier that falls
+// with consecutive errors and recovers over time. The endpoint of a first attempt is picked by smooth
+// weighted round robin, weighted by capacity times health. A retry goes to the healthiest endpoint that has
+// not had an attempt of the request.
 //
-// Each concern has a file, with a type that owns its state and the constants of its rules:
+// Each concern has its own files, with a type that holds its state and the constants of its rules:
 //
-//   - request.go, progress.go, attempts.go: the life of a request, step by step, and its final response
-//   - loadshedding.go, priority.go: which requests are rejected in an overload
+//   - request.go, progress.go, attempts.go: the lifecycle of a request and its final response
+//   - loadshedding.go, priority.go: which requests are rejected during an overload
 //   - rotation.go, weights.go, sticky.go: which endpoint gets an attempt
-//   - retrypolicy.go: which request may be executed again, and where
-//   - outlier.go, zoneoutage.go, classhealth.go: which endpoints are avoided, and when they come back
-//   - slowstart.go: what an endpoint gets after its start
+//   - retrypolicy.go: which requests may be retried, and at which endpoints
+//   - outlier.go, zoneoutage.go, classhealth.go: which endpoints are avoided, and for how long
+//   - slowstart.go: the limit on attempts to an endpoint that has just started
 //   - healthcheck.go, endpointload.go: how loaded the endpoints are
-//   - capacity.go, latencystats.go, responserate.go, classstats.go, keycounter.go: what is learned from
-//     requests and responses; outcome.go passes the result of an attempt to all that learn
+//   - capacity.go, latencystats.go, responserate.go, classstats.go, keycounter.go: statistics of requests and
+//     responses; outcome.go updates them with the result of an attempt
 //   - endpointset.go, polling.go: the endpoint list
-//   - reconfigure.go, transfer.go: new settings, and the state for a process that takes over
+//   - reconfigure.go, transfer.go: new settings, and the learned state for a successor process
 //
-// All points in time and spans of time are of type [Milliseconds].
+// All points in time and durations are of type [Milliseconds].
 package balance
--- a/balance/events.go
+++ b/balance/events.go
@@ -16,12 +16,12 @@
 	Gone                          // does not exist any more
 )
 
-// Endpoint is one entry of the endpoint list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID          EndpointID
 	State       EndpointState
-	StartedAt   Milliseconds // 0: long ago
-	Rating      float64      // relative capacity; 0: unknown, counts as 1
+	StartedAt   Milliseconds // when the endpoint started; 0: long ago
+	Rating      float64      // relative capacity; 0: unknown, treated as 1
 	Cell        int
 	Zone        int
 	MachineType int
@@ -30,13 +30,13 @@
 // Event is an input of [Balancer.Handle]: one of the types below.
 type Event interface{ event() }
 
-// UpdateKind says how an endpoint update is to be read.
+// UpdateKind says what an [EndpointUpdate] contains.
 type UpdateKind uint8
 
 // The kinds of endpoint updates.
 const (
 	UpdateSnapshot       UpdateKind = iota // all endpoints
-	UpdateCachedSnapshot                   // all endpoints as of an earlier time
+	UpdateCachedSnapshot                   // all endpoints, as listed at an earlier time
 	UpdateDelta                            // changed entries only
 	UpdateFailed                           // a poll failed, or the subscription ended; nothing else changed
 )
@@ -47,21 +47,22 @@
 	Endpoints []Endpoint
 }
 
-// Request is a client's request. It gets exactly one final response.
+// Request reports a new request by a client. Each request gets exactly one final response.
 type Request struct {
 	ID          RequestID
 	Class       int          // index in Config.Classes
-	Tenant      int          // index in Config.Tenants; other values: none
-	WorkHint    float64      // expected work, 0 if unknown; no decision uses it
-	StickyKey   uint64       // 0: none
+	Tenant      int          // index in Config.Tenants; any other value: no tenant
+	WorkHint    float64      // expected work; 0: unknown. Not used in decisions
+	StickyKey   uint64       // requests with the same key prefer the same endpoints; 0: no key
 	Remaining   Milliseconds // time until the client gives up
-	ClientRetry bool         // the client marked the request as a retry
-	Write       bool         // it changes data; no decision uses it
+	ClientRetry bool         // the request is marked as a retry by the client
+	Write       bool         // the request changes data. Not used in decisions
 	Uploading   bool         // the body is still arriving; Remaining counts from UploadComplete on
 
-	// ClassOverride replaces Class for a request that arrived under earlier settings; nil: use Class.
+	// ClassOverride replaces Class for a request that arrived under earlier settings. If nil, Class is used.
 	ClassOverride *Class
-	// MaxAttempts replaces Config.MaxAttempts for a request that arrived under earlier settings; 0: use that.
+	// MaxAttempts replaces Config.MaxAttempts for a request that arrived under earlier settings. If 0,
+	// Config.MaxAttempts is used.
 	MaxAttempts int
 }
 
@@ -71,16 +72,16 @@
 // The results of attempts and health checks.
 const (
 	OK            Result = iota
-	ServerError          // the endpoint answered with an error
+	ServerError          // the endpoint responded with an error
 	Rejected             // the endpoint rejected the attempt before executing it
 	TimedOut             // no response arrived in time
-	ConnectFailed        // by the endpoint's fault no connection was opened, or the request not written
+	ConnectFailed        // no connection opened or request not written, caused by the endpoint
 	ConnReset            // the connection broke
-	Cancelled            // the balancer, the client or the end of the process ended the attempt
-	NotAttempted         // surely not executed, by a fault of this side: it says nothing of the endpoint
+	Cancelled            // ended by the balancer, by the client, or by the end of this process
+	NotAttempted         // not executed, by a fault in this sidecar; it says nothing about the endpoint
 )
 
-// resultNames are the names of the results in logs.
+// resultNames holds the names of the results in logs.
 var resultNames = map[Result]string{
 	OK:            "ok",
 	ServerError:   "server error",
@@ -95,37 +96,38 @@
 // String returns the name of a result for logs.
 func (r Result) String() string { return resultNames[r] }
 
-// Outcome is the end of an attempt. Every attempt gets exactly one.
+// Outcome reports the end of an attempt. Each attempt has exactly one outcome.
 type Outcome struct {
 	Request  RequestID
 	Attempt  int // index of the attempt, from 0
 	Endpoint EndpointID
 	Result   Result
 	Duration Milliseconds
-	Finished bool // the request needs no response, or no further one
-	// NoRetry means that no further attempt is possible: the body sent is no longer buffered, or the response
-	// of another attempt could not be forwarded in time either.
-	NoRetry    bool
-	LoadReport []float32 // values in the order of Config.LoadReportFields; empty if none; not retained
+	Finished bool // the request needs no further response
+	// NoRetry is set if no further attempt is possible: the body is no longer buffered, or the response could
+	// not be forwarded in time, and neither could that of another attempt.
+	NoRetry bool
+	// LoadReport holds values in the order of Config.LoadReportFields, or is empty. It is not retained.
+	LoadReport []float32
 }
 
-// UploadComplete reports that the last byte of a long body was sent. The time of its request starts now.
+// UploadComplete reports that a long body was sent completely. The deadline and the latency of its request
+// count from now on.
 type UploadComplete struct {
 	Request       RequestID
 	Remaining     Milliseconds // as in Request
-	BodyDiscarded bool         // the body sent is no longer buffered, so that no further attempt is possible
+	BodyDiscarded bool         // the body is no longer buffered, so that no further attempt is possible
 }
 
-// ResponseStarted reports that a successful response has started to arrive, but is not complete: the endpoint
-// has done its work. The rest of the transfer depends on the network and the client, and may still fail.
+// ResponseStarted reports that a successful response has started to arrive, but is not complete. The endpoint
+// has executed the request. The remaining transfer depends on the network and the client, and may still fail.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 	Latency Milliseconds
 }
 
-// StreamStarted reports that a streamed response has started. From now on the client decides how long it
-// lasts.
+// StreamStarted reports that a streamed response has started. The client decides how long the stream lasts.
 type StreamStarted struct {
 	Request  RequestID
 	Attempt  int
@@ -133,13 +135,13 @@
 	Latency  Milliseconds
 }
 
-// ClientGone reports that the client disconnected. It needs no response.
+// ClientGone reports that the client disconnected, so that the request needs no response.
 type ClientGone struct{ Request RequestID }
 
 // TimerFired reports that a timer set by a SetTimer action has expired.
 type TimerFired struct{ Token uint64 }
 
-// HealthCheckResult is the result of a CheckHealth action.
+// HealthCheckResult reports the result of a health check that a CheckHealth action started.
 type HealthCheckResult struct {
 	Endpoint   EndpointID
 	Result     Result
--- a/balance/loadshedding.go
+++ b/balance/loadshedding.go
@@ -1,67 +1,69 @@
 package balance
 
 const (
-	// immediateShedGain is the fraction of the load to shed at once, per unit of excess latency ratio.
+	// immediateShedGain is the fraction of the load that is shed at once, per unit of excess latency ratio.
 	immediateShedGain = 4
-	// maxSteadyMultiple limits what is shed at once to this multiple of the steady fraction, so that one
-	// chance deviation does not shed load.
+	// maxSteadyMultiple limits the shed fraction to this multiple of the steady fraction, so that a single
+	// random deviation does not shed load.
 	maxSteadyMultiple = 2
-	// minSteadyShedGain is the change of the steady fraction per unit of excess latency ratio and request.
+	// minSteadyShedGain is the least change of the steady fraction at one request, per unit of excess latency
+	// ratio.
 	minSteadyShedGain = 0.04
-	// steadyShedObjectives is the time constant of the steady fraction where requests are rare, in longest
-	// latency objectives.
+	// steadyShedObjectives is the time constant of the steady fraction while requests are rare, as a multiple
+	// of the longest latency objective.
 	steadyShedObjectives = 2
-	// maxSteadyShedGain limits the change of the steady fraction at one request.
+	// maxSteadyShedGain is the greatest change of the steady fraction at one request, in the same unit.
 	maxSteadyShedGain = 0.5
-	// shedPerLateResponse limits the steady fraction to this multiple of the fraction of late responses:
-	// shedding more cannot improve the result.
-	shedPerLateResponse = 3
-	// maxShedFraction is less than 1: without responses, the end of an overload would not be noticed.
+	// maxLateFractionMultiple limits the steady fraction to this multiple of the fraction of late responses,
+	// because shedding more load cannot make more responses timely.
+	maxLateFractionMultiple = 3
+	// maxShedFraction limits the shed fraction. It is less than 1, because the end of an overload cannot be
+	// detected without responses.
 	maxShedFraction = 0.95
-	// priorResponses are assumed in addition to recent responses, so that a sidecar with few requests does
-	// not shed load by chance.
+	// priorResponses is the number of responses assumed in addition to recent ones, so that a sidecar with
+	// few requests does not shed load because of random variation.
 	priorResponses = 15
-	// overdueLoadGain is the part of the overdue attempts that counts as load, per unit by which the recent
-	// latency ratio exceeds the threshold, relative to it.
+	// overdueLoadGain is the fraction of the overdue attempts that counts as load, per unit of slowdown: the
+	// excess of the recent latency ratio over the shed threshold, divided by the threshold.
 	overdueLoadGain = 4
-	// firstAttemptTimeout is the fraction of the longest timeout of a class from which on a request counts
-	// as a client's first attempt.
-	firstAttemptTimeout = 0.99
+	// firstAttemptTimeoutFraction is the least fraction of the longest timeout of a class with which a
+	// request counts as a client's first attempt.
+	firstAttemptTimeoutFraction = 0.99
 )
 
-// loadShedder decides which fraction of the load is shed. It sheds a steady fraction that follows the
-// overload slowly, and up to a multiple of it at once.
+// loadShedder computes the fraction of the load that is shed: a steady fraction that follows the overload
+// slowly, adjusted at once by the current overload, up to a multiple of the steady fraction.
 type loadShedder struct {
 	steadyFraction float64      // of the load
 	lastRequestAt  Milliseconds // when the last request arrived
 }
 
-// overload is the state of the fleet as a new request finds it.
-type overload struct {
-	excess       float64 // by which the expected latency ratio exceeds the threshold; may be negative
-	lateFraction float64 // recent fraction of late responses
-	recency      float64 // weight of lateFraction
+// overloadEstimate describes the overload of the fleet when a request arrives.
+type overloadEstimate struct {
+	excess       float64 // expected latency ratio minus the shed threshold; may be negative
+	lateFraction float64 // recent fraction of attempts that ended after their latency objective
+	recency      float64 // weight of lateFraction, from 0 to 1; decays without responses
 }
 
-// update moves the steady fraction by the overload that a request finds.
-func (s *loadShedder) update(now, longestObjective Milliseconds, load overload) {
+// update adjusts the steady fraction to the overload when a request arrives.
+func (s *loadShedder) update(now, longestObjective Milliseconds, load overloadEstimate) {
 	elapsed := float64((now - s.lastRequestAt) / steadyShedObjectives / longestObjective)
 	gain := clamp(elapsed, minSteadyShedGain, maxSteadyShedGain)
 	s.lastRequestAt = now
-	limit := min(maxShedFraction, shedPerLateResponse*load.lateFraction*load.recency)
+	limit := min(maxShedFraction, maxLateFractionMultiple*load.lateFraction*load.recency)
 	s.steadyFraction = clamp(s.steadyFraction+gain*load.excess, 0, limit)
 }
 
-// fraction returns the fraction of the load to shed now.
-func (s *loadShedder) fraction(load overload) float64 {
+// fraction returns the fraction of the load to shed at the moment.
+func (s *loadShedder) fraction(load overloadEstimate) float64 {
 	limit := min(maxShedFraction, maxSteadyMultiple*s.steadyFraction)
 	return clamp(s.steadyFraction+immediateShedGain*load.excess, 0, limit)
 }
 
-// admit decides whether a request is admitted. It sheds the load that the fleet cannot serve within the
-// latency objectives, before anything is sent.
+// admit reports whether a request is admitted. It sheds the load that the fleet cannot serve within the
+// latency objectives, before any attempt is sent.
 func (b *Balancer) admit(req *request) bool {
-	load := b.measureOverload()
+	load := b.estimateOverload()
 	b.shedder.update(b.now, b.longestObjective, load)
 	if b.isLateRetry(req) && b.shedder.steadyFraction >= req.class.LateWeight {
 		return false
@@ -70,40 +72,41 @@
 	return shed == 0 || b.random.next() >= b.shedProbability(req, shed)
 }
 
-// measureOverload returns the present overload.
-func (b *Balancer) measureOverload() overload {
+// estimateOverload estimates the current overload of the fleet.
+func (b *Balancer) estimateOverload() overloadEstimate {
 	b.advanceResponseRate()
 	recency := b.latency.recency(b.now, b.longestObjective)
 	expected := min(b.expectedLatencyRatio(recency), maxLatencyRatio)
-	return overload{
+	return overloadEstimate{
 		excess:       expected - b.latency.shedThreshold(),
 		lateFraction: b.latency.lateFraction,
 		recency:      recency,
 	}
 }
 
-// expectedLatencyRatio estimates the ratio of latency to objective from the attempts in flight and the rate
-// of responses (Little's law). The prior responses count with the recent latency: they are most of what a
-// sidecar with little traffic has, and its one or two attempts in flight say little.
+// expectedLatencyRatio estimates the ratio of latency to objective from the attempts in flight and the
+// response rate (Little's law). The prior responses are assumed to have the recent latency ratio. They
+// dominate the estimate of a sidecar with little traffic, whose one or two attempts in flight say little
+// about the load.
 func (b *Balancer) expectedLatencyRatio(recency float64) float64 {
 	recentRatio := b.latency.recentRatio(recency)
 	priorRatio := recentRatio
 	if b.cfg.LoadReports == LoadReportsPolled {
-		priorRatio = 0 // the load reports of health checks show overload; see overloaded
+		priorRatio = 0 // overload is detected from the load reports of health checks instead; see overloaded
 	}
-	// Overdue attempts are no load while responses are quick: they may be lost.
+	// While other responses are fast, overdue attempts are not counted as load, because they may be lost.
 	slowdown := recentRatio/b.latency.shedThreshold() - 1
 	overdueLoad := b.load.overdue * clamp(overdueLoadGain*slowdown, 0, 1)
 	priorLoad := priorRatio * priorResponses / responseRateObjectives / float64(b.longestObjective)
 	return (b.inFlightLoad() + overdueLoad + priorLoad) / b.responsesPerMillisecond(priorResponses)
 }
 
-// isLateRetry reports whether a request is a client's retry whose latency objective has passed already: the
-// time left is shorter than that of first attempts.
+// isLateRetry reports whether a request is probably a client's retry that arrives after the latency objective
+// of its first attempt: it has less time left than first attempts have.
 func (b *Balancer) isLateRetry(req *request) bool {
-	// An unmarked request with a short timeout is an impatient client's first attempt.
+	// Where clients mark their retries, an unmarked request with a short timeout is a first attempt.
 	mayBeRetry := req.ClientRetry || !b.cfg.ClientRetriesMarked
-	if !mayBeRetry || req.Remaining >= req.stats.longestTimeout.scaled(firstAttemptTimeout) {
+	if !mayBeRetry || req.Remaining >= req.stats.longestTimeout.scaled(firstAttemptTimeoutFraction) {
 		return false
 	}
 	return req.Remaining <= req.class.Deadline-req.class.LatencyObjective
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -1,11 +1,12 @@
 package balance
 
-// slowObjectives is how long an endpoint counts as slow after a slow response, in longest latency objectives.
-const slowObjectives = 1.5
+// slowDurationObjectives is how long an endpoint counts as slow for sticky keys after a slow response, as a
+// multiple of the longest latency objective.
+const slowDurationObjectives = 1.5
 
-// recordOutcome updates what is known of the endpoint, the class and the load by the result of an attempt.
+// recordOutcome updates the statistics of the endpoint, the class and the load with the result of an attempt.
 func (b *Balancer) recordOutcome(req *request, attempt *attempt, ev Outcome) {
-	if ev.Result != TimedOut { // markOverdue has recorded the timeouts that are the endpoint's fault
+	if ev.Result != TimedOut { // markOverdue has recorded the timeouts caused by the endpoint
 		b.recordClassResult(req, attempt.endpoint, ev.Result)
 	}
 	switch ev.Result {
@@ -17,7 +18,7 @@
 	}
 }
 
-// recordSuccess updates what is known by a successful attempt.
+// recordSuccess updates all statistics with a successful attempt.
 func (b *Balancer) recordSuccess(req *request, attempt *attempt, latency Milliseconds) {
 	ep := attempt.endpoint
 	ep.activity.recordResponseTo(attempt.sentAt)
@@ -31,23 +32,23 @@
 	b.recordLatency(req, attempt, latency)
 }
 
-// recordLatency updates all statistics of latencies by a successful attempt.
+// recordLatency updates all statistics of latencies with a successful attempt.
 func (b *Balancer) recordLatency(req *request, attempt *attempt, latency Milliseconds) {
 	ep := attempt.endpoint
 	objective := req.class.LatencyObjective
 	b.timePerInFlight.record(latency, attempt.inFlightBefore)
 	b.latency.recordResponse(b.now, latency, objective, b.averagingGain())
 	slow := latency > objective.scaled(b.latency.shedThreshold())
-	ep.sticky.recordLatency(slow, b.now+slowObjectives*b.longestObjective)
+	ep.sticky.recordLatency(slow, b.now+slowDurationObjectives*b.longestObjective)
 	if req.stats.samples > 0 {
 		b.learnCapacity(ep, ratio(latency, req.stats.meanLatency))
 	}
 	req.stats.recordLatency(latency, b.averagingGain()*classLatencyGain)
 }
 
-// recordFailure updates what is known by a failed attempt.
+// recordFailure updates all statistics with a failed attempt.
 func (b *Balancer) recordFailure(attempt *attempt, result Result) {
-	if result == TimedOut && !attempt.overdue { // the client's timeout is shorter than responses take
+	if result == TimedOut && !attempt.overdue { // the client's timeout is shorter than the usual latency
 		return
 	}
 	b.recordLateness(result == TimedOut || result == Rejected)
@@ -59,7 +60,7 @@
 		b.recordSilence(attempt.endpoint, attempt.sentAt)
 		return
 	}
-	if !attempt.overdue { // else markOverdue has counted the error
+	if !attempt.overdue { // otherwise, markOverdue has counted the error already
 		b.recordError(attempt.endpoint, attemptError)
 	}
 	if result == ServerError || result == Rejected {
--- a/balance/priority.go
+++ b/balance/priority.go
@@ -1,23 +1,24 @@
 package balance
 
 const (
-	// maxQuotaCredit limits how much a tenant below its quota gains.
-	maxQuotaCredit = 2
+	// maxQuotaRatio limits the ratio of quota to requests, and so the priority of a tenant below its quota.
+	maxQuotaRatio = 2
 	// equalValueFactor is the factor within which values count as equal, so that a tiny difference does not
-	// make one tenant bear all of the shedding.
+	// put all of the shedding on one tenant.
 	equalValueFactor = 1.25
-	// minMeanLatency stands for the mean latency of a class without responses.
+	// minMeanLatency is used as the mean latency of a class without responses.
 	minMeanLatency Milliseconds = 1e-3
-	// minEqualWork keeps the work of equal value above 0.
+	// minEqualWork keeps the work of equal value above 0, because it is a divisor.
 	minEqualWork = 1e-3
 )
 
-// shedProbability returns the probability of rejecting a request, so that a fraction of the load is shed in
-// total. The classes and tenants whose responses earn least for their work are shed first.
+// shedProbability returns the probability with which to reject a request, so that the given fraction of the
+// total load is shed. Classes and tenants with the lowest value per work are shed first. The result may be
+// outside of [0, 1].
 func (b *Balancer) shedProbability(req *request, shed float64) float64 {
 	totalRequests := b.totalRequests()
 	ownValue := b.valuePerWork(req.stats, req.tenant, totalRequests)
-	totalWork, lowerWork, equalWork := 0.0, 0.0, minEqualWork // all, and that of lower and of equal value
+	totalWork, lowerWork, equalWork := 0.0, 0.0, minEqualWork // lower and equal refer to the value per work
 	for _, class := range b.classes {
 		for _, tenant := range b.tenants {
 			work := class.count * float64(class.meanLatency) * tenant.count
@@ -33,18 +34,19 @@
 	return (shed*totalWork - lowerWork) / equalWork
 }
 
-// valuePerWork returns what a tenant's responses of a class earn per millisecond of latency.
+// valuePerWork returns the priority weight that a tenant's response of a class earns per millisecond of
+// latency.
 func (b *Balancer) valuePerWork(class *classStats, tenant *requestCounter, totalRequests float64) float64 {
 	quotaFactor := b.quotaFactor(tenant, totalRequests)
 	return class.priorityWeight * quotaFactor / float64(max(class.meanLatency, minMeanLatency))
 }
 
-// quotaFactor returns the factor of a tenant's priority that follows from its part of this sidecar's
-// requests.
+// quotaFactor returns the factor of a tenant's priority: the mean of 1 for its requests within the quota and
+// OverQuotaWeight for those beyond it. The factor of a tenant below its quota is greater than 1.
 func (b *Balancer) quotaFactor(tenant *requestCounter, totalRequests float64) float64 {
 	if tenant.quotaShare <= 0 {
 		return 1
 	}
-	withinQuota := min(tenant.quotaShare*totalRequests/tenant.count, maxQuotaCredit)
-	return b.cfg.OverQuotaWeight + (1-b.cfg.OverQuotaWeight)*withinQuota
+	quotaRatio := min(tenant.quotaShare*totalRequests/tenant.count, maxQuotaRatio)
+	return b.cfg.OverQuotaWeight + (1-b.cfg.OverQuotaWeight)*quotaRatio
 }
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -1,31 +1,31 @@
 package balance
 
 const (
-	// overdueDeviations is the number of mean deviations above the class's mean latency at which an attempt
-	// is overdue.
+	// overdueDeviations is how far above the class's mean latency an attempt is overdue, in mean deviations.
 	overdueDeviations = 4
-	// minOverdueSamples is the number of latencies that this needs.
+	// minOverdueSamples is the number of latencies of the class needed for the rule above.
 	minOverdueSamples = 5
-	// unsampledOverdueObjectives is when an attempt is overdue before that, in latency objectives.
-	unsampledOverdueObjectives = 0.5
-	// rechecksPerObjective is how often per latency objective a request is advanced while it waits for an
-	// endpoint.
+	// defaultOverdueObjectives is the time after which an attempt is overdue while there are fewer samples,
+	// in latency objectives.
+	defaultOverdueObjectives = 0.5
+	// rechecksPerObjective is the number of times per latency objective that a waiting request is advanced.
 	rechecksPerObjective = 20
 )
 
-// advance takes the next step for a request: it ends it, sends an attempt, or waits.
+// advance performs the next step of a request: it ends the request, sends an attempt, or sets a timer to
+// check again later.
 func (b *Balancer) advance(req *request) {
 	if req.done || req.streaming {
 		return
 	}
 	b.markOverdue(req)
-	b.abandonOvertaken(req)
+	b.cancelLostAttempts(req)
 	if b.now >= req.deadline || req.inFlight == 0 && b.mustEnd(req) {
 		b.rejectOrFail(req)
 		return
 	}
 	if req.inFlight == 0 && b.checksDone(req) {
-		req.awaitChecksUntil = 0 // later health checks of these endpoints are not awaited
+		req.awaitChecksUntil = 0 // do not wait for later health checks of these endpoints
 		ep := b.pick(req, req.nextAttemptKind())
 		if ep != nil && b.overloaded(req, ep) {
 			b.rejectOrFail(req)
@@ -38,8 +38,8 @@
 	b.scheduleTimer(req)
 }
 
-// markOverdue counts attempts that take far longer than is usual in their class as errors. Otherwise,
-// endpoints that hang would be noticed late.
+// markOverdue counts attempts that take far longer than usual for their class as errors of their endpoint.
+// Without it, a hung endpoint would be detected only when its attempts time out.
 func (b *Balancer) markOverdue(req *request) {
 	for _, a := range req.attempts {
 		if !a.countedAsLoad || a.overdue || b.now < a.sentAt+b.overdueAfter(req) {
@@ -48,37 +48,38 @@
 		b.load.markOverdue(req, a)
 		b.recordError(a.endpoint, attemptError)
 		b.recordSilence(a.endpoint, a.sentAt)
-		if a.overtaken() {
+		if a.presumedLost() {
 			b.recordClassResult(req, a.endpoint, TimedOut)
 		}
 	}
 }
 
-// abandonOvertaken cancels overdue attempts whose endpoint responded to newer attempts, or whose zone is
-// unreachable, while another endpoint could still respond in time: the request is retried as after a
-// failure. Attempts that are merely slow go on, as more load would only slow them further.
-func (b *Balancer) abandonOvertaken(req *request) {
+// cancelLostAttempts cancels overdue attempts that are presumed lost, or whose zone is unreachable, if
+// another endpoint can still respond in time. The request is then retried as after a failure. Attempts that
+// are merely slow continue: a retry would add load and slow the endpoints down further.
+func (b *Balancer) cancelLostAttempts(req *request) {
 	for i, a := range req.attempts {
-		if !a.inFlight || !a.overdue || a.abandoned {
+		if !a.inFlight || !a.overdue || a.cancelledAsLost {
 			continue
 		}
-		if (a.overtaken() || a.endpoint.zone.outage) && b.retryGains(req) {
-			a.abandoned = true
+		if (a.presumedLost() || a.endpoint.zone.outage) && b.canRetryInTime(req) {
+			a.cancelledAsLost = true
 			b.emit(Action{Kind: CancelAttempt, Request: req.ID, Attempt: i})
 		}
 	}
 }
 
-// overdueAfter returns the time after which an attempt is overdue. It follows the present latencies of the
-// class: in an overloaded fleet all attempts are slow.
+// overdueAfter returns how long after it was sent an attempt is overdue. The limit follows the current
+// latencies of the class, because in an overloaded fleet all attempts are slow.
 func (b *Balancer) overdueAfter(req *request) Milliseconds {
 	if req.stats.samples < minOverdueSamples {
-		return req.class.LatencyObjective * unsampledOverdueObjectives
+		return req.class.LatencyObjective * defaultOverdueObjectives
 	}
 	return req.stats.meanLatency + overdueDeviations*req.stats.latencyDeviation
 }
 
-// scheduleTimer sets a timer for the next time at which a request has to be advanced.
+// scheduleTimer sets a timer for the next time at which the request must be advanced, unless an earlier timer
+// is set already.
 func (b *Balancer) scheduleTimer(req *request) {
 	next := req.deadline
 	if req.awaitChecksUntil > b.now {
@@ -89,7 +90,7 @@
 	for _, a := range req.attempts {
 		if a.countedAsLoad && !a.overdue {
 			next = min(next, a.sentAt+b.overdueAfter(req))
-		} else if a.inFlight && a.overdue && !a.abandoned && !b.objectiveOutOfReach(req) {
+		} else if a.inFlight && a.overdue && !a.cancelledAsLost && !b.wouldMissObjective(req) {
 			next = min(next, b.now+b.recheckInterval(req))
 		}
 	}
@@ -104,7 +105,8 @@
 	return max(b.cfg.MinBatchInterval, req.class.LatencyObjective/rechecksPerObjective)
 }
 
-// onRequestTimer does not compare nextTimerAt with the clock: a rounding error may make the timer early.
+// onRequestTimer advances a request when its timer fires. It does not compare nextTimerAt with the current
+// time, because the timer may fire slightly early due to rounding. advance then sets it again.
 func (b *Balancer) onRequestTimer(id RequestID) {
 	req := b.requests[id]
 	if req == nil {
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -1,8 +1,11 @@
 package balance
 
-// Reconfigure replaces the settings. What was learned stays, and open requests keep the settings that they
-// arrived under. classes and tenants give the old index of each new class and tenant, or -1 for an added one.
-// The seed does not change.
+// minLongestObjective is the least value of the longest latency objective, because it is used as a divisor.
+const minLongestObjective Milliseconds = 1
+
+// Reconfigure replaces the settings except for the seed. Learned state is kept, and open requests keep the
+// settings with which they arrived. classes and tenants hold the old index of each new class and tenant, or
+// -1 for an added one.
 func (b *Balancer) Reconfigure(cfg Config, classes, tenants []int) {
 	cfg.Seed = b.cfg.Seed
 	oldClassCount := len(b.cfg.Classes)
@@ -18,7 +21,7 @@
 	}
 }
 
-// applyConfig puts settings into force. Classes and tenants that existed before keep their statistics.
+// applyConfig applies settings. Classes and tenants that existed before keep their statistics.
 func (b *Balancer) applyConfig(cfg Config, classes, tenants []int) {
 	b.cfg = cfg
 	b.applyClasses(classes)
@@ -31,7 +34,7 @@
 	for _, stats := range oldStats { // open requests may still refer to a class that is removed
 		stats.index = -1
 	}
-	b.longestObjective = 1
+	b.longestObjective = minLongestObjective
 	b.classes = make([]*classStats, len(b.cfg.Classes))
 	for i := range b.cfg.Classes {
 		class := &b.cfg.Classes[i]
@@ -61,7 +64,8 @@
 	}
 }
 
-// oldIndex returns the old index of entry i, and whether that is one of count old entries.
+// oldIndex returns the old index of entry i, and whether it is valid: whether it refers to one of count old
+// entries.
 func oldIndex(oldIndexes []int, i, count int) (old int, ok bool) {
 	if i >= len(oldIndexes) {
 		return -1, false
--- a/balance/request.go
+++ b/balance/request.go
@@ -1,23 +1,23 @@
 package balance
 
-// request is the state of an open request: from its arrival until it has its final response and no attempt is
-// in flight.
+// request is the state of an open request. A request is open from its arrival until it has its final response
+// and no attempt is in flight.
 type request struct {
 	Request
 	class       *Class
 	stats       *classStats
 	tenant      *requestCounter
-	arrivedAt   Milliseconds // never: its body is still arriving
-	deadline    Milliseconds
+	arrivedAt   Milliseconds // when its body was complete; never: the upload is not complete
+	deadline    Milliseconds // never: the upload is not complete
 	attempts    []*attempt
-	inFlight    int // attempts in flight
-	done        bool
-	streaming   bool         // its response is on its way to the client: no deadline, no retries
-	noRetry     bool         // no further attempt is possible: its body was not retained, or its time is over
-	nextTimerAt Milliseconds // when its timer fires; never: no timer is set
+	inFlight    int          // attempts in flight
+	done        bool         // no further response or attempt is needed
+	streaming   bool         // its streamed response has started: it has no deadline and no retries
+	noRetry     bool         // no further attempt: the body is no longer buffered, or too little time is left
+	nextTimerAt Milliseconds // when its next timer fires; never: no timer is set
 
-	checkedEndpoints []*endpoint  // endpoints health-checked before the first attempt
-	awaitChecksUntil Milliseconds // how long the first attempt waits for these health checks
+	checkedEndpoints []*endpoint  // endpoints that are health-checked before the first attempt
+	awaitChecksUntil Milliseconds // until when the first attempt waits for these health checks
 }
 
 // attemptKind distinguishes the first attempt of a request from its retries.
@@ -67,7 +67,7 @@
 	if req.class == nil {
 		req.class = &b.cfg.Classes[ev.Class]
 		req.stats = b.classes[ev.Class]
-	} else { // statistics of its own: it says nothing about a class of the present configuration
+	} else { // separate statistics: the request does not belong to a class of the current configuration
 		req.stats = newClassStats(req.class, -1)
 	}
 	if req.MaxAttempts == 0 {
@@ -82,7 +82,7 @@
 	return req
 }
 
-// countRequest adds a request to the statistics of its key, class and tenant.
+// countRequest adds a request to the statistics of its sticky key, class and tenant.
 func (b *Balancer) countRequest(req *request) {
 	if req.StickyKey != 0 {
 		b.keys.record(req.StickyKey)
@@ -91,13 +91,13 @@
 	req.tenant.count++
 }
 
-// retryAfterObjectives is the Retry-After time of a rejected request, in its latency objectives.
+// retryAfterObjectives is the Retry-After time of a rejected request, as a multiple of its latency objective.
 const retryAfterObjectives = 0.1
 
-// rejectOrFail ends a request without a response from an endpoint: load is shed (admit), the best endpoint
-// is overloaded or the deadline has passed (advance), or no further attempt is allowed or useful (mustEnd).
-// The request is rejected, with a short Retry-After time, if a retry by the client is safe, and otherwise
-// failed.
+// rejectOrFail ends a request without a response from an endpoint. The cause is that load is shed (admit),
+// that the best endpoint is overloaded or the deadline has passed (advance), or that no further attempt is
+// allowed or useful (mustEnd). The request is rejected with a short Retry-After time if a retry by the client
+// is safe, and failed otherwise.
 func (b *Balancer) rejectOrFail(req *request) {
 	action := Action{Kind: FailRequest, Request: req.ID}
 	if req.clientMayRetry() {
@@ -108,7 +108,8 @@
 	b.finishRequest(req)
 }
 
-// finishRequest marks a request as done and cancels its attempts that are in flight.
+// finishRequest marks a request as done and cancels its attempts in flight. The request is released once no
+// attempt is in flight.
 func (b *Balancer) finishRequest(req *request) {
 	req.done = true
 	b.cancelAttempts(req, noAttempt)
@@ -117,7 +118,7 @@
 	}
 }
 
-// onClientGone ends a request whose client needs no response.
+// onClientGone ends a request whose client has disconnected.
 func (b *Balancer) onClientGone(ev ClientGone) {
 	if req := b.requests[ev.Request]; req != nil {
 		b.finishRequest(req)
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -1,23 +1,25 @@
 package balance
 
-// This file holds the rules by which a request may be executed again, within the limits below. What an
-// attempt may have done decides, by the idempotency of the class:
+// This file defines whether and where a request may be retried. The rule depends on the idempotency of the
+// class and on whether an earlier attempt may have been executed:
 //
-//	                  surely not executed    may have been executed
-//	                  (NeverExecuted)        (in flight, timed out, reset, answered with an error)
-//	Idempotent        again, anywhere        again, anywhere
-//	IdempotencyKey    again, anywhere        again within DedupWindow, at endpoints of the DedupScope
-//	NonIdempotent     again, anywhere        never
+//	                  not executed           possibly executed
+//	                  (NeverExecuted)        (in flight, timed out, reset, error response)
+//	Idempotent        retry at any endpoint  retry at any endpoint
+//	IdempotencyKey    retry at any endpoint  retry within DedupWindow, at endpoints of the same DedupScope
+//	NonIdempotent     retry at any endpoint  no retry
 //
-// Each endpoint gets one attempt of a request at most. A client may repeat a request that was rejected, at
-// any endpoint: then the scope has to be DedupAll.
+// In addition, the number of attempts is limited, and each endpoint gets at most one attempt of a request.
+//
+// A client that retries a rejected request may reach any endpoint. If the request may have been executed, and
+// its class is not Idempotent, this is only safe with a DedupScope of DedupAll.
 
 const (
-	// maxRetriesExceptResets limits the retries of a request, but for those after broken connections: more of
-	// them multiply the load of an overloaded fleet.
+	// maxRetriesExceptResets limits the retries of a request, not counting retries after broken connections.
+	// More retries would multiply the load on an overloaded fleet.
 	maxRetriesExceptResets = 1
-	// maxResetRetries limits the retries after broken connections, which are no sign of overload. mustEnd
-	// applies it.
+	// maxResetRetries limits the retries of a request after broken connections. The limit is higher because a
+	// broken connection is not a sign of overload. mustEnd applies it.
 	maxResetRetries = 3
 )
 
@@ -26,29 +28,30 @@
 	return r == Rejected || r == ConnectFailed || r == NotAttempted
 }
 
-// mayExecuteAgain reports whether the idempotency of the class allows another attempt at any endpoint at all.
+// mayExecuteAgain reports whether the idempotency of the class allows another attempt at all, regardless of
+// the endpoint.
 func (req *request) mayExecuteAgain(now Milliseconds) bool {
 	for _, a := range req.attempts {
-		if !a.neverExecuted && !req.mayRepeat(a, now) {
+		if !a.neverExecuted && !req.mayRepeatExecuted(a, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRepeat reports whether the class allows to repeat an attempt that may have been executed.
-func (req *request) mayRepeat(executed *attempt, now Milliseconds) bool {
+// mayRepeatExecuted reports whether the class allows a retry after an attempt that may have been executed.
+func (req *request) mayRepeatExecuted(executed *attempt, now Milliseconds) bool {
 	switch req.class.Idempotency {
 	case NonIdempotent:
 		return false
-	case IdempotencyKey: // later, endpoints may have forgotten the key
+	case IdempotencyKey: // after the window, endpoints may have forgotten the key
 		return now < executed.sentAt+req.class.DedupWindow
 	}
 	return true
 }
 
-// mayExecuteAt reports whether the next attempt may go to an endpoint: one that had no attempt of the
-// request, and that knows the idempotency key of those that may have been executed.
+// mayExecuteAt reports whether the next attempt may go to an endpoint. The endpoint must not have had an
+// attempt of the request, and must be in the dedup scope of all attempts that may have been executed.
 func (req *request) mayExecuteAt(ep *endpoint, now Milliseconds) bool {
 	for _, a := range req.attempts {
 		if a.endpoint == ep {
@@ -57,14 +60,14 @@
 		if a.neverExecuted || req.class.Idempotency != IdempotencyKey {
 			continue
 		}
-		if !req.mayRepeat(a, now) || !req.class.DedupScope.includes(a.endpoint, ep) {
+		if !req.mayRepeatExecuted(a, now) || !req.class.DedupScope.sharesKeys(a.endpoint, ep) {
 			return false
 		}
 	}
 	return true
 }
 
-// clientMayRetry reports whether the client may repeat the request, so that it may be rejected rather than
+// clientMayRetry reports whether a retry by the client is safe. If so, the request can be rejected instead of
 // failed.
 func (req *request) clientMayRetry() bool {
 	switch {
@@ -76,7 +79,8 @@
 	return !req.mayHaveExecuted()
 }
 
-// mayHaveExecuted reports whether an attempt is in flight, or ended without proof that it was not executed.
+// mayHaveExecuted reports whether any attempt may have been executed: it is in flight, or it ended without
+// proof that it was not executed.
 func (req *request) mayHaveExecuted() bool {
 	for _, a := range req.attempts {
 		if !a.neverExecuted {
@@ -86,9 +90,9 @@
 	return false
 }
 
-// noMoreAttempts reports whether the number of attempts, or an earlier attempt that allows no other, rules
-// out another attempt.
-func (req *request) noMoreAttempts() bool {
+// attemptsExhausted reports whether no further attempt is possible, because of the number of attempts or
+// because an earlier outcome ruled it out (noRetry).
+func (req *request) attemptsExhausted() bool {
 	attemptCount := len(req.attempts)
 	if req.noRetry || attemptCount >= req.MaxAttempts {
 		return true
@@ -96,7 +100,7 @@
 	return attemptCount-req.resetCount() > maxRetriesExceptResets
 }
 
-// resetCount returns the number of attempts whose connections broke.
+// resetCount returns the number of attempts whose connection broke.
 func (req *request) resetCount() int {
 	count := 0
 	for _, a := range req.attempts {
@@ -107,39 +111,39 @@
 	return count
 }
 
-// includes reports whether an endpoint knows the idempotency keys that another one has seen.
-func (scope DedupScope) includes(seen, ep *endpoint) bool {
+// sharesKeys reports whether two endpoints share their memory of idempotency keys.
+func (scope DedupScope) sharesKeys(first, second *endpoint) bool {
 	switch scope {
 	case DedupCell:
-		return seen.Cell == ep.Cell
+		return first.Cell == second.Cell
 	case DedupZone:
-		return seen.Zone == ep.Zone
+		return first.Zone == second.Zone
 	}
 	return true
 }
 
-// mustEnd reports whether a request with no attempt in flight ends now: no further attempt is allowed, or
-// waiting for an endpoint gains nothing.
+// mustEnd reports whether a request without an attempt in flight must end now, because no further attempt is
+// allowed or because waiting for an endpoint is useless.
 func (b *Balancer) mustEnd(req *request) bool {
-	if req.noMoreAttempts() || req.resetCount() > maxResetRetries || !req.mayExecuteAgain(b.now) {
+	if req.attemptsExhausted() || req.resetCount() > maxResetRetries || !req.mayExecuteAgain(b.now) {
 		return true
 	}
 	return b.waitingIsUseless(req)
 }
 
-// waitingIsUseless reports whether a request has missed its latency objective while its client may retry by
-// itself.
+// waitingIsUseless reports whether a request has missed its latency objective and the client can safely retry
+// it.
 func (b *Balancer) waitingIsUseless(req *request) bool {
 	return b.now >= req.arrivedAt+req.class.LatencyObjective && req.clientMayRetry()
 }
 
-// retryGains reports whether the attempt in flight may be given up for a retry: another endpoint may get
-// the request, and could respond within the latency objective.
-func (b *Balancer) retryGains(req *request) bool {
-	if req.noMoreAttempts() || !req.mayExecuteAgain(b.now) {
+// canRetryInTime reports whether the attempt in flight can be cancelled for a retry: a retry is allowed,
+// another endpoint is available, and its response would probably meet the latency objective.
+func (b *Balancer) canRetryInTime(req *request) bool {
+	if req.attemptsExhausted() || !req.mayExecuteAgain(b.now) {
 		return false
 	}
-	if !b.cfg.Cancellation || req.inFlight > 1 || b.objectiveOutOfReach(req) {
+	if !b.cfg.Cancellation || req.inFlight > 1 || b.wouldMissObjective(req) {
 		return false
 	}
 	for _, ep := range b.endpoints.list {
@@ -150,9 +154,9 @@
 	return false
 }
 
-// objectiveOutOfReach reports whether an attempt sent now would probably miss the latency objective or the
+// wouldMissObjective reports whether an attempt sent now would probably miss the latency objective or the
 // deadline.
-func (b *Balancer) objectiveOutOfReach(req *request) bool {
-	patience := min(req.class.LatencyObjective, req.Remaining)
-	return b.now+req.stats.meanLatency > req.arrivedAt+patience
+func (b *Balancer) wouldMissObjective(req *request) bool {
+	timeLimit := min(req.class.LatencyObjective, req.Remaining)
+	return b.now+req.stats.meanLatency > req.arrivedAt+timeLimit
 }
--- a/balance/time.go
+++ b/balance/time.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Milliseconds is a point in time or a span of time, in milliseconds. It is a type of its own, so that a rate
-// or a ratio cannot be passed as a time. The caller chooses the epoch of points in time; they must not
-// decrease.
+// Milliseconds is a point in time or a duration, in milliseconds. A separate type prevents a rate or a ratio
+// from being passed as a time. The caller chooses the epoch of points in time, which must not decrease from
+// one event to the next.
 type Milliseconds float64
 
 // Points in time before and after all others.
@@ -16,44 +16,44 @@
 	never   = Milliseconds(math.Inf(1))
 )
 
-// MillisecondsOf converts a duration to a span of time.
+// MillisecondsOf converts a [time.Duration].
 func MillisecondsOf(d time.Duration) Milliseconds {
 	return Milliseconds(float64(d) / float64(time.Millisecond))
 }
 
-// Duration converts a span of time, cut to whole nanoseconds.
+// Duration converts m to a [time.Duration], truncated to whole nanoseconds.
 func (m Milliseconds) Duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Millisecond))
 }
 
-// scaled returns a span of time multiplied by a factor.
+// scaled returns m multiplied by a factor.
 func (m Milliseconds) scaled(factor float64) Milliseconds { return Milliseconds(float64(m) * factor) }
 
-// abs returns the length of a span of time.
+// abs returns the absolute value of m.
 func (m Milliseconds) abs() Milliseconds { return Milliseconds(math.Abs(float64(m))) }
 
-// ratio returns one span of time as a multiple of another.
-func ratio(span, unit Milliseconds) float64 { return float64(span / unit) }
+// ratio returns a duration as a multiple of a unit.
+func ratio(duration, unit Milliseconds) float64 { return float64(duration / unit) }
 
-// decay returns the weight that is left of a value after the elapsed time: 1/e after one time constant.
+// decay returns the remaining weight of a value after the elapsed time: 1/e after one time constant.
 func decay(elapsed, timeConstant Milliseconds) float64 {
 	return math.Exp(-ratio(elapsed, timeConstant))
 }
 
-// modulo returns the remainder of a point in time in a period.
+// modulo returns the remainder of a point in time divided by a period.
 func modulo(moment, period Milliseconds) Milliseconds {
 	return Milliseconds(math.Mod(float64(moment), float64(period)))
 }
 
-// halved returns the weight that is left of a value after the elapsed time, which halves in each half-life.
+// halfLifeDecay returns the remaining weight of a value after the elapsed time: 1/2 after one half-life.
 func halved(elapsed, halfLife Milliseconds) float64 {
 	return math.Exp(-math.Ln2 * float64(elapsed) / float64(halfLife))
 }
 
-// clamp returns the value within [low, high] that is nearest to value.
+// clamp limits value to [low, high].
 func clamp[T ~float64](value, low, high T) T { return max(low, min(high, value)) }
 
-// backoffFactor returns 2 to the power of count, with a limited number of doublings.
+// backoffFactor returns 2 to the power of count, but at most 2 to the power of maxDoublings.
 func backoffFactor(count, maxDoublings int) float64 {
 	return float64(int(1) << min(count, maxDoublings))
 }
