--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,14 +6,16 @@
 	"cindersaddle/balance"
 )
 
-// A program gives its balancer events and carries out the actions that it returns.
+// A caller passes events to the balancer and performs the actions that it returns.
 func Example() {
 	b := balance.New(balance.Config{
 		Seed: 1, MaxAttempts: 2,
-		Classes: []balance.Class{{Idempotency: balance.Idempotent, LatencyObjective: 100, Deadline: 400, PriorityWeight: 1}},
+		Classes: []balance.Class{
+			{Idempotency: balance.Idempotent, LatencyObjective: 100, Deadline: 400, PriorityWeight: 1},
+		},
 	})
 	b.Start(0)
-	show := func(now balance.Milliseconds, ev balance.Event) {
+	handle := func(now balance.Milliseconds, ev balance.Event) {
 		actions, err := b.Handle(now, ev)
 		if err != nil {
 			fmt.Println("invalid event:", err)
@@ -29,11 +31,11 @@
 			}
 		}
 	}
-	show(0, balance.EndpointUpdate{Kind: balance.UpdateSnapshot,
+	handle(0, balance.EndpointUpdate{Kind: balance.UpdateSnapshot,
 		Endpoints: []balance.Endpoint{{ID: 10, Rating: 1}, {ID: 20, Rating: 1}}})
-	show(5, balance.Request{ID: 1, Remaining: 400})
-	show(6, balance.Outcome{Request: 1, Endpoint: 20, Result: balance.Rejected, Duration: 1})
-	show(9, balance.Outcome{Request: 1, Attempt: 1, Endpoint: 10, Result: balance.OK, Duration: 3, Finished: true})
+	handle(5, balance.Request{ID: 1, Remaining: 400})
+	handle(6, balance.Outcome{Request: 1, Endpoint: 20, Result: balance.Rejected, Duration: 1})
+	handle(9, balance.Outcome{Request: 1, Attempt: 1, Endpoint: 10, Result: balance.OK, Duration: 3, Finished: true})
 	// Output:
 	// 5 ms: send request 1 to endpoint 10
 	// 5 ms: timer 1 in 50 ms
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// harness drives one balancer by a script of events and records the actions it returns.
+// harness passes events to a balancer and records the actions that it returns.
 type harness struct {
 	t           *testing.T
 	b           *Balancer
@@ -11,7 +11,7 @@
 	lastRequest RequestID
 }
 
-// baseConfig returns the settings that most tests start from, with one class of each kind.
+// baseConfig returns the settings that most tests use or modify, with one class of each idempotency and dedup scope.
 func baseConfig() Config {
 	return Config{
 		Seed: 1, InstanceCount: 3, MaxAttempts: 4, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1000,
@@ -31,27 +31,28 @@
 	}
 }
 
+// Indexes of the classes of baseConfig.
 const (
 	idempotentClass = iota
 	nonIdempotentClass
-	cellKeyClass
-	globalKeyClass
-	zoneKeyClass
+	cellKeyClass   // IdempotencyKey with DedupCell
+	globalKeyClass // DedupAll
+	zoneKeyClass   // DedupZone
 )
 
-// newHarness starts a balancer with the given endpoints and a rotation that starts at the first of them.
+// newHarness starts a balancer with the given endpoints. The rotation starts at the first endpoint.
 func newHarness(t *testing.T, cfg Config, endpoints ...Endpoint) *harness {
 	t.Helper()
 	h := &harness{t: t, b: New(cfg), now: 1000}
 	h.actions = append(h.actions, h.b.Start(h.now)...)
 	h.dispatch(EndpointUpdate{Kind: UpdateCachedSnapshot, Endpoints: endpoints})
 	for _, ep := range h.b.endpoints.list {
-		ep.rotation.value, ep.rotation.active = 0, true // the random start would hide the sequence
+		ep.rotation.value, ep.rotation.active = 0, true // a random start would hide the order of endpoints
 	}
 	return h
 }
 
-// randomizeRotation restores the random start of the rotation, which newHarness removes.
+// randomizeRotation makes the rotation start at random, as it does without newHarness.
 func (h *harness) randomizeRotation() {
 	for _, ep := range h.b.endpoints.list {
 		ep.rotation.active = false
@@ -70,34 +71,37 @@
 // health returns the health multiplier of an endpoint at the time of the last event.
 func (h *harness) health(ep *endpoint) float64 { return ep.outlier.health(h.b.now) }
 
-// dispatch gives the balancer an event and returns a copy of its actions.
+// dispatch passes an event to the balancer and returns a copy of its actions.
 func (h *harness) dispatch(ev Event) []Action {
 	h.t.Helper()
 	actions, err := h.b.Handle(h.now, ev)
 	if err != nil {
-		h.t.Fatalf("%#v: %v", ev, err)
+		h.t.Fatalf("%#v: got error %v, want none", ev, err)
 	}
 	actions = append([]Action(nil), actions...)
 	h.actions = append(h.actions, actions...)
 	return actions
 }
 
-// request sends a new request of the class and returns its ID with the actions that followed at once.
+// request passes a new request of the class to the balancer and returns its ID and the resulting actions.
 func (h *harness) request(class int) (RequestID, []Action) {
 	h.t.Helper()
 	h.lastRequest++
-	return h.lastRequest, h.dispatch(Request{ID: h.lastRequest, Class: class, Remaining: h.b.cfg.Classes[class].Deadline})
+	remaining := h.b.cfg.Classes[class].Deadline
+	return h.lastRequest, h.dispatch(Request{ID: h.lastRequest, Class: class, Remaining: remaining})
 }
 
-// finishAttempt ends an attempt with a result after the given duration.
-func (h *harness) finishAttempt(id RequestID, attempt int, result Result, took Milliseconds) []Action {
+// finishAttempt ends an attempt with the given result and duration.
+func (h *harness) finishAttempt(id RequestID, attempt int, result Result, duration Milliseconds) []Action {
 	h.t.Helper()
 	ep := h.b.requests[id].attempts[attempt].endpoint
-	done := result == OK || h.b.requests[id].done
-	return h.dispatch(Outcome{Request: id, Attempt: attempt, Endpoint: ep.ID, Result: result, Duration: took, Finished: done})
+	return h.dispatch(Outcome{
+		Request: id, Attempt: attempt, Endpoint: ep.ID, Result: result, Duration: duration,
+		Finished: result == OK || h.b.requests[id].done,
+	})
 }
 
-// sendTarget returns the endpoint of the first attempt that the actions send.
+// sendTarget returns the endpoint of the first SendAttempt action, and whether there is one.
 func sendTarget(actions []Action) (EndpointID, bool) {
 	for _, a := range actions {
 		if a.Kind == SendAttempt {
@@ -107,7 +111,7 @@
 	return 0, false
 }
 
-// hasAction reports whether the actions include one of the kind.
+// hasAction reports whether the actions include one of the given kind.
 func hasAction(actions []Action, kind ActionKind) bool {
 	for _, a := range actions {
 		if a.Kind == kind {
@@ -117,15 +121,15 @@
 	return false
 }
 
-// healthCheckConfig returns baseConfig with health checks that report the requests in flight.
+// healthCheckConfig returns baseConfig with health checks whose load reports hold the requests in flight.
 func healthCheckConfig() Config {
 	cfg := baseConfig()
 	cfg.HealthChecks, cfg.LoadReports, cfg.LoadReportFields = true, LoadReportsPolled, []LoadField{LoadFieldInFlight}
 	return cfg
 }
 
-// answerHealthChecks completes the health checks among the actions: unreachable endpoints time out, the
-// others report the given number of requests in flight.
+// answerHealthChecks completes the health checks among the actions. Those of unreachable endpoints time out, the
+// others report the given number of requests in flight. It returns the resulting actions.
 func (h *harness) answerHealthChecks(actions []Action, inFlight float32, unreachable map[EndpointID]bool) []Action {
 	var followUps []Action
 	for _, a := range actions {
@@ -152,43 +156,41 @@
 	return list
 }
 
-// sendSequence sends n idempotent requests one after the other, each completed before the next, and returns
-// their endpoints.
+// sendSequence sends n idempotent requests, each after the previous one is complete, and returns their endpoints.
 func sendSequence(h *harness, n int) []EndpointID {
 	var ids []EndpointID
 	for range n {
 		id, actions := h.request(idempotentClass)
 		target, ok := sendTarget(actions)
 		if !ok {
-			h.t.Fatal("nothing was sent")
+			h.t.Fatalf("got %+v, want an attempt", actions)
 		}
 		ids = append(ids, target)
-		h.b.requests[id].stats.samples = 0 // nothing is learned from these responses
+		h.b.requests[id].stats.samples = 0 // so that no capacity is learned from the response
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	return ids
 }
 
-// largeFleetConfig returns the settings of one of many instances in front of many endpoints that cache by
-// key.
-func largeFleetConfig(number, instances int) Config {
+// largeFleetConfig returns the settings of one of many instances. The endpoints cache by sticky key.
+func largeFleetConfig(index, count int) Config {
 	cfg := baseConfig()
-	cfg.Seed, cfg.InstanceIndex, cfg.InstanceCount, cfg.KeyCaching = uint64(1000+number), number, instances, true
+	cfg.Seed, cfg.InstanceIndex, cfg.InstanceCount, cfg.KeyCaching = uint64(1000+index), index, count, true
 	cfg.OverloadFactor = 4
 	return cfg
 }
 
-// newZonedEndpoints returns n equal endpoints with scattered IDs, spread over three zones.
+// newZonedEndpoints returns n equal endpoints with large, unordered IDs in three zones.
 func newZonedEndpoints(n int) []Endpoint {
 	list := newEndpoints(n)
 	for i := range list {
-		list[i].ID = EndpointID(uint64(i+1) * 0x9e3779b97f4a7c15)
+		list[i].ID = EndpointID(uint64(i+1) * splitMixIncrement)
 		list[i].Zone = i % 3
 	}
 	return list
 }
 
-// newInstances returns n instances that share nothing but the endpoints.
+// newInstances returns n independent instances that use the same endpoints.
 func newInstances(t *testing.T, n int, endpoints []Endpoint) []*harness {
 	t.Helper()
 	all := make([]*harness, n)
@@ -199,14 +201,14 @@
 	return all
 }
 
-// serveKey sends a request with a sticky key, completes it at once and returns its endpoint.
+// serveKey sends a request with a sticky key, completes it after 5 ms and returns its endpoint.
 func (h *harness) serveKey(key uint64) EndpointID {
 	h.t.Helper()
 	h.lastRequest++
 	id := h.lastRequest
 	target, ok := sendTarget(h.dispatch(Request{ID: id, Class: idempotentClass, StickyKey: key, Remaining: 1500}))
 	if !ok {
-		h.t.Fatalf("request %d was not sent", id)
+		h.t.Fatalf("request %d: got no attempt, want one", id)
 	}
 	h.now += 5
 	h.finishAttempt(id, 0, OK, 5)
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -15,25 +15,25 @@
 const (
 	deployFile   = "../deploy/balancer.toml"
 	maxFileLines = 300 // non-blank lines of one file, comments included
-	maxColumns   = 110
+	maxColumns   = 110 // of one line, with tabs of 4 columns
 )
 
-// New staff read the files that decide in their first days: each has to stay short, and the deploy file has to name all of
-// them. What holds no branch and no loop only declares.
+// New engineers read the files with the decision logic first. Each file must stay short, and the deploy file must list
+// all files with decision logic as policy files. A file without a branch or a loop holds only declarations.
 func TestPolicyNamesAllFilesThatDecide(t *testing.T) {
 	policy := policyFiles(t)
 	sources := sourceFiles(t)
 	for _, name := range policy {
 		if !slices.Contains(sources, name) {
-			t.Errorf("%s names %s, which is no file of this package", deployFile, name)
+			t.Errorf("%s: got policy file %s, want only source files of this package", deployFile, name)
 		}
 	}
 	for _, name := range sources {
 		if lines := countLines(t, name); lines > maxFileLines {
-			t.Errorf("%s has %d lines, at most %d", name, lines, maxFileLines)
+			t.Errorf("%s: got %d non-blank lines, want %d at most", name, lines, maxFileLines)
 		}
 		if line := firstControlStatement(t, name); line > 0 && !slices.Contains(policy, name) {
-			t.Errorf("%s decides in line %d, and %s does not name it", name, line, deployFile)
+			t.Errorf("%s: got a branch or loop in line %d, want it listed as policy file in %s", name, line, deployFile)
 		}
 	}
 }
@@ -68,20 +68,20 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(text)
 	if list == nil {
-		t.Fatalf("%s lists no policy files", deployFile)
+		t.Fatalf("%s: got no list of policy files, want policy = [...]", deployFile)
 	}
 	var names []string
 	for _, path := range regexp.MustCompile(`"([^"]*)"`).FindAllSubmatch(list[1], -1) {
 		name, ok := strings.CutPrefix(string(path[1]), "balance/")
 		if !ok {
-			t.Errorf("policy file %s is not in package balance", path[1])
+			t.Errorf("%s: got policy file %s, want only files in balance/", deployFile, path[1])
 		}
 		names = append(names, name)
 	}
 	return names
 }
 
-// sourceFiles returns the files of this package that are no tests.
+// sourceFiles returns the Go files of this package except tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -91,7 +91,7 @@
 	return slices.DeleteFunc(names, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// countLines returns the number of non-blank lines of a file, none of which may be too wide.
+// countLines returns the number of non-blank lines of a file, and checks that no line is wider than maxColumns.
 func countLines(t *testing.T, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -104,7 +104,7 @@
 			lines++
 		}
 		if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxColumns {
-			t.Errorf("%s: line %d is %d columns wide", name, i+1, width)
+			t.Errorf("%s: line %d: got %d columns, want %d at most", name, i+1, width, maxColumns)
 		}
 	}
 	return lines
--- a/balance/loadshedding.go
+++ b/balance/loadshedding.go
@@ -46,29 +46,29 @@
 }
 
 // update adjusts the steady fraction to the overload when a request arrives.
-func (s *loadShedder) update(now, longestObjective Milliseconds, load overloadEstimate) {
+func (s *loadShedder) update(now, longestObjective Milliseconds, overload overloadEstimate) {
 	elapsed := float64((now - s.lastRequestAt) / steadyShedObjectives / longestObjective)
 	gain := clamp(elapsed, minSteadyShedGain, maxSteadyShedGain)
 	s.lastRequestAt = now
-	limit := min(maxShedFraction, maxLateFractionMultiple*load.lateFraction*load.recency)
-	s.steadyFraction = clamp(s.steadyFraction+gain*load.excess, 0, limit)
+	limit := min(maxShedFraction, maxLateFractionMultiple*overload.lateFraction*overload.recency)
+	s.steadyFraction = clamp(s.steadyFraction+gain*overload.excess, 0, limit)
 }
 
 // fraction returns the fraction of the load to shed at the moment.
-func (s *loadShedder) fraction(load overloadEstimate) float64 {
+func (s *loadShedder) fraction(overload overloadEstimate) float64 {
 	limit := min(maxShedFraction, maxSteadyMultiple*s.steadyFraction)
-	return clamp(s.steadyFraction+immediateShedGain*load.excess, 0, limit)
+	return clamp(s.steadyFraction+immediateShedGain*overload.excess, 0, limit)
 }
 
 // admit reports whether a request is admitted. It sheds the load that the fleet cannot serve within the
 // latency objectives, before any attempt is sent.
 func (b *Balancer) admit(req *request) bool {
-	load := b.estimateOverload()
-	b.shedder.update(b.now, b.longestObjective, load)
+	overload := b.estimateOverload()
+	b.shedder.update(b.now, b.longestObjective, overload)
 	if b.isLateRetry(req) && b.shedder.steadyFraction >= req.class.LateWeight {
 		return false
 	}
-	shed := b.shedder.fraction(load)
+	shed := b.shedder.fraction(overload)
 	return shed == 0 || b.random.next() >= b.shedProbability(req, shed)
 }
 
--- a/balance/loadshedding_test.go
+++ b/balance/loadshedding_test.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-// setOverload sets the steady shed fraction and fills the endpoints so that the expected latency exceeds what
-// the admission control allows by the given part of the objective.
+// setOverload sets the steady shed fraction, and adds load to the endpoints so that the expected latency ratio exceeds
+// the shed threshold by the given excess.
 func (h *harness) setOverload(steadyShed, excess float64) {
-	full := h.b.latency.minRatio + queueingAllowance*(1-h.b.latency.minRatio)
+	threshold := h.b.latency.minRatio + queueingAllowance*(1-h.b.latency.minRatio)
 	h.b.shedder.steadyFraction, h.b.latency.lateFraction = steadyShed, 1
 	h.b.advanceResponseRate()
-	h.b.endpoints.list[0].load.perObjective += (full+excess)*h.b.responsesPerMillisecond(priorResponses) - h.b.inFlightLoad()
+	fullLoad := (threshold + excess) * h.b.responsesPerMillisecond(priorResponses)
+	h.b.endpoints.list[0].load.perObjective += fullLoad - h.b.inFlightLoad()
 }
 
-// rejectedFractions sends 4000 requests, drawn from pairs of class and tenant, while 0.4 of the work is to be
-// shed, and returns the fraction rejected of each class and of each tenant.
+// rejectedFractions sends 4000 requests of random pairs of class and tenant, while 0.4 of the load must be shed. It
+// returns the fraction of rejected requests by class and by tenant.
 func rejectedFractions(t *testing.T, cfg Config, pairs ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	h := newHarness(t, cfg, newEndpoints(4)...)
@@ -30,7 +31,8 @@
 		sent[0][pair[0]]++
 		sent[1][pair[1]]++
 		id := RequestID(i + 1)
-		actions := h.dispatch(Request{ID: id, Class: pair[0], Tenant: pair[1], Remaining: cfg.Classes[pair[0]].Deadline})
+		remaining := cfg.Classes[pair[0]].Deadline
+		actions := h.dispatch(Request{ID: id, Class: pair[0], Tenant: pair[1], Remaining: remaining})
 		if hasAction(actions, RejectRequest) {
 			byClass[pair[0]]++
 			byTenant[pair[1]]++
@@ -45,14 +47,14 @@
 	return byClass, byTenant
 }
 
-// Shedding has to follow the present load at once, between nothing and twice the steady fraction: a slow
-// reaction lets queues grow for seconds. An instance that has not shed lately rejects nothing, as its few
-// requests may coincide by chance.
+// The shed fraction follows the current load at once, between zero and twice the steady fraction. With a slow
+// reaction, queues would grow for seconds. An instance with a steady fraction of zero sheds nothing, because its
+// few requests may coincide by chance.
 func TestSheddingFollowsLoadImmediately(t *testing.T) {
 	for _, c := range []struct {
-		name               string
-		steadyShed, excess float64 // excess: of the objective, beyond the accepted latency
-		least, most        float64 // fraction rejected
+		name                     string
+		steadyShed, excess       float64 // excess: of the latency ratio over the shed threshold
+		minRejected, maxRejected float64 // fraction
 	}{
 		{"no recent shedding", 0, 0.5, 0, 0.05},
 		{"steady load", 0.4, 0, 0.3, 0.5},
@@ -73,30 +75,33 @@
 					rejected++
 				}
 			}
-			if rejected /= 200; rejected < c.least || rejected > c.most {
-				t.Errorf("%+v: %.2f were rejected", c, rejected)
+			if rejected /= 200; rejected < c.minRejected || rejected > c.maxRejected {
+				t.Errorf("%+v: got a fraction of %.2f rejected, want %.2f to %.2f",
+					c, rejected, c.minRejected, c.maxRejected)
 			}
 		})
 	}
 }
 
-// Of two tenants with equal quotas the one that sends three times as much is rejected for what exceeds its
-// quota. Tenants with equal traffic are rejected equally.
+// Of two tenants with equal quotas, the one that sends three times as much has its requests above the quota rejected.
+// If both send equally much, an equal fraction of their requests is rejected.
 func TestOverQuotaTenantsAreRejectedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{QuotaShare: 0.5}, {QuotaShare: 0.5}}
 	_, rejected := rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
 	if rejected[0] < 0.4 || rejected[1] > 0.1 {
-		t.Fatalf("rejected %.2f of the tenant with much traffic, %.2f of the other", rejected[0], rejected[1])
+		t.Fatalf("got %.2f rejected of the larger tenant and %.2f of the other, want at least 0.4 and at most 0.1",
+			rejected[0], rejected[1])
 	}
 	_, rejected = rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 1})
 	if math.Abs(rejected[0]-rejected[1]) > 0.15 {
-		t.Fatalf("of equal tenants %.2f and %.2f were rejected", rejected[0], rejected[1])
+		t.Fatalf("got %.2f and %.2f rejected of equal tenants, want a difference of at most 0.15",
+			rejected[0], rejected[1])
 	}
 }
 
-// In overload requests that cannot be answered in time are rejected before an attempt is sent, those of low
-// priority weight first. Otherwise all queues fill and all responses are late.
+// During an overload, requests that cannot be served in time are rejected before an attempt is sent, those with a low
+// priority weight first. Otherwise, all queues would fill and all responses would be late.
 func TestOverloadShedsLowPriorityFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	h.b.latency.lateFraction = 1
@@ -117,22 +122,22 @@
 		}
 	}
 	if rejected[idempotentClass] < 100 || rejected[nonIdempotentClass] >= rejected[idempotentClass] {
-		t.Fatalf("rejected %d of low priority and %d of high priority",
+		t.Fatalf("got %d rejected of low priority and %d of high, want at least 100 and fewer of high priority",
 			rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
 
-// A retry by the client that arrives after the latency objective of its first attempt is rejected in overload
-// if a late response has less weight than the load to shed. After the loss of half of the endpoints such
-// retries took the capacity that was left.
+// A retry by the client that arrives after the latency objective of its first attempt is rejected during an overload
+// if the steady shed fraction is at least the late weight. After the loss of half of the endpoints, such retries
+// once used up the remaining capacity.
 func TestLateRetriesAreRejectedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].LateWeight = 0.3
 	for _, c := range []struct {
-		name      string
-		shed      float64
-		remaining Milliseconds
-		rejected  bool
+		name         string
+		shed         float64
+		remaining    Milliseconds
+		wantRejected bool
 	}{
 		{"objective of 300 ms passed after 500 ms", 0.5, 1000, true},
 		{"load to shed below the weight of a late response", 0.2, 1000, false},
@@ -147,53 +152,54 @@
 				Request: Request{Remaining: c.remaining}, class: &h.b.cfg.Classes[idempotentClass],
 				stats: h.b.classes[idempotentClass],
 			}
-			if got := h.b.isLateRetry(req) && h.b.shedder.steadyFraction >= req.class.LateWeight; got != c.rejected {
-				t.Errorf("%+v: rejected %v", c, got)
+			got := h.b.isLateRetry(req) && h.b.shedder.steadyFraction >= req.class.LateWeight
+			if got != c.wantRejected {
+				t.Errorf("%+v: got rejected %v, want %v", c, got, c.wantRejected)
 			}
-			if !c.rejected {
+			if !c.wantRejected {
 				return
 			}
 			h.b.shedder.steadyFraction = c.shed
 			if actions := h.dispatch(Request{ID: 77, Remaining: c.remaining}); !hasAction(actions, RejectRequest) {
-				t.Errorf("%+v: %+v", c, actions)
+				t.Errorf("%+v: got %+v, want a rejection", c, actions)
 			}
 		})
 	}
 }
 
-// Clients that wait for less than the deadline of the class must not be mistaken for late retries where
-// retries are marked: their responses can still be in time.
+// Some clients wait for less than the deadline of the class. Where retries are marked, unmarked requests of such
+// clients must not be treated as late retries: their responses can still be in time.
 func TestShortDeadlineFirstAttemptsAreServed(t *testing.T) {
 	for _, c := range []struct {
-		name                      string
-		marked, clientRetry, sent bool
+		name                          string
+		marked, clientRetry, wantSent bool
 	}{
-		{name: "short deadline", marked: true, sent: true},
+		{name: "short deadline", marked: true, wantSent: true},
 		{name: "late retry", marked: true, clientRetry: true},
-		{name: "retries not marked"}, // may as well be a late retry
+		{name: "retries not marked"}, // indistinguishable from a late retry
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := baseConfig()
 			cfg.ClientRetriesMarked = c.marked
 			h := newHarness(t, cfg, newEndpoints(4)...)
-			id, _ := h.request(idempotentClass) // shows how long clients usually wait
+			id, _ := h.request(idempotentClass) // sets the longest timeout of the class
 			h.finishAttempt(id, 0, OK, 30)
 			actions := h.dispatch(Request{ID: 77, Remaining: 50, ClientRetry: c.clientRetry})
-			if _, sent := sendTarget(actions); sent != c.sent || hasAction(actions, RejectRequest) == c.sent {
-				t.Errorf("%+v: %+v", c, actions)
+			if _, sent := sendTarget(actions); sent != c.wantSent || hasAction(actions, RejectRequest) == c.wantSent {
+				t.Errorf("%+v: got %+v, want an attempt %v, otherwise a rejection", c, actions, c.wantSent)
 			}
 		})
 	}
 }
 
-// An instance with a request a second knows of an overload only what polled endpoints report. If the best of
-// them would respond too late the request is rejected before an attempt is sent; otherwise it is sent, and
-// only to an endpoint that was polled.
+// An instance with one request per second learns of an overload only from the load reports of health checks. If the
+// best of the checked endpoints would respond too late, the request is rejected before an attempt is sent. Otherwise
+// an attempt is sent to one of the checked endpoints.
 func TestPolledLoadDecidesAdmission(t *testing.T) {
 	for inFlight, rejected := range map[float32]bool{0: false, 1: false, 6: true} {
 		t.Run(fmt.Sprintf("%v in flight", inFlight), func(t *testing.T) {
 			h := newHarness(t, healthCheckConfig(), newEndpoints(12)...)
-			h.b.checks.busyFraction = 0.5 // so that only some endpoints are polled
+			h.b.checks.busyFraction = 0.5 // so that only some endpoints are checked
 			id, actions := h.request(globalKeyClass)
 			checked := map[EndpointID]bool{}
 			for _, a := range actions {
@@ -203,24 +209,26 @@
 			}
 			after := h.answerHealthChecks(actions, inFlight, nil)
 			if hasAction(after, RejectRequest) != rejected || hasAction(after, SendAttempt) == rejected {
-				t.Fatalf("request %d, polled endpoints with %.0f in flight: %+v", id, inFlight, after)
+				t.Fatalf("request %d, %.0f in flight at each checked endpoint: got %+v, want a rejection: %v",
+					id, inFlight, after, rejected)
 			}
 			if target, ok := sendTarget(after); len(checked) == 12 || ok && !checked[target] {
-				t.Fatalf("sent to %d, which was not polled (%d were)", target, len(checked))
+				t.Fatalf("got an attempt at endpoint %d with %d of 12 checked, want a checked one and fewer than 12",
+					target, len(checked))
 			}
 		})
 	}
 }
 
-// A few responses must replace the initial guess of the latency for each request in flight. A guess that
-// outlived dozens of responses made new instances reject requests that endpoints with a short queue would
-// have answered in time.
+// The initial estimate of the time per request in flight must be replaced after a few responses. When it still
+// counted after dozens of responses, new instances rejected requests that endpoints with a short queue would have
+// served in time.
 func TestLatencyIsEstimatedFromFewResponses(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	for range 5 {
 		id, actions := h.request(idempotentClass)
 		if _, ok := sendTarget(h.answerHealthChecks(actions, 0, nil)); !ok {
-			t.Fatal("rejected although the endpoints are idle")
+			t.Fatalf("idle endpoints: got %+v, want an attempt after the health checks", actions)
 		}
 		h.now += 20
 		h.finishAttempt(id, 0, OK, 20)
@@ -228,16 +236,16 @@
 	h.now += 100
 	_, actions := h.request(idempotentClass)
 	if _, ok := sendTarget(h.answerHealthChecks(actions, 2, nil)); !ok {
-		t.Error("rejected although 20 ms for each of three requests are far below the objective")
+		t.Error("got no attempt, want one: 20 ms for each of three requests are far below the objective")
 	}
 	_, actions = h.request(idempotentClass)
 	if actions = h.answerHealthChecks(actions, 50, nil); !hasAction(actions, RejectRequest) {
-		t.Error("not rejected although all endpoints are full")
+		t.Errorf("50 requests in flight at each endpoint: got %+v, want a rejection", actions)
 	}
 }
 
-// A request must not be rejected because the endpoint that is next in the rotation, with an open connection,
-// is overloaded while other polled endpoints are nearly idle.
+// A request must not be rejected because the preferred endpoint, the one with an open connection, is overloaded while
+// other checked endpoints are nearly idle.
 func TestOneOverloadedEndpointCausesNoRejection(t *testing.T) {
 	cfg := healthCheckConfig()
 	cfg.Costs.NewConnection, cfg.ConnIdleTimeout = 0.12, 10000
@@ -267,11 +275,12 @@
 		}
 	}
 	if target, ok := sendTarget(after); !ok || target == at {
-		t.Errorf("sent to %d: %v, rejected: %v", target, ok, hasAction(after, RejectRequest))
+		t.Errorf("got an attempt at endpoint %d: %v, rejected: %v; want an attempt at another endpoint than %d",
+			target, ok, hasAction(after, RejectRequest), at)
 	}
 }
 
-// A rejection tells the client when to retry, and never later than the longest delay that clients respect.
+// A rejection tells the client when to retry. The delay is at most the longest one that clients respect.
 func TestRejectionSetsRetryAfter(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxRetryAfter = 20
@@ -281,19 +290,19 @@
 	actions := h.finishAttempt(id, 0, Rejected, 1)
 	if len(actions) != 1 || actions[0].Kind != RejectRequest ||
 		actions[0].RetryAfter <= 0 || actions[0].RetryAfter > cfg.MaxRetryAfter {
-		t.Fatalf("actions %v", actions)
+		t.Fatalf("got %v, want one rejection with a Retry-After time of at most %v", actions, cfg.MaxRetryAfter)
 	}
 }
 
-// Requests that hang at an ejected endpoint are a fault of that endpoint and must not cause shedding.
+// Attempts that hang at an ejected endpoint are not a sign of overload and must not cause load shedding.
 func TestEjectedEndpointsAreNotCountedAsLoad(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	h.b.endpoints.list[0].load.perObjective, h.b.endpoints.list[1].load.perObjective = 5, 1
 	if load := h.b.inFlightLoad(); load != 6 {
-		t.Fatalf("load %v before the ejection", load)
+		t.Fatalf("before the ejection: got a load of %v, want 6", load)
 	}
 	h.b.eject(h.b.endpoints.list[0])
 	if load := h.b.inFlightLoad(); load != 1 {
-		t.Fatalf("load %v during the ejection", load)
+		t.Fatalf("during the ejection: got a load of %v, want 1", load)
 	}
 }
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A hung endpoint is avoided at once for its requests in flight and ejected after several errors. Its stuck
-// requests must not look like an overload of all endpoints.
+// A hung endpoint is avoided at once because of its requests in flight, and ejected after several errors. Its hanging
+// requests must not be treated as an overload of all endpoints.
 func TestHungEndpointCausesNoShedding(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(6)...)
 	hung := 0
@@ -18,7 +18,8 @@
 		id, actions := h.request(idempotentClass)
 		target, ok := sendTarget(actions)
 		if !ok {
-			t.Fatalf("request %d was rejected: shed %v", id, h.b.shedder.steadyFraction)
+			t.Fatalf("request %d: got no attempt at a steady shed fraction of %v, want one",
+				id, h.b.shedder.steadyFraction)
 		}
 		if target == 1 {
 			hung++
@@ -28,12 +29,12 @@
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	if hung > 40 {
-		t.Fatalf("the hung endpoint got %d of 900", hung)
+		t.Fatalf("got %d of 900 requests at the hung endpoint, want 40 at most", hung)
 	}
 }
 
-// An instance with a request a second cannot judge the load by its requests in flight, which coincide by
-// chance. Recent fast responses have to prevent shedding, and recent late ones have to cause it.
+// An instance with about one request per second cannot estimate the load from its requests in flight, which coincide
+// by chance. Recent fast responses must prevent load shedding, and recent late responses must cause it.
 func TestLowTrafficInstanceShedsByRecentLatency(t *testing.T) {
 	for took, want := range map[Milliseconds][2]int{60: {0, 2}, 900: {20, 199}} {
 		t.Run(fmt.Sprintf("responses of %v ms", took), func(t *testing.T) {
@@ -42,17 +43,17 @@
 			for range 100 {
 				h.now += 50
 				id, actions := h.request(idempotentClass)
-				second, more := h.request(idempotentClass) // two at once
+				secondID, secondActions := h.request(idempotentClass) // at the same time
 				for _, r := range []struct {
 					id      RequestID
 					actions []Action
-				}{{id, actions}, {second, more}} {
+				}{{id, actions}, {secondID, secondActions}} {
 					if hasAction(r.actions, RejectRequest) {
 						rejected++
 					}
 				}
 				h.now += took
-				for _, id := range []RequestID{id, second} {
+				for _, id := range []RequestID{id, secondID} {
 					if req := h.b.requests[id]; req != nil && req.inFlight > 0 {
 						h.finishAttempt(id, 0, OK, took)
 					}
@@ -60,14 +61,14 @@
 				h.now += 900
 			}
 			if rejected < want[0] || rejected > want[1] {
-				t.Errorf("responses of %v ms: %d of 200 rejected, want %v", took, rejected, want)
+				t.Errorf("responses of %v ms: got %d of 200 rejected, want a number in %v", took, rejected, want)
 			}
 		})
 	}
 }
 
-// Traffic that grows tenfold in seconds while responses stay fast causes no shedding. Requests in flight
-// compared with an outdated response rate caused half of the traffic to be rejected.
+// Traffic that grows tenfold within seconds while responses stay fast must not cause load shedding. When the requests
+// in flight were compared with an outdated response rate, half of the traffic was rejected.
 func TestFastTrafficGrowthCausesNoShedding(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
 	var open []RequestID
@@ -86,12 +87,12 @@
 		}
 	}
 	if rejected > 0 {
-		t.Fatalf("%d requests were rejected", rejected)
+		t.Fatalf("got %d rejected requests, want 0", rejected)
 	}
 }
 
-// An instance that sheds nearly all its traffic gets no responses that could show the end of the overload.
-// Shedding has to end all the same.
+// An instance that sheds nearly all of its traffic gets no responses that could show the end of the overload. Load
+// shedding must still end.
 func TestSheddingEndsWithoutResponses(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(6)...)
 	for range 30 {
@@ -102,7 +103,8 @@
 		}
 	}
 	if h.b.shedder.steadyFraction < 0.5 {
-		t.Fatalf("latency of four objectives: sheds %.2f", h.b.shedder.steadyFraction)
+		t.Fatalf("latency of four objectives: got a steady shed fraction of %.2f, want at least 0.5",
+			h.b.shedder.steadyFraction)
 	}
 	served := 0
 	for i := range 60 {
@@ -116,27 +118,27 @@
 		}
 	}
 	if served < 27 {
-		t.Errorf("half a minute later %d of 30 are sent", served)
+		t.Errorf("half a minute later: got %d of 30 sent, want at least 27", served)
 	}
 }
 
-// Where responses are lost, overdue attempts are not counted as load while other responses are fast. In an
-// overload the other responses are late as well, and overdue attempts count.
+// When a third of the responses is lost, the overdue attempts are not counted as load while other responses are fast.
+// During an overload, the other responses are late as well, and overdue attempts count.
 func TestLostResponsesCauseNoShedding(t *testing.T) {
 	for took, want := range map[Milliseconds][2]int{40: {0, 20}, 900: {60, 399}} {
 		t.Run(fmt.Sprintf("responses of %v ms", took), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(12)...)
-			ends := map[RequestID]Milliseconds{} // of attempts in flight
+			ends := map[RequestID]Milliseconds{} // end of each attempt in flight
 			rejected := 0
 			for i := range 400 {
 				h.now += 40
 				for id := RequestID(1); id <= h.lastRequest; id++ {
-					end, out := ends[id]
+					end, inFlight := ends[id]
 					req := h.b.requests[id]
-					if out && req.nextTimerAt <= h.now {
+					if inFlight && req.nextTimerAt <= h.now {
 						h.dispatch(TimerFired{Token: uint64(id)})
 					}
-					if out && h.now >= end {
+					if inFlight && h.now >= end {
 						delete(ends, id)
 						if end == req.deadline {
 							h.finishAttempt(id, 0, TimedOut, end-req.arrivedAt)
@@ -156,14 +158,15 @@
 				}
 			}
 			if rejected < want[0] || rejected > want[1] {
-				t.Errorf("responses of %v ms, a third lost: %d of 400 rejected, want %v", took, rejected, want)
+				t.Errorf("responses of %v ms, a third lost: got %d of 400 rejected, want a number in %v",
+					took, rejected, want)
 			}
 		})
 	}
 }
 
-// Shedding is bounded by a multiple of the fraction of late responses, as more cannot help. Without the bound
-// small instances with one late response in twenty shed nearly all requests.
+// The shed fraction is limited to a multiple of the fraction of late responses, because shedding more cannot help.
+// Without the limit, small instances with one late response in twenty shed nearly all requests.
 func TestSheddingIsBoundedByLateFraction(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
 	rejected := 0
@@ -181,16 +184,17 @@
 		h.now += took
 		h.finishAttempt(id, 0, OK, took)
 	}
-	if rejected > 150 { // 190 without the bound
-		t.Errorf("%d of 300 rejected with one in twenty responses late", rejected)
+	if rejected > 150 { // 190 without the limit
+		t.Errorf("one in twenty responses late: got %d of 300 rejected, want 150 at most", rejected)
 	}
 }
 
-// The fraction of late responses decays with the time since the last response. If it does not, instances with
-// few responses go on shedding for half a minute after an overload.
+// The weight of the fraction of late responses decays with the time since the last response. Otherwise, instances with
+// few responses would continue to shed load for half a minute after an overload.
 func TestLateFractionDecaysOverTime(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
-	h.b.shedder.steadyFraction, h.b.latency.lateFraction, h.b.latency.ratio, h.b.latency.lastResponseAt = 0.95, 0.6, 0.55, h.now
+	h.b.shedder.steadyFraction = 0.95
+	h.b.latency.lateFraction, h.b.latency.ratio, h.b.latency.lastResponseAt = 0.6, 0.55, h.now
 	rejected := 0
 	for range 20 {
 		h.now += 1000
@@ -198,20 +202,20 @@
 		if hasAction(actions, RejectRequest) {
 			rejected++
 		} else {
-			h.now += 165 // about as slow as the target
+			h.now += 165 // close to the shed threshold
 			h.finishAttempt(id, 0, OK, 165)
 		}
 	}
-	if rejected > 10 { // 17 before
-		t.Errorf("%d of 20 rejected after the overload", rejected)
+	if rejected > 10 { // 17 before the decay was added
+		t.Errorf("after the overload: got %d of 20 rejected, want 10 at most", rejected)
 	}
 }
 
-// Clients that retry rejected attempts at once can cause several attempts for each request. Rejected attempts
-// count as late in the bound of shedding, or the retry storm continues.
+// When clients retry rejected requests at once, each of them can cause several attempts. Rejected attempts count as
+// late in the limit of the shed fraction. Otherwise, the retry storm would continue.
 func TestRetryStormIsShed(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
-	rejected := 0 // before an attempt is sent
+	rejected := 0 // before an attempt was sent
 	for i := range 120 {
 		h.now += 300
 		id, actions := h.request(idempotentClass)
@@ -228,7 +232,8 @@
 			h.finishAttempt(id, attempt, result, took)
 		}
 	}
-	if rejected < 30 { // 0 before
-		t.Errorf("%d of 120 rejected while four fifths of attempts are", rejected)
+	if rejected < 30 { // 0 before rejected attempts counted as late
+		t.Errorf("four fifths of attempts rejected by endpoints: got %d of 120 requests rejected, want at least 30",
+			rejected)
 	}
 }
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -6,7 +6,12 @@
 	"testing"
 )
 
-// invariantChecker gives one balancer random but legal events and checks the four rules at each action.
+// invariantChecker passes random but legal events to a balancer and checks each action against these invariants:
+//
+//  1. An attempt goes to a ready endpoint. A request has one attempt in flight at most, and MaxAttempts in total.
+//  2. A request is not executed twice, unless its class allows it.
+//  3. A request gets one final response, by its deadline. It is not rejected if a retry by the client is not safe.
+//  4. An endpoint in slow start gets only a limited number of attempts per overload window.
 type invariantChecker struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -14,42 +19,42 @@
 	cfg          Config
 	now          Milliseconds
 	endpoints    map[EndpointID]*Endpoint
-	sendable     map[EndpointID]bool // may be sent to
+	sendable     map[EndpointID]bool // endpoints that may get attempts
 	requests     map[RequestID]*trackedRequest
 	timers       []pendingTimer
-	healthChecks []EndpointID
-	sends        []timedSend // of about the last overload window
+	healthChecks []EndpointID // endpoints with a pending health check
+	recentSends  []recentSend // attempts of about the last overload window
 }
 
-// timedSend is one sent attempt, for the check of slow start.
-type timedSend struct {
+// recentSend records an attempt for the check of the slow start.
+type recentSend struct {
 	endpoint EndpointID
-	at       Milliseconds
+	sentAt   Milliseconds
 }
 
-// trackedRequest is what the checker knows of a request.
+// trackedRequest is the state that the checker keeps for a request.
 type trackedRequest struct {
-	class    int
-	deadline Milliseconds
-	answered bool
-	attempts []trackedAttempt
+	class     int
+	deadline  Milliseconds
+	responded bool // it has its final response, or its client disconnected
+	attempts  []trackedAttempt
 }
 
-// trackedAttempt is what the checker knows of an attempt. A clean one has ended and was never executed.
+// trackedAttempt is the state that the checker keeps for an attempt.
 type trackedAttempt struct {
-	endpoint Endpoint
-	sent     Milliseconds
-	live     bool
-	clean    bool
+	endpoint      Endpoint
+	sentAt        Milliseconds
+	inFlight      bool
+	neverExecuted bool // it ended, and its result proves that it was not executed
 }
 
 // pendingTimer is a timer that the balancer has set.
 type pendingTimer struct {
-	at    Milliseconds
-	token uint64
+	firesAt Milliseconds
+	token   uint64
 }
 
-// newInvariantChecker starts a balancer without endpoints.
+// newInvariantChecker returns a checker with a started balancer that has no endpoints yet.
 func newInvariantChecker(t *testing.T, random *rand.Rand, cfg Config) *invariantChecker {
 	t.Helper()
 	checker := &invariantChecker{
@@ -60,7 +65,7 @@
 	return checker
 }
 
-// The four rules hold under random events and settings, and each request is answered.
+// The invariants hold under random events and settings, and each request gets a final response.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range int64(40) {
 		random := rand.New(rand.NewSource(seed))
@@ -87,24 +92,24 @@
 			checker.fireTimers()
 		}
 		if checker.hasOpenRequests() {
-			t.Fatalf("seed %d: a request got no answer", seed)
+			t.Fatalf("seed %d: got a request without a final response, want one for each request", seed)
 		}
 	}
 }
 
-// randomConfig draws all settings that a decision reads, within what is legal.
+// randomConfig returns legal random values for all settings that affect decisions.
 func randomConfig(random *rand.Rand) Config {
 	cfg := baseConfig()
 	for c := range cfg.Classes {
-		k := &cfg.Classes[c]
-		k.LatencyObjective = 50 + Milliseconds(700*random.Float64())
-		k.Deadline = k.LatencyObjective.scaled(1 + 4*random.Float64())
-		k.DedupWindow = 100 + Milliseconds(3000*random.Float64())
-		k.PriorityWeight, k.LateWeight = 10*random.Float64(), random.Float64()
+		class := &cfg.Classes[c]
+		class.LatencyObjective = 50 + Milliseconds(700*random.Float64())
+		class.Deadline = class.LatencyObjective.scaled(1 + 4*random.Float64())
+		class.DedupWindow = 100 + Milliseconds(3000*random.Float64())
+		class.PriorityWeight, class.LateWeight = 10*random.Float64(), random.Float64()
 	}
 	for range random.Intn(4) {
 		cfg.Tenants = append(cfg.Tenants, Tenant{QuotaShare: random.Float64()})
-		random.Float64() // drawn for a removed setting, so that the seeds give the same runs
+		random.Float64() // drawn for a setting that was removed, so that each seed gives the same run as before
 	}
 	cfg.OverQuotaWeight, cfg.MinBatchInterval = random.Float64(), 1+Milliseconds(6*random.Float64())
 	cfg.Zone, cfg.ConnIdleTimeout = random.Intn(2), Milliseconds(20000*random.Float64())
@@ -115,7 +120,7 @@
 	return cfg
 }
 
-// randomEvent gives the balancer one event of a random kind.
+// randomEvent passes an event of a random kind to the balancer.
 func (checker *invariantChecker) randomEvent(id RequestID) {
 	switch n := checker.random.Intn(20); {
 	case n < 9:
@@ -138,29 +143,30 @@
 				LoadReport: []float32{float32(checker.random.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(checker.random.Intn(20)) // an unknown or finished request is ignored
-		if o := checker.requests[gone]; o != nil {
-			o.answered = true
+		gone := id - RequestID(checker.random.Intn(20)) // the balancer ignores an unknown or finished request
+		if req := checker.requests[gone]; req != nil {
+			req.responded = true
 		}
 		checker.handle(ClientGone{Request: gone})
 	}
 }
 
-// finishRandomAttempt ends one attempt in flight of a recent request.
+// finishRandomAttempt ends an attempt in flight of a recent request with a random result.
 func (checker *invariantChecker) finishRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
-		o := checker.requests[id]
-		if o == nil {
+		req := checker.requests[id]
+		if req == nil {
 			continue
 		}
-		for i := range o.attempts {
-			if a := &o.attempts[i]; a.live && checker.random.Intn(3) > 0 {
-				result := []Result{OK, OK, OK, OK, ServerError, Rejected, ConnectFailed, ConnReset, TimedOut}[checker.random.Intn(9)]
-				a.live, a.clean = false, result.NeverExecuted()
-				o.answered = o.answered || result == OK
+		for i := range req.attempts {
+			if a := &req.attempts[i]; a.inFlight && checker.random.Intn(3) > 0 {
+				results := []Result{OK, OK, OK, OK, ServerError, Rejected, ConnectFailed, ConnReset, TimedOut}
+				result := results[checker.random.Intn(9)]
+				a.inFlight, a.neverExecuted = false, result.NeverExecuted()
+				req.responded = req.responded || result == OK
 				checker.handle(Outcome{
-					Request: id, Attempt: i, Endpoint: a.endpoint.ID, Result: result, Duration: checker.now - a.sent,
-					Finished: o.answered,
+					Request: id, Attempt: i, Endpoint: a.endpoint.ID, Result: result, Duration: checker.now - a.sentAt,
+					Finished: req.responded,
 				})
 				return
 			}
@@ -168,19 +174,19 @@
 	}
 }
 
-// updateEndpoints changes some endpoints at random and sends an update of the kind.
+// updateEndpoints changes some endpoints at random and passes an update of the given kind to the balancer.
 func (checker *invariantChecker) updateEndpoints(kind UpdateKind) {
 	var entries []Endpoint
 	for i := range 10 {
 		id := EndpointID(i + 1)
-		s := checker.endpoints[id]
-		if s == nil || checker.random.Intn(4) == 0 {
-			s = &Endpoint{ID: id, State: EndpointState(checker.random.Intn(3) % 2), Rating: 1,
+		ep := checker.endpoints[id]
+		if ep == nil || checker.random.Intn(4) == 0 {
+			ep = &Endpoint{ID: id, State: EndpointState(checker.random.Intn(3) % 2), Rating: 1,
 				Cell: i % 3, Zone: i % 2, MachineType: i % 2}
 			if checker.random.Intn(3) == 0 {
-				s.StartedAt = checker.now
+				ep.StartedAt = checker.now
 			}
-			checker.endpoints[id] = s
+			checker.endpoints[id] = ep
 		}
 		if kind == UpdateDelta && checker.random.Intn(2) == 0 {
 			continue
@@ -189,13 +195,13 @@
 			checker.sendable[id] = false
 			continue
 		}
-		checker.sendable[id] = s.State == Ready
-		entries = append(entries, *s)
+		checker.sendable[id] = ep.State == Ready
+		entries = append(entries, *ep)
 	}
 	checker.handle(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
-// handle gives the balancer an event and performs its actions.
+// handle passes an event to the balancer and performs its actions.
 func (checker *invariantChecker) handle(ev Event) {
 	actions, err := checker.b.Handle(checker.now, ev)
 	if err != nil {
@@ -204,7 +210,7 @@
 	checker.perform(actions)
 }
 
-// perform checks actions and records what they start.
+// perform checks actions and records the attempts, timers and health checks that they start.
 func (checker *invariantChecker) perform(actions []Action) {
 	for _, a := range actions {
 		switch a.Kind {
@@ -212,136 +218,140 @@
 			checker.timers = append(checker.timers, pendingTimer{checker.now + a.Delay, a.Token})
 		case CheckHealth:
 			if !checker.cfg.HealthChecks {
-				checker.t.Fatal("health check although they are disabled")
+				checker.t.Fatalf("got a health check of endpoint %d, want none as health checks are disabled",
+					a.Endpoint)
 			}
 			checker.healthChecks = append(checker.healthChecks, a.Endpoint)
 		case SendAttempt:
 			checker.send(a)
 		case RejectRequest, FailRequest:
-			checker.checkFinalAnswer(a)
+			checker.checkFinalResponse(a)
 		case CancelAttempt:
 			if !checker.cfg.Cancellation || a.Attempt >= len(checker.requests[a.Request].attempts) {
-				checker.t.Fatalf("cancel of %+v", a)
+				checker.t.Fatalf("got %+v, want cancellation enabled and an existing attempt", a)
 			}
 		}
 	}
 }
 
-// send checks an attempt: it goes to a ready endpoint, within the limit of attempts, and never executes twice
-// a request that must not be.
+// send checks an attempt against invariants 1, 2 and 4, and records it.
 func (checker *invariantChecker) send(a Action) {
-	o, c := checker.requests[a.Request], checker.cfg.Classes[checker.requests[a.Request].class]
+	req, class := checker.requests[a.Request], checker.cfg.Classes[checker.requests[a.Request].class]
 	switch {
-	case o.answered:
-		checker.t.Fatalf("request %d was sent after its answer", a.Request)
+	case req.responded:
+		checker.t.Fatalf("request %d: got an attempt after its final response, want none", a.Request)
 	case !checker.sendable[a.Endpoint]:
-		checker.t.Fatalf("request %d was sent to endpoint %d, which is draining or gone", a.Request, a.Endpoint)
-	case len(o.attempts) >= checker.cfg.MaxAttempts:
-		checker.t.Fatalf("request %d has too many attempts", a.Request)
+		checker.t.Fatalf("request %d: got an attempt at endpoint %d, which is draining or gone, want a ready endpoint",
+			a.Request, a.Endpoint)
+	case len(req.attempts) >= checker.cfg.MaxAttempts:
+		checker.t.Fatalf("request %d: got attempt number %d, want %d attempts at most",
+			a.Request, len(req.attempts)+1, checker.cfg.MaxAttempts)
 	}
 	to := *checker.endpoints[a.Endpoint]
-	for _, p := range o.attempts {
-		if p.live {
-			checker.t.Fatalf("request %d has two attempts in flight", a.Request)
+	for _, previous := range req.attempts {
+		if previous.inFlight {
+			checker.t.Fatalf("request %d: got a second attempt in flight, want one at most", a.Request)
 		}
-		if p.clean || c.Idempotency == Idempotent {
+		if previous.neverExecuted || class.Idempotency == Idempotent {
 			continue
 		}
-		apart := c.DedupScope == DedupCell && p.endpoint.Cell != to.Cell ||
-			c.DedupScope == DedupZone && p.endpoint.Zone != to.Zone
-		if c.Idempotency == NonIdempotent || apart || checker.now >= p.sent+c.DedupWindow {
-			checker.t.Fatalf("request %d may have been executed and was retried", a.Request)
+		apart := class.DedupScope == DedupCell && previous.endpoint.Cell != to.Cell ||
+			class.DedupScope == DedupZone && previous.endpoint.Zone != to.Zone
+		if class.Idempotency == NonIdempotent || apart || checker.now >= previous.sentAt+class.DedupWindow {
+			checker.t.Fatalf("request %d: got a retry at endpoint %d, want none there as it may have been executed",
+				a.Request, a.Endpoint)
 		}
 	}
-	o.attempts = append(o.attempts, trackedAttempt{endpoint: to, sent: checker.now, live: true})
+	req.attempts = append(req.attempts, trackedAttempt{endpoint: to, sentAt: checker.now, inFlight: true})
 	checker.checkSlowStart(to)
 }
 
-// checkSlowStart checks that an endpoint that warms up gets no more within the overload window than the
-// overload factor times what an endpoint of this instance gets on average, and what chance may add to that.
+// checkSlowStart checks that an endpoint in slow start gets no more attempts within the overload window than the
+// overload factor times the average over the ready endpoints, plus a tolerance for random variation.
 func (checker *invariantChecker) checkSlowStart(to Endpoint) {
-	kept, toThis := checker.sends[:0], 1
-	for _, s := range checker.sends {
-		if s.at > checker.now-checker.cfg.OverloadWindow {
-			kept = append(kept, s)
-			if s.endpoint == to.ID && s.at >= to.StartedAt { // earlier ones went to another process
+	kept, toThis := checker.recentSends[:0], 1
+	for _, send := range checker.recentSends {
+		if send.sentAt > checker.now-checker.cfg.OverloadWindow {
+			kept = append(kept, send)
+			if send.endpoint == to.ID && send.sentAt >= to.StartedAt { // earlier ones went to a previous incarnation
 				toThis++
 			}
 		}
 	}
-	checker.sends = append(kept, timedSend{to.ID, checker.now})
+	checker.recentSends = append(kept, recentSend{to.ID, checker.now})
 	ready := 0
 	for _, sendable := range checker.sendable {
 		if sendable {
 			ready++
 		}
 	}
-	warmingUp := to.StartedAt > 0 && checker.now < to.StartedAt+checker.cfg.WarmUpDuration
-	most := checker.cfg.OverloadFactor * float64(len(checker.sends)) / float64(max(ready, 1))
+	inSlowStart := to.StartedAt > 0 && checker.now < to.StartedAt+checker.cfg.WarmUpDuration
+	most := checker.cfg.OverloadFactor * float64(len(checker.recentSends)) / float64(max(ready, 1))
 	most += 2 + 2*math.Sqrt(most)
-	if warmingUp && ready > 2 && float64(toThis) > most {
-		checker.t.Fatalf("endpoint %d, warming up, was sent %d of %d within %.0f ms, at most %.1f",
-			to.ID, toThis, len(checker.sends), checker.cfg.OverloadWindow, most)
+	if inSlowStart && ready > 2 && float64(toThis) > most {
+		checker.t.Fatalf("endpoint %d in slow start: got %d of %d attempts within %.0f ms, want %.1f at most",
+			to.ID, toThis, len(checker.recentSends), checker.cfg.OverloadWindow, most)
 	}
 }
 
-// answerGrace is how long after its deadline an answer may come: the time between two batches of events.
-const answerGrace Milliseconds = 16
+// responseGrace is how long after the deadline a final response may come: the time between two batches of events.
+const responseGrace Milliseconds = 16
 
-// checkFinalAnswer checks that a request gets one answer in time, and no rejection if it may have been
-// executed.
-func (checker *invariantChecker) checkFinalAnswer(a Action) {
-	o, c := checker.requests[a.Request], checker.cfg.Classes[checker.requests[a.Request].class]
-	if o.answered || checker.now > o.deadline+answerGrace {
-		checker.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, checker.now, o.deadline)
+// checkFinalResponse checks a final response against invariant 3.
+func (checker *invariantChecker) checkFinalResponse(a Action) {
+	req, class := checker.requests[a.Request], checker.cfg.Classes[checker.requests[a.Request].class]
+	if req.responded || checker.now > req.deadline+responseGrace {
+		checker.t.Fatalf("request %d: got a final response at %v (earlier response: %v), want the only one by %v",
+			a.Request, checker.now, req.responded, req.deadline)
 	}
-	o.answered = true
-	if a.Kind == FailRequest || c.Idempotency == Idempotent ||
-		c.Idempotency == IdempotencyKey && c.DedupScope == DedupAll {
+	req.responded = true
+	if a.Kind == FailRequest || class.Idempotency == Idempotent ||
+		class.Idempotency == IdempotencyKey && class.DedupScope == DedupAll {
 		return
 	}
-	for _, p := range o.attempts {
-		if !p.clean {
-			checker.t.Fatalf("request %d may have been executed and was rejected", a.Request)
+	for _, previous := range req.attempts {
+		if !previous.neverExecuted {
+			checker.t.Fatalf("request %d: got a rejection, want a failure as the request may have been executed",
+				a.Request)
 		}
 	}
 }
 
-// fireTimers fires the timers that are due, each at its own time.
+// fireTimers fires the timers that are due, each at the time for which it was set.
 func (checker *invariantChecker) fireTimers() {
 	end := checker.now
 	for {
 		next := -1
-		for i, p := range checker.timers {
-			if p.at <= end && (next < 0 || p.at < checker.timers[next].at) {
+		for i, timer := range checker.timers {
+			if timer.firesAt <= end && (next < 0 || timer.firesAt < checker.timers[next].firesAt) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		p := checker.timers[next]
+		timer := checker.timers[next]
 		checker.timers = append(checker.timers[:next], checker.timers[next+1:]...)
-		checker.now = p.at
-		checker.handle(TimerFired{Token: p.token})
+		checker.now = timer.firesAt
+		checker.handle(TimerFired{Token: timer.token})
 	}
 	checker.now = end
 }
 
-// hasOpenRequests reports whether any request has no answer yet.
+// hasOpenRequests reports whether any request has no final response yet.
 func (checker *invariantChecker) hasOpenRequests() bool {
-	for _, o := range checker.requests {
-		if !o.answered {
+	for _, req := range checker.requests {
+		if !req.responded {
 			return true
 		}
 	}
 	return false
 }
 
-// unusualSettings change a configuration and the number of endpoints.
+// unusualSettings maps a name to a function that changes a configuration and the number of endpoints.
 var unusualSettings = map[string]func(*Config, *int){
 	"one endpoint":    func(_ *Config, n *int) { *n = 1 },
-	"hundreds":        func(_ *Config, n *int) { *n = 300 },
+	"300 endpoints":   func(_ *Config, n *int) { *n = 300 },
 	"one attempt":     func(c *Config, _ *int) { c.MaxAttempts = 1 },
 	"no cancellation": func(c *Config, _ *int) { c.Cancellation = false },
 	"streams":         func(c *Config, _ *int) { c.Classes[idempotentClass].Streaming = true },
@@ -366,8 +376,8 @@
 	},
 }
 
-// Settings that the first deployments do not use: the checker verifies rules 1 to 3 in each run, and each
-// request is answered.
+// The invariants hold for settings that differ much from those of the other tests. No endpoint is in slow start
+// here, so that invariants 1 to 3 are checked. Each request gets a final response.
 func TestUnusualSettingsKeepInvariants(t *testing.T) {
 	for name, change := range unusualSettings {
 		t.Run(name, func(t *testing.T) {
@@ -378,7 +388,8 @@
 	}
 }
 
-// checkInvariants runs 400 requests of all classes under the checker and completes each after two others.
+// checkInvariants sends 400 requests of all classes with the checker. The attempts of each request are completed
+// after the next two requests.
 func checkInvariants(t *testing.T, cfg Config, count int) {
 	t.Helper()
 	checker := newInvariantChecker(t, rand.New(rand.NewSource(7)), cfg)
@@ -404,7 +415,8 @@
 		checker.fireTimers()
 	}
 	if checker.hasOpenRequests() || sent < 300 {
-		t.Fatalf("unanswered requests: %v; %d of 400 sent", checker.hasOpenRequests(), sent)
+		t.Fatalf("got open requests: %v, %d of 400 sent; want no open requests and at least 300 sent",
+			checker.hasOpenRequests(), sent)
 	}
 }
 
@@ -417,13 +429,13 @@
 	}
 }
 
-// finishAttempts completes the attempts in flight of a request.
+// finishAttempts completes the attempts in flight of a request with a successful response.
 func (checker *invariantChecker) finishAttempts(id RequestID) {
-	o := checker.requests[id]
-	for i := range o.attempts {
-		if a := &o.attempts[i]; a.live {
-			a.live, o.answered = false, true
-			checker.handle(Outcome{Request: id, Attempt: i, Endpoint: a.endpoint.ID, Duration: checker.now - a.sent,
+	req := checker.requests[id]
+	for i := range req.attempts {
+		if a := &req.attempts[i]; a.inFlight {
+			a.inFlight, req.responded = false, true
+			checker.handle(Outcome{Request: id, Attempt: i, Endpoint: a.endpoint.ID, Duration: checker.now - a.sentAt,
 				Finished: true})
 		}
 	}
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// A request without time left is rejected at once and never sent.
+// A request without any time left is rejected at once, and no attempt is sent.
 func TestExpiredRequestIsRejectedImmediately(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	actions := h.dispatch(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
 	if !hasAction(actions, RejectRequest) || hasAction(actions, SendAttempt) {
-		t.Fatalf("a request without time left: %+v", actions)
+		t.Fatalf("request without time left: got %+v, want a rejection and no attempt", actions)
 	}
 }
 
-// Without a ready endpoint a request waits and is rejected by its deadline.
+// While no endpoint is ready, a request waits. It is rejected at its deadline at the latest.
 func TestNoReadyEndpoint(t *testing.T) {
 	drained := newEndpoints(3)
 	for i := range drained {
@@ -25,7 +25,7 @@
 			h := newHarness(t, baseConfig(), endpoints...)
 			id, actions := h.request(nonIdempotentClass)
 			if hasAction(actions, SendAttempt) || !hasAction(actions, SetTimer) {
-				t.Fatalf("%s: %+v", name, actions)
+				t.Fatalf("%s: got %+v, want a timer and no attempt", name, actions)
 			}
 			rejected := false
 			for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
@@ -33,24 +33,25 @@
 				rejected = rejected || hasAction(h.dispatch(TimerFired{Token: uint64(id)}), RejectRequest)
 			}
 			if !rejected || len(h.b.requests) != 0 {
-				t.Fatalf("%s: rejected %v, %d requests left", name, rejected, len(h.b.requests))
+				t.Fatalf("%s: got rejected %v and %d open requests, want true and 0", name, rejected, len(h.b.requests))
 			}
 		})
 	}
 }
 
-// A timer that fires a rounding error too early is set again, or the request gets no answer at its deadline.
+// Rounding can make a timer fire slightly early. It must be set again, because otherwise the request would get no
+// final response at its deadline.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	id, _ := h.request(nonIdempotentClass)
 	h.now = h.b.requests[id].nextTimerAt - 1e-4
 	if actions := h.dispatch(TimerFired{Token: uint64(id)}); !hasAction(actions, SetTimer) {
-		t.Fatalf("no timer after an early one: %+v", actions)
+		t.Fatalf("after an early timer: got %+v, want another timer", actions)
 	}
 }
 
-// Once a streamed response has begun it belongs to the client: no deadline, no retry and no other answer
-// follows.
+// After a streamed response has started, the balancer neither enforces the deadline nor retries the request nor
+// sends another response.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Streaming = true
@@ -61,52 +62,53 @@
 	h.now += 5000
 	actions = h.dispatch(TimerFired{Token: uint64(id)})
 	if hasAction(actions, FailRequest) || hasAction(actions, RejectRequest) || hasAction(actions, SendAttempt) {
-		t.Fatalf("a started stream got %+v", actions)
+		t.Fatalf("after the start of a stream: got %+v, want no attempt and no final response", actions)
 	}
 	h.dispatch(Outcome{Request: id, Endpoint: target, Result: ConnReset, Duration: 5000, Finished: true})
 	if len(h.b.requests) != 0 {
-		t.Fatal("a finished stream is not released")
+		t.Fatalf("after the end of a stream: got %d open requests, want 0", len(h.b.requests))
 	}
 }
 
-// A response that has begun is done for its endpoint, however long the transfer of its body takes: it is no
-// load, does not make the endpoint slow, and is not cancelled for a retry.
+// The transfer of a response body may take long because of the client or the network. It must not count as load or
+// latency of the endpoint, and must not be cancelled for a retry.
 func TestSlowBodyTransferIsNotCountedAsLoad(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	for range 10 {
 		id, actions := h.request(idempotentClass)
 		if _, ok := sendTarget(h.answerHealthChecks(actions, 0, nil)); !ok {
-			t.Fatal("not sent")
+			t.Fatalf("got %+v, want an attempt once the health checks are complete", actions)
 		}
 		h.now += 20
 		h.dispatch(ResponseStarted{Request: id, Attempt: 0, Latency: 20})
 		if load := h.b.inFlightLoad(); load != 0 {
-			t.Fatalf("load of %v during the transfer of bodies", load)
+			t.Fatalf("during the transfer of a body: got a load of %v, want 0", load)
 		}
 		h.now += 230
 		actions = h.dispatch(TimerFired{Token: uint64(id)})
 		if hasAction(actions, CancelAttempt) || hasAction(actions, SendAttempt) || hasAction(actions, RejectRequest) {
-			t.Fatalf("during the transfer of a body: %v", actions)
+			t.Fatalf("during the transfer of a body: got %v, want no cancellation, attempt or rejection", actions)
 		}
 		h.finishAttempt(id, 0, OK, 250)
 	}
 	if got := h.b.classes[idempotentClass].meanLatency; got != 20 {
-		t.Errorf("mean latency of %v ms", got)
+		t.Errorf("got a mean latency of %v ms, want 20 ms", got)
 	}
 	_, actions := h.request(idempotentClass)
 	if _, ok := sendTarget(h.answerHealthChecks(actions, 2, nil)); !ok {
-		t.Error("rejected for the duration of transfers")
+		t.Error("got no attempt after slow transfers, want one as the responses started fast")
 	}
 	id, actions := h.request(idempotentClass)
 	target, _ := sendTarget(h.answerHealthChecks(actions, 0, nil))
 	h.dispatch(ResponseStarted{Request: id, Attempt: 0, Latency: 20})
 	if h.finishAttempt(id, 0, ConnReset, 30); h.b.endpoints.byID[target].outlier.consecutiveErrors != 1 {
-		t.Error("an interrupted response is no error")
+		t.Errorf("after an interrupted response: got %d consecutive errors, want 1",
+			h.b.endpoints.byID[target].outlier.consecutiveErrors)
 	}
 }
 
-// A process that was paused past a deadline finds a timer and a timeout of the attempt at once. Whichever
-// comes first, the request gets exactly one final answer.
+// After a pause of the process beyond a deadline, the timer of the request and the timeout of its attempt are due
+// at the same time. In either order, the request gets exactly one final response.
 func TestPauseBeyondDeadlineGivesOneAnswer(t *testing.T) {
 	for _, timerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("timer first %v", timerFirst), func(t *testing.T) {
@@ -124,23 +126,25 @@
 				h.dispatch(late)
 				h.dispatch(TimerFired{Token: uint64(id)})
 			}
-			answers := 0
+			responses := 0
 			for _, a := range h.actions {
 				switch a.Kind {
 				case FailRequest:
-					answers++
-				case SendAttempt, RejectRequest: // it may have been executed
-					t.Errorf("timer first %v: %+v", timerFirst, a)
+					responses++
+				case SendAttempt, RejectRequest: // not allowed, as the request may have been executed
+					t.Errorf("timer first %v: got %+v, want no attempt and no rejection", timerFirst, a)
 				}
 			}
-			if answers != 1 || len(h.b.requests) != 0 {
-				t.Errorf("timer first %v: %d answers, %d requests not released", timerFirst, answers, len(h.b.requests))
+			if responses != 1 || len(h.b.requests) != 0 {
+				t.Errorf("timer first %v: got %d final responses and %d open requests, want 1 and 0",
+					timerFirst, responses, len(h.b.requests))
 			}
 		})
 	}
 }
 
-// After the client has gone nothing is sent or answered any more, and attempts in flight still end.
+// After the client has disconnected, no attempt and no response is sent, and the request is released when its
+// attempt in flight has ended.
 func TestNothingFollowsClientGone(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	id, _ := h.request(idempotentClass)
@@ -153,15 +157,16 @@
 	h.dispatch(ClientGone{Request: id})
 	for _, a := range h.actions {
 		if a.Kind != CancelAttempt {
-			t.Errorf("after the client has gone: %+v", a)
+			t.Errorf("after the client disconnected: got %+v, want only CancelAttempt", a)
 		}
 	}
 	if len(h.b.requests) != 0 {
-		t.Error("the request is not released")
+		t.Errorf("after the client disconnected: got %d open requests, want 0", len(h.b.requests))
 	}
 }
 
-// Finished requests, removed endpoints and completed health checks are released, so that memory stays flat.
+// Finished requests, removed endpoints and completed health checks are released. Otherwise, memory use would grow
+// without limit.
 func TestFinishedStateIsReleased(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(5)...)
 	for i := range 20000 {
@@ -183,12 +188,13 @@
 	b := h.b
 	if len(b.requests) > 1 || len(b.endpoints.list) != 5 || len(b.endpoints.byID) != 5 ||
 		len(b.checks.awaiting) > 1 || cap(b.actions) > 100 {
-		t.Fatalf("%d requests, %d endpoints, %d by ID, %d waiting, room for %d actions",
+		t.Fatalf("got %d requests, %d endpoints, %d by ID, %d waiting, capacity for %d actions; "+
+			"want at most 1, exactly 5, exactly 5, at most 1, at most 100",
 			len(b.requests), len(b.endpoints.list), len(b.endpoints.byID), len(b.checks.awaiting), cap(b.actions))
 	}
 }
 
-// BenchmarkRequest measures a request from arrival to its outcome in fleets of several sizes.
+// BenchmarkRequest measures the handling of a request and its outcome with fleets of several sizes.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 300} {
 		b.Run(fmt.Sprintf("%d-endpoints", n), func(b *testing.B) {
@@ -209,7 +215,8 @@
 				if actions[0].Kind != SendAttempt {
 					continue
 				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Endpoint: actions[0].Endpoint, Duration: 4, Finished: true}); err != nil {
+				outcome := Outcome{Request: id, Endpoint: actions[0].Endpoint, Duration: 4, Finished: true}
+				if _, err := bal.Handle(now+4, outcome); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/balance/retrypolicy_test.go
+++ b/balance/retrypolicy_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What may follow a first attempt, for each class and result, within the deduplication window and after it: a
-// retry within the allowed scope, a rejection or a failure.
+// Tests for each class and result, within the dedup window and after it, that the end of a first attempt is followed
+// by a retry within the dedup scope, by a rejection or by a failure, as the idempotency of the class requires.
 func TestRetryAfterFirstAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, result := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnReset, Cancelled} {
@@ -19,20 +19,20 @@
 	}
 }
 
-// checkRetryAfterFirstAttempt ends the first attempt of a request with a result and checks the retry or the
-// final answer.
+// checkRetryAfterFirstAttempt ends the first attempt of a request with the given result and checks the retry or the
+// final response. late means that the attempt ends after the dedup window.
 func checkRetryAfterFirstAttempt(t *testing.T, class int, result Result, late bool) {
 	t.Helper()
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a retry is useful until the deadline
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // so that retries are useful until the deadline
 		cfg.Classes[i].DedupWindow = 200
 	}
 	h := newHarness(t, cfg, newEndpoints(8)...)
 	id, actions := h.request(class)
 	first, ok := sendTarget(actions)
 	if !ok {
-		t.Fatal("the request was not sent")
+		t.Fatalf("got %+v, want an attempt", actions)
 	}
 	if h.now += 100; late {
 		h.now += 200
@@ -42,24 +42,26 @@
 	mayRetry := c.Idempotency == Idempotent || result.NeverExecuted() || c.Idempotency == IdempotencyKey && !late
 	second, sent := sendTarget(actions)
 	if sent != mayRetry {
-		t.Fatalf("retried: %v, want %v (%+v)", sent, mayRetry, actions)
+		t.Fatalf("got a retry: %v, want %v (%+v)", sent, mayRetry, actions)
 	}
 	if !sent {
 		mayReject := c.Idempotency == IdempotencyKey && c.DedupScope == DedupAll
 		if hasAction(actions, RejectRequest) != mayReject || hasAction(actions, FailRequest) == mayReject {
-			t.Fatalf("rejection allowed: %v, got %+v", mayReject, actions)
+			t.Fatalf("got %+v, want a rejection: %v, otherwise a failure", actions, mayReject)
 		}
 		return
 	}
 	a, b := h.b.endpoints.byID[first], h.b.endpoints.byID[second]
-	dirty := !result.NeverExecuted()
-	if a == b || dirty && class == cellKeyClass && a.Cell != b.Cell || dirty && class == zoneKeyClass && a.Zone != b.Zone {
-		t.Fatalf("sent to %+v after %+v", b.Endpoint, a.Endpoint)
+	mayHaveExecuted := !result.NeverExecuted()
+	if a == b || mayHaveExecuted && class == cellKeyClass && a.Cell != b.Cell ||
+		mayHaveExecuted && class == zoneKeyClass && a.Zone != b.Zone {
+		t.Fatalf("got a retry at %+v after an attempt at %+v, want another endpoint in the dedup scope",
+			b.Endpoint, a.Endpoint)
 	}
 }
 
-// A rejection states that a request was not executed. A request with an attempt in flight at its deadline may
-// have been, so it has to fail instead.
+// A rejection tells the client that a retry is safe. A request with an attempt in flight at its deadline may have been
+// executed, so it must be failed instead.
 func TestPossiblyExecutedRequestIsNotRejected(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
@@ -67,49 +69,50 @@
 		h.now = h.b.requests[id].deadline
 		actions := h.dispatch(TimerFired{Token: uint64(id)})
 		if hasAction(actions, RejectRequest) || !hasAction(actions, FailRequest) {
-			t.Errorf("class %d at its deadline with an attempt in flight: %+v", class, actions)
+			t.Errorf("class %d at its deadline with an attempt in flight: got %+v, want a failure", class, actions)
 		}
 	}
 }
 
-// The configured number of attempts is never exceeded.
+// A request gets at most MaxAttempts attempts.
 func TestAttemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
 	h := newHarness(t, cfg, newEndpoints(4)...)
 	id, _ := h.request(idempotentClass)
-	if actions := h.finishAttempt(id, 0, Rejected, 1); hasAction(actions, SendAttempt) || !hasAction(actions, RejectRequest) {
-		t.Fatalf("after the only attempt allowed: %+v", actions)
+	actions := h.finishAttempt(id, 0, Rejected, 1)
+	if hasAction(actions, SendAttempt) || !hasAction(actions, RejectRequest) {
+		t.Fatalf("after the only attempt allowed: got %+v, want a rejection and no attempt", actions)
 	}
 }
 
-// A reset connection says nothing of load: an idempotent request is retried, up to a limit.
+// A connection reset is not a sign of overload: an idempotent request is retried up to maxResetRetries times.
 func TestConnectionResetsAreRetried(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(8)...)
 	id, _ := h.request(idempotentClass)
 	for i := range maxResetRetries {
 		if actions := h.finishAttempt(id, i, ConnReset, 1); !hasAction(actions, SendAttempt) {
-			t.Fatalf("after %d resets: %v", i+1, actions)
+			t.Fatalf("after %d resets: got %v, want an attempt", i+1, actions)
 		}
 	}
 	if actions := h.finishAttempt(id, maxResetRetries, ConnReset, 1); hasAction(actions, SendAttempt) {
-		t.Errorf("after %d resets: %v", maxResetRetries+1, actions)
+		t.Errorf("after %d resets: got %v, want no attempt", maxResetRetries+1, actions)
 	}
 }
 
-// Some endpoints lose part of the responses. A request that such an endpoint has overtaken by later ones is
-// retried elsewhere while that can still be in time; one that is merely slow is not, as more load would slow
-// down more of them.
+// Some endpoints lose responses. An overdue attempt is presumed lost if its endpoint responded to a later attempt, and
+// is retried at another endpoint while the response can still be in time. An attempt that is merely slow is not
+// retried, because the additional load would slow down more requests.
 func TestLostResponsesAreRetried(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		class   int
-		later   bool         // the endpoint completes later requests
-		after   Milliseconds // when its timer fires
-		retried bool
+		name      string
+		class     int
+		later     bool         // the endpoint responds to later attempts
+		after     Milliseconds // time from the attempt to the timer
+		wantRetry bool
 	}{
-		{"overtaken", idempotentClass, true, 100, true},
-		{"idempotency key, overtaken", globalKeyClass, true, 100, true},
+		{"presumed lost", idempotentClass, true, 100, true},
+		{"idempotency key, presumed lost", globalKeyClass, true, 100, true},
 		{"merely slow", idempotentClass, false, 100, false},
 		{"not idempotent", nonIdempotentClass, true, 100, false},
 		{"too late", idempotentClass, true, 290, false},
@@ -124,21 +127,21 @@
 			at, _ := sendTarget(actions)
 			sent := h.now
 			h.now += 10
-			for range 20 { // all stay open, so that all endpoints are equally loaded
+			for range 20 { // the others stay open, so that all endpoints are equally loaded
 				id, actions := h.request(c.class)
 				if to, _ := sendTarget(actions); to == at && c.later {
 					h.finishAttempt(id, 0, OK, 30)
 				}
 			}
 			h.now = sent + c.after
-			if got := hasAction(h.dispatch(TimerFired{Token: uint64(lost)}), CancelAttempt); got != c.retried {
-				t.Fatalf("cancelled: %v", got)
+			if got := hasAction(h.dispatch(TimerFired{Token: uint64(lost)}), CancelAttempt); got != c.wantRetry {
+				t.Fatalf("got a cancellation: %v, want %v", got, c.wantRetry)
 			}
-			if !c.retried {
+			if !c.wantRetry {
 				return
 			}
 			if to, ok := sendTarget(h.finishAttempt(lost, 0, Cancelled, c.after)); !ok || to == at {
-				t.Errorf("retried: %v, from %d to %d", ok, at, to)
+				t.Errorf("got a retry: %v, from endpoint %d to %d, want a retry at another endpoint", ok, at, to)
 			}
 		})
 	}
