--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -16,7 +16,7 @@
 	inFlightBefore float64
 }
 
-// noAttempt is an attempt index that cancelAttempts accepts to keep no attempt.
+// noAttempt is passed to cancelAttempts to cancel all attempts.
 const noAttempt = -1
 
 // presumedLost reports whether an overdue attempt is probably lost: the endpoint has responded to an attempt
@@ -84,8 +84,8 @@
 	b.connectFailures.record(ev.Result == ConnectFailed)
 }
 
-// onUploadComplete handles the end of an upload. The deadline and the latency of the request count from here,
-// and its attempts in flight are load of their endpoints only from here on.
+// onUploadComplete handles the end of an upload. The deadline and the latency of the request count from now
+// on. Its attempts in flight are counted as load only now, because an upload does not load the endpoint.
 func (b *Balancer) onUploadComplete(ev UploadComplete) {
 	req := b.requests[ev.Request]
 	if req == nil || req.done || !req.Uploading {
@@ -104,8 +104,8 @@
 	b.advance(req)
 }
 
-// onStreamStarted handles the start of a streamed response. From here on, the request has no deadline and is
-// not retried, because the client decides how long the stream lasts.
+// onStreamStarted handles the start of a streamed response. The request has no deadline from now on, because
+// the client decides how long the stream lasts, and is not retried.
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
 	req := b.requests[ev.Request]
 	if req == nil || req.done || req.streaming || ev.Attempt >= len(req.attempts) {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -11,8 +11,8 @@
 // timerTolerance is how much earlier than requested a timer may fire.
 const timerTolerance Milliseconds = 1
 
-// Balancer makes the load balancing decisions of one sidecar. It is not safe for concurrent use. The state of
-// each concern is in a type of its own; the methods of Balancer combine them.
+// Balancer makes the load balancing decisions of one sidecar. It is not safe for concurrent use. Each concern
+// keeps its state in a separate type; the methods of Balancer combine them.
 type Balancer struct {
 	cfg              Config
 	longestObjective Milliseconds // longest latency objective of all classes
--- a/balance/loadshedding.go
+++ b/balance/loadshedding.go
@@ -12,7 +12,8 @@
 	// steadyShedObjectives is the time constant of the steady fraction while requests are rare, as a multiple
 	// of the longest latency objective.
 	steadyShedObjectives = 2
-	// maxSteadyShedGain is the greatest change of the steady fraction at one request, in the same unit.
+	// maxSteadyShedGain is the greatest change of the steady fraction at one request, per unit of excess
+	// latency ratio.
 	maxSteadyShedGain = 0.5
 	// maxLateFractionMultiple limits the steady fraction to this multiple of the fraction of late responses,
 	// because shedding more load cannot make more responses timely.
@@ -34,7 +35,7 @@
 // loadShedder computes the fraction of the load that is shed: a steady fraction that follows the overload
 // slowly, adjusted at once by the current overload, up to a multiple of the steady fraction.
 type loadShedder struct {
-	steadyFraction float64      // of the load
+	steadyFraction float64      // steady fraction of the load to shed
 	lastRequestAt  Milliseconds // when the last request arrived
 }
 
--- a/balance/loadshedding_test.go
+++ b/balance/loadshedding_test.go
@@ -250,33 +250,34 @@
 	cfg := healthCheckConfig()
 	cfg.Costs.NewConnection, cfg.ConnIdleTimeout = 0.12, 10000
 	h := newHarness(t, cfg, newEndpoints(3)...)
-	var at EndpointID
+	var preferred EndpointID
 	for range 10 {
 		id, actions := h.request(idempotentClass)
-		at, _ = sendTarget(h.answerHealthChecks(actions, 0, nil))
+		preferred, _ = sendTarget(h.answerHealthChecks(actions, 0, nil))
 		h.now += 50
 		h.finishAttempt(id, 0, OK, 50)
 	}
 	for _, ep := range h.b.endpoints.list {
-		if ep.ID != at {
+		if ep.ID != preferred {
 			ep.activity.lastSendAt = never // the connections to the others were closed
 		}
 	}
 	h.now += 100
 	_, actions := h.request(idempotentClass)
-	var after []Action
+	var followUps []Action
 	for _, a := range actions {
 		if a.Kind == CheckHealth {
-			n := float32(1)
-			if a.Endpoint == at {
-				n = 9
+			inFlight := float32(1)
+			if a.Endpoint == preferred {
+				inFlight = 9
 			}
-			after = append(after, h.dispatch(HealthCheckResult{Endpoint: a.Endpoint, LoadReport: []float32{n}})...)
+			result := HealthCheckResult{Endpoint: a.Endpoint, LoadReport: []float32{inFlight}}
+			followUps = append(followUps, h.dispatch(result)...)
 		}
 	}
-	if target, ok := sendTarget(after); !ok || target == at {
+	if target, ok := sendTarget(followUps); !ok || target == preferred {
 		t.Errorf("got an attempt at endpoint %d: %v, rejected: %v; want an attempt at another endpoint than %d",
-			target, ok, hasAction(after, RejectRequest), at)
+			target, ok, hasAction(followUps, RejectRequest), preferred)
 	}
 }
 
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -36,8 +36,8 @@
 // An instance with about one request per second cannot estimate the load from its requests in flight, which coincide
 // by chance. Recent fast responses must prevent load shedding, and recent late responses must cause it.
 func TestLowTrafficInstanceShedsByRecentLatency(t *testing.T) {
-	for took, want := range map[Milliseconds][2]int{60: {0, 2}, 900: {20, 199}} {
-		t.Run(fmt.Sprintf("responses of %v ms", took), func(t *testing.T) {
+	for latency, want := range map[Milliseconds][2]int{60: {0, 2}, 900: {20, 199}} {
+		t.Run(fmt.Sprintf("responses of %v ms", latency), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(12)...)
 			rejected := 0
 			for range 100 {
@@ -52,16 +52,17 @@
 						rejected++
 					}
 				}
-				h.now += took
+				h.now += latency
 				for _, id := range []RequestID{id, secondID} {
 					if req := h.b.requests[id]; req != nil && req.inFlight > 0 {
-						h.finishAttempt(id, 0, OK, took)
+						h.finishAttempt(id, 0, OK, latency)
 					}
 				}
 				h.now += 900
 			}
 			if rejected < want[0] || rejected > want[1] {
-				t.Errorf("responses of %v ms: got %d of 200 rejected, want a number in %v", took, rejected, want)
+				t.Errorf("responses of %v ms: got %d of 200 rejected, want %d to %d",
+					latency, rejected, want[0], want[1])
 			}
 		})
 	}
@@ -125,8 +126,8 @@
 // When a third of the responses is lost, the overdue attempts are not counted as load while other responses are fast.
 // During an overload, the other responses are late as well, and overdue attempts count.
 func TestLostResponsesCauseNoShedding(t *testing.T) {
-	for took, want := range map[Milliseconds][2]int{40: {0, 20}, 900: {60, 399}} {
-		t.Run(fmt.Sprintf("responses of %v ms", took), func(t *testing.T) {
+	for latency, want := range map[Milliseconds][2]int{40: {0, 20}, 900: {60, 399}} {
+		t.Run(fmt.Sprintf("responses of %v ms", latency), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(12)...)
 			ends := map[RequestID]Milliseconds{} // end of each attempt in flight
 			rejected := 0
@@ -143,7 +144,7 @@
 						if end == req.deadline {
 							h.finishAttempt(id, 0, TimedOut, end-req.arrivedAt)
 						} else {
-							h.finishAttempt(id, 0, OK, took)
+							h.finishAttempt(id, 0, OK, latency)
 						}
 					}
 				}
@@ -154,12 +155,12 @@
 				case i%3 == 0: // its response is lost
 					ends[id] = req.deadline
 				default:
-					ends[id] = h.now + took
+					ends[id] = h.now + latency
 				}
 			}
 			if rejected < want[0] || rejected > want[1] {
-				t.Errorf("responses of %v ms, a third lost: got %d of 400 rejected, want a number in %v",
-					took, rejected, want)
+				t.Errorf("responses of %v ms, a third lost: got %d of 400 rejected, want %d to %d",
+					latency, rejected, want[0], want[1])
 			}
 		})
 	}
@@ -177,12 +178,12 @@
 			rejected++
 			continue
 		}
-		took := Milliseconds(210)
+		latency := Milliseconds(210)
 		if i%20 == 0 {
-			took = 400
+			latency = 400
 		}
-		h.now += took
-		h.finishAttempt(id, 0, OK, took)
+		h.now += latency
+		h.finishAttempt(id, 0, OK, latency)
 	}
 	if rejected > 150 { // 190 without the limit
 		t.Errorf("one in twenty responses late: got %d of 300 rejected, want 150 at most", rejected)
@@ -225,11 +226,11 @@
 		}
 		for attempt := 0; h.b.requests[id] != nil && attempt < len(h.b.requests[id].attempts); attempt++ {
 			h.now += 10
-			result, took := Rejected, Milliseconds(1)
+			result, latency := Rejected, Milliseconds(1)
 			if i%5 == 0 {
-				result, took = OK, 250
+				result, latency = OK, 250
 			}
-			h.finishAttempt(id, attempt, result, took)
+			h.finishAttempt(id, attempt, result, latency)
 		}
 	}
 	if rejected < 30 { // 0 before rejected attempts counted as late
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -100,8 +100,8 @@
 // randomConfig returns legal random values for all settings that affect decisions.
 func randomConfig(random *rand.Rand) Config {
 	cfg := baseConfig()
-	for c := range cfg.Classes {
-		class := &cfg.Classes[c]
+	for i := range cfg.Classes {
+		class := &cfg.Classes[i]
 		class.LatencyObjective = 50 + Milliseconds(700*random.Float64())
 		class.Deadline = class.LatencyObjective.scaled(1 + 4*random.Float64())
 		class.DedupWindow = 100 + Milliseconds(3000*random.Float64())
@@ -113,8 +113,10 @@
 	}
 	cfg.OverQuotaWeight, cfg.MinBatchInterval = random.Float64(), 1+Milliseconds(6*random.Float64())
 	cfg.Zone, cfg.ConnIdleTimeout = random.Intn(2), Milliseconds(20000*random.Float64())
-	cfg.WarmUpInitialFraction, cfg.WarmUpDuration = 0.1+0.4*random.Float64(), 3000+Milliseconds(20000*random.Float64())
-	cfg.OverloadFactor, cfg.OverloadWindow = 2+2*random.Float64(), 500+Milliseconds(2000*random.Float64())
+	cfg.WarmUpInitialFraction = 0.1 + 0.4*random.Float64()
+	cfg.WarmUpDuration = 3000 + Milliseconds(20000*random.Float64())
+	cfg.OverloadFactor = 2 + 2*random.Float64()
+	cfg.OverloadWindow = 500 + Milliseconds(2000*random.Float64())
 	cfg.Costs = Costs{CrossZone: 0.1 * random.Float64(), NewConnection: 0.05 * random.Float64(),
 		HealthCheck: 0.02 * random.Float64()}
 	return cfg
@@ -125,12 +127,12 @@
 	switch n := checker.random.Intn(20); {
 	case n < 9:
 		class := checker.random.Intn(len(checker.cfg.Classes))
-		left := checker.cfg.Classes[class].Deadline.scaled(checker.random.Float64())
+		remaining := checker.cfg.Classes[class].Deadline.scaled(checker.random.Float64())
 		if checker.random.Intn(20) == 0 {
-			left = 0
+			remaining = 0
 		}
-		checker.requests[id] = &trackedRequest{class: class, deadline: checker.now + left}
-		checker.handle(Request{ID: id, Class: class, Remaining: left})
+		checker.requests[id] = &trackedRequest{class: class, deadline: checker.now + remaining}
+		checker.handle(Request{ID: id, Class: class, Remaining: remaining})
 	case n < 17:
 		checker.finishRandomAttempt(id)
 	case n < 18:
@@ -143,11 +145,12 @@
 				LoadReport: []float32{float32(checker.random.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(checker.random.Intn(20)) // the balancer ignores an unknown or finished request
-		if req := checker.requests[gone]; req != nil {
+		// The balancer ignores an unknown or finished request.
+		disconnected := id - RequestID(checker.random.Intn(20))
+		if req := checker.requests[disconnected]; req != nil {
 			req.responded = true
 		}
-		checker.handle(ClientGone{Request: gone})
+		checker.handle(ClientGone{Request: disconnected})
 	}
 }
 
@@ -247,7 +250,7 @@
 		checker.t.Fatalf("request %d: got attempt number %d, want %d attempts at most",
 			a.Request, len(req.attempts)+1, checker.cfg.MaxAttempts)
 	}
-	to := *checker.endpoints[a.Endpoint]
+	target := *checker.endpoints[a.Endpoint]
 	for _, previous := range req.attempts {
 		if previous.inFlight {
 			checker.t.Fatalf("request %d: got a second attempt in flight, want one at most", a.Request)
@@ -255,42 +258,43 @@
 		if previous.neverExecuted || class.Idempotency == Idempotent {
 			continue
 		}
-		apart := class.DedupScope == DedupCell && previous.endpoint.Cell != to.Cell ||
-			class.DedupScope == DedupZone && previous.endpoint.Zone != to.Zone
-		if class.Idempotency == NonIdempotent || apart || checker.now >= previous.sentAt+class.DedupWindow {
+		outOfScope := class.DedupScope == DedupCell && previous.endpoint.Cell != target.Cell ||
+			class.DedupScope == DedupZone && previous.endpoint.Zone != target.Zone
+		if class.Idempotency == NonIdempotent || outOfScope || checker.now >= previous.sentAt+class.DedupWindow {
 			checker.t.Fatalf("request %d: got a retry at endpoint %d, want none there as it may have been executed",
 				a.Request, a.Endpoint)
 		}
 	}
-	req.attempts = append(req.attempts, trackedAttempt{endpoint: to, sentAt: checker.now, inFlight: true})
-	checker.checkSlowStart(to)
+	req.attempts = append(req.attempts, trackedAttempt{endpoint: target, sentAt: checker.now, inFlight: true})
+	checker.checkSlowStart(target)
 }
 
 // checkSlowStart checks that an endpoint in slow start gets no more attempts within the overload window than the
 // overload factor times the average over the ready endpoints, plus a tolerance for random variation.
-func (checker *invariantChecker) checkSlowStart(to Endpoint) {
-	kept, toThis := checker.recentSends[:0], 1
+func (checker *invariantChecker) checkSlowStart(target Endpoint) {
+	kept, targetSends := checker.recentSends[:0], 1
 	for _, send := range checker.recentSends {
 		if send.sentAt > checker.now-checker.cfg.OverloadWindow {
 			kept = append(kept, send)
-			if send.endpoint == to.ID && send.sentAt >= to.StartedAt { // earlier ones went to a previous incarnation
-				toThis++
+			// Earlier attempts went to a previous incarnation.
+			if send.endpoint == target.ID && send.sentAt >= target.StartedAt {
+				targetSends++
 			}
 		}
 	}
-	checker.recentSends = append(kept, recentSend{to.ID, checker.now})
+	checker.recentSends = append(kept, recentSend{target.ID, checker.now})
 	ready := 0
 	for _, sendable := range checker.sendable {
 		if sendable {
 			ready++
 		}
 	}
-	inSlowStart := to.StartedAt > 0 && checker.now < to.StartedAt+checker.cfg.WarmUpDuration
-	most := checker.cfg.OverloadFactor * float64(len(checker.recentSends)) / float64(max(ready, 1))
-	most += 2 + 2*math.Sqrt(most)
-	if inSlowStart && ready > 2 && float64(toThis) > most {
+	inSlowStart := target.StartedAt > 0 && checker.now < target.StartedAt+checker.cfg.WarmUpDuration
+	maxSends := checker.cfg.OverloadFactor * float64(len(checker.recentSends)) / float64(max(ready, 1))
+	maxSends += 2 + 2*math.Sqrt(maxSends) // two attempts and two standard deviations of random variation
+	if inSlowStart && ready > 2 && float64(targetSends) > maxSends {
 		checker.t.Fatalf("endpoint %d in slow start: got %d of %d attempts within %.0f ms, want %.1f at most",
-			to.ID, toThis, len(checker.recentSends), checker.cfg.OverloadWindow, most)
+			target.ID, targetSends, len(checker.recentSends), checker.cfg.OverloadWindow, maxSends)
 	}
 }
 
--- a/balance/request.go
+++ b/balance/request.go
@@ -7,7 +7,7 @@
 	class       *Class
 	stats       *classStats
 	tenant      *requestCounter
-	arrivedAt   Milliseconds // when its body was complete; never: the upload is not complete
+	arrivedAt   Milliseconds // when it arrived or its upload ended; never: the upload is not complete
 	deadline    Milliseconds // never: the upload is not complete
 	attempts    []*attempt
 	inFlight    int          // attempts in flight
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -4,7 +4,7 @@
 // class and on whether an earlier attempt may have been executed:
 //
 //	                  not executed           possibly executed
-//	                  (NeverExecuted)        (in flight, timed out, reset, error response)
+//	                  (NeverExecuted)        (in flight, timed out, reset, cancelled, error response)
 //	Idempotent        retry at any endpoint  retry at any endpoint
 //	IdempotencyKey    retry at any endpoint  retry within DedupWindow, at endpoints of the same DedupScope
 //	NonIdempotent     retry at any endpoint  no retry
@@ -18,7 +18,7 @@
 	// maxRetriesExceptResets limits the retries of a request, not counting retries after broken connections.
 	// More retries would multiply the load on an overloaded fleet.
 	maxRetriesExceptResets = 1
-	// maxResetRetries limits the retries of a request after broken connections. The limit is higher because a
+	// maxResetRetries limits the retries of a request after broken connections. It is higher, because a
 	// broken connection is not a sign of overload. mustEnd applies it.
 	maxResetRetries = 3
 )
@@ -131,8 +131,8 @@
 	return b.waitingIsUseless(req)
 }
 
-// waitingIsUseless reports whether a request has missed its latency objective and the client can safely retry
-// it.
+// waitingIsUseless reports whether it is better to reject a request than to wait for an endpoint: the request
+// has missed its latency objective, and the client can safely retry it.
 func (b *Balancer) waitingIsUseless(req *request) bool {
 	return b.now >= req.arrivedAt+req.class.LatencyObjective && req.clientMayRetry()
 }
--- a/balance/retrypolicy_test.go
+++ b/balance/retrypolicy_test.go
@@ -105,11 +105,11 @@
 // retried, because the additional load would slow down more requests.
 func TestLostResponsesAreRetried(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		class     int
-		later     bool         // the endpoint responds to later attempts
-		after     Milliseconds // time from the attempt to the timer
-		wantRetry bool
+		name          string
+		class         int
+		laterResponse bool         // the endpoint responds to later attempts
+		timerDelay    Milliseconds // time from the attempt to the timer
+		wantRetry     bool
 	}{
 		{"presumed lost", idempotentClass, true, 100, true},
 		{"idempotency key, presumed lost", globalKeyClass, true, 100, true},
@@ -123,25 +123,27 @@
 				id, _ := h.request(c.class)
 				h.finishAttempt(id, 0, OK, 30)
 			}
-			lost, actions := h.request(c.class)
-			at, _ := sendTarget(actions)
-			sent := h.now
+			lostID, actions := h.request(c.class)
+			lostTarget, _ := sendTarget(actions)
+			sentAt := h.now
 			h.now += 10
 			for range 20 { // the others stay open, so that all endpoints are equally loaded
 				id, actions := h.request(c.class)
-				if to, _ := sendTarget(actions); to == at && c.later {
+				if target, _ := sendTarget(actions); target == lostTarget && c.laterResponse {
 					h.finishAttempt(id, 0, OK, 30)
 				}
 			}
-			h.now = sent + c.after
-			if got := hasAction(h.dispatch(TimerFired{Token: uint64(lost)}), CancelAttempt); got != c.wantRetry {
+			h.now = sentAt + c.timerDelay
+			if got := hasAction(h.dispatch(TimerFired{Token: uint64(lostID)}), CancelAttempt); got != c.wantRetry {
 				t.Fatalf("got a cancellation: %v, want %v", got, c.wantRetry)
 			}
 			if !c.wantRetry {
 				return
 			}
-			if to, ok := sendTarget(h.finishAttempt(lost, 0, Cancelled, c.after)); !ok || to == at {
-				t.Errorf("got a retry: %v, from endpoint %d to %d, want a retry at another endpoint", ok, at, to)
+			target, ok := sendTarget(h.finishAttempt(lostID, 0, Cancelled, c.timerDelay))
+			if !ok || target == lostTarget {
+				t.Errorf("got a retry: %v, from endpoint %d to %d, want a retry at another endpoint",
+					ok, lostTarget, target)
 			}
 		})
 	}
