--- a/balance/events.go
+++ b/balance/events.go
@@ -13,7 +13,7 @@
 const (
 	Ready    EndpointState = iota // accepts requests
 	Draining                      // finishes what it has, and accepts nothing new
-	Gone                          // does not exist any more
+	Gone                          // no longer exists
 )
 
 // Endpoint is an entry of the endpoint list.
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -55,7 +55,7 @@
 }
 
 // Requests stay open during two reconfigurations that each remove a class. Their own class has no index in the state
-// of the endpoints any more. They must be retried and finished like all others, and must not change the scores of
+// of the endpoints after that. They must be retried and finished like all others, and must not change the scores of
 // classes that are added later.
 func TestOpenRequestOutlastsReconfigurations(t *testing.T) {
 	read := Class{LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1}
