--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -4,7 +4,7 @@
 
 // perform performs the actions that the balancer returned, in their order. They are valid until the balancer's next call, so
 // that no action may call it: what follows from one at once is posted as a local event.
-func (l *Loop) perform(actions []balance.Action) {
+func (l *Loop) performActions(actions []balance.Action) {
 	for i := range actions {
 		l.performAction(&actions[i])
 	}
--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -18,10 +18,10 @@
 	}
 	incoming.Request.ID = req.id
 	l.settings.Translate(incoming.Settings, &incoming.Request)
-	req.subtractQueueTime(l.clock.now - l.clock.milliseconds(incoming.ReceivedAt))
+	req.subtractQueueTime(l.clock.now - l.clock.toMilliseconds(incoming.ReceivedAt))
 	l.requests.add(req)
-	if !req.uploading() {
-		l.beginDeadline(req, incoming.ReceivedAt)
+	if !req.isUploading() {
+		l.startDeadline(req, incoming.ReceivedAt)
 	}
 	l.notifyBalancer(incoming.Request)
 }
@@ -30,11 +30,11 @@
 func (l *Loop) finishUpload(attempt *upstream.Attempt) {
 	attempt.SentAt = l.clock.now
 	req := l.requests.byID[attempt.RequestID]
-	if req == nil || !req.uploading() {
+	if req == nil || !req.isUploading() {
 		return
 	}
 	req.markUploadSent()
-	l.beginDeadline(req, l.clock.timeOf(l.clock.now))
+	l.startDeadline(req, l.clock.toTime(l.clock.now))
 	l.notifyBalancer(balance.UploadComplete{
 		Request:       req.id,
 		Remaining:     req.exchange.Request.Remaining,
@@ -42,10 +42,10 @@
 	})
 }
 
-// beginDeadline sets the deadline of a request that was complete at a moment, and the timer that fails the request if the
+// setDeadline sets the deadline of a request that was complete at a moment, and the timer that fails the request if the
 // balancer does not finish it in time.
-func (l *Loop) beginDeadline(req *request, completeAt time.Time) {
+func (l *Loop) startDeadline(req *request, completeAt time.Time) {
 	l.limitLateRequest(req, completeAt)
-	req.beginDeadline(l.clock.now)
+	req.setDeadline(l.clock.now)
 	l.timers.schedule(timer{dueAt: req.deadline + deadlineSlack, request: req})
 }
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -17,13 +17,13 @@
 	}
 	attempt := l.newAttempt(req, action)
 	req.attempts.add(attempt)
-	if !req.open() || attempt.Endpoint == nil || req.attempts.overLimit() {
-		l.inbox.postLocal(attemptEnd{attempt: attempt, ending: upstream.Ending{Result: balance.NotAttempted}})
+	if !req.isOpen() || attempt.Endpoint == nil || req.attempts.overLimit() {
+		l.inbox.postLocal(attemptEnded{attempt: attempt, ending: upstream.Ending{Result: balance.NotAttempted}})
 		return
 	}
-	l.running.Go(func() {
+	l.goroutines.Go(func() {
 		ending := l.upstreamClient.Do(attempt)
-		l.inbox.post(attemptEnd{attempt: attempt, ending: ending, endedAt: time.Now()})
+		l.inbox.post(attemptEnded{attempt: attempt, ending: ending, endedAt: time.Now()})
 	})
 }
 
@@ -38,7 +38,7 @@
 		Endpoint:        l.endpoints.byID[action.Endpoint],
 		Message:         req.exchange.Message,
 		SentAt:          l.clock.now,
-		Deadline:        l.clock.timeOf(req.attemptDeadline(l.clock.now, action.Deadline)),
+		Deadline:        l.clock.toTime(req.attemptDeadline(l.clock.now, action.Deadline)),
 		TimeAfterUpload: req.timeAfterUpload(l.clock.now).Duration(),
 		Observer:        l,
 		LoopDone:        l.ctx.Done(),
--- a/internal/eventloop/attemptset.go
+++ b/internal/eventloop/attemptset.go
@@ -2,12 +2,12 @@
 
 import "cindersaddle/internal/upstream"
 
-// attemptSet holds the attempts of one request. Each attempt that is added ends exactly once, by an attemptEnd event; inFlight
+// attemptSet holds the attempts of one request. Each attempt that is added ends exactly once, by an attemptEnded event; inFlight
 // is the number of those that have not, so that the request may be released when it is 0.
 type attemptSet struct {
-	byNumber []*upstream.Attempt // nil once the request is released
-	inFlight int
-	limit    int // most attempts that may be sent
+	byNumber    []*upstream.Attempt // nil once the request is released
+	inFlight    int
+	maxAttempts int // most attempts that may be sent
 }
 
 // add adds the next attempt. It is in flight until markEnded is called for it.
@@ -20,7 +20,7 @@
 func (s *attemptSet) markEnded() { s.inFlight-- }
 
 // overLimit reports whether the attempt that was added last may not be sent.
-func (s *attemptSet) overLimit() bool { return len(s.byNumber) > s.limit }
+func (s *attemptSet) overLimit() bool { return len(s.byNumber) > s.maxAttempts }
 
 // get returns an attempt by its number, or nil if there is none.
 func (s *attemptSet) get(number int) *upstream.Attempt {
--- a/internal/eventloop/balancer.go
+++ b/internal/eventloop/balancer.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		l.log.Error("balancer failed to handle an event", "event", fmt.Sprintf("%T", ev), "error", err)
 	}
-	l.perform(actions)
+	l.performActions(actions)
 }
 
 // callBalancer calls the balancer. It guards against a panic of the balancer, which would end the process and lose all open
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -10,25 +10,25 @@
 // the system's clock do not show. started and epoch do not change, so that the conversions are safe in any goroutine; now
 // belongs to the loop, and does not decrease.
 type clock struct {
-	started time.Time            // the origin
-	epoch   balance.Milliseconds // the origin in Unix milliseconds
-	now     balance.Milliseconds // the time of the batch of events that is being handled; 0 before the first
+	origin     time.Time            // the origin
+	originUnix balance.Milliseconds // the origin in Unix milliseconds
+	now        balance.Milliseconds // the time of the batch of events that is being handled; 0 before the first
 }
 
 // newClock returns a clock with the given origin.
 func newClock(started time.Time) clock {
-	return clock{started: started, epoch: wallMilliseconds(started)}
+	return clock{origin: started, originUnix: wallMilliseconds(started)}
 }
 
 // update sets now to the present moment.
-func (c *clock) update() { c.now = c.milliseconds(time.Now()) }
+func (c *clock) update() { c.now = c.toMilliseconds(time.Now()) }
 
 // milliseconds converts a moment to the loop's time.
-func (c *clock) milliseconds(moment time.Time) balance.Milliseconds {
-	return c.epoch + balance.MillisecondsOf(moment.Sub(c.started))
+func (c *clock) toMilliseconds(moment time.Time) balance.Milliseconds {
+	return c.originUnix + balance.MillisecondsOf(moment.Sub(c.origin))
 }
 
-// timeOf converts a point in the loop's time to a moment, which is on the monotonic clock.
-func (c *clock) timeOf(point balance.Milliseconds) time.Time {
-	return c.started.Add((point - c.epoch).Duration())
+// toTime converts a point in the loop's time to a moment, which is on the monotonic clock.
+func (c *clock) toTime(point balance.Milliseconds) time.Time {
+	return c.origin.Add((point - c.originUnix).Duration())
 }
--- a/internal/eventloop/clocksteps_faults_test.go
+++ b/internal/eventloop/clocksteps_faults_test.go
@@ -23,7 +23,7 @@
 	successor.clock.update()
 	successor.TakeOverFrom(state)
 	successor.cfg.KnownEndpoints = state.List
-	successor.applyList(endpointListUpdate{list: &successor.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
+	successor.applyEndpointList(endpointListUpdate{list: &successor.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
 	successor.importState()
 	learned := successor.balancer.ExportState(successor.clock.now)
 	if age := successor.clock.now - learned.Endpoints[0].WarmUpSince; age < 0 || age > 10e3 {
--- a/internal/eventloop/clocksteps_test.go
+++ b/internal/eventloop/clocksteps_test.go
@@ -31,11 +31,11 @@
 		"ahead of all clocks":          {0, now + 2*hour, now, 0},
 		"started long before the step": {hour, now - 20*hour, now - 20*hour, 0},
 	} {
-		var steps clockSteps
+		var steps clockOffsets
 		steps.observe(began, began)
 		steps.observe(began+10e3, began+10e3+test.step)
 		steps.observe(now, now+test.step)
-		if got := steps.startedAt(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.tolerance) {
+		if got := steps.convertStartTime(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.tolerance) {
 			t.Errorf("%s: started %v ms before now, want %v", name, now-got, now-test.want)
 		}
 	}
@@ -43,16 +43,16 @@
 
 // The wall clock is stepped every second. The differences that are remembered must be bounded, and must not last.
 func TestClockDifferencesAreForgotten(t *testing.T) {
-	var steps clockSteps
+	var steps clockOffsets
 	for i := range 100 {
 		moment := 1e12 + balance.Milliseconds(i)*1000
 		steps.observe(moment, moment+balance.Milliseconds(i)*hour)
 	}
-	if len(steps.differences) > maxClockDifferences {
-		t.Errorf("%d differences remembered, want at most %d", len(steps.differences), maxClockDifferences)
+	if len(steps.offsets) > maxClockOffsets {
+		t.Errorf("%d differences remembered, want at most %d", len(steps.offsets), maxClockOffsets)
 	}
-	now := balance.Milliseconds(1e12 + 200e3 + clockStepMemory)
-	if got, want := steps.startedAt(now+98*hour, now), now-hour; got != want {
+	now := balance.Milliseconds(1e12 + 200e3 + clockOffsetRetention)
+	if got, want := steps.convertStartTime(now+98*hour, now), now-hour; got != want {
 		t.Errorf("start at %v, want %v", got, want)
 	}
 }
@@ -64,9 +64,9 @@
 	endpoint := l.endpoints.byName["s-1"]
 	address := endpoint.Address.Load()
 
-	l.clockSteps.observe(l.clock.now, l.clock.now-hour)
+	l.clockOffsets.observe(l.clock.now, l.clock.now-hour)
 	listed.StartedAt = l.clock.now - hour - 1000
-	restarted := l.balancerEndpoint(l.updateEndpoint(&listed), &listed)
+	restarted := l.toBalancerEndpoint(l.updateEndpoint(&listed), &listed)
 	if endpoint.Address.Load() == address {
 		t.Error("connections to the previous incarnation are still used")
 	}
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -31,7 +31,7 @@
 //	requestIndex    the requests that are not released, each a request with its requestState and attemptSet
 //	endpointTable   the endpoints that discovery lists
 //	listVersion     which endpoint list that is
-//	clockSteps      differences between wall clock and loop clock
+//	clockOffsets      differences between wall clock and loop clock
 //	logLimiter      when a failed call to discovery was logged last
 //
 // The loop also owns a group of fields of each upstream.Attempt; newAttempt, finishUpload and startStream write them.
--- a/internal/eventloop/endpointconversion.go
+++ b/internal/eventloop/endpointconversion.go
@@ -11,13 +11,13 @@
 func (l *Loop) resendEndpoints() {
 	update := balance.EndpointUpdate{Kind: balance.UpdateDelta}
 	for _, endpoint := range l.endpoints.sorted() {
-		update.Endpoints = append(update.Endpoints, l.balancerEndpoint(endpoint, &endpoint.Listed))
+		update.Endpoints = append(update.Endpoints, l.toBalancerEndpoint(endpoint, &endpoint.Listed))
 	}
 	l.notifyBalancer(update)
 }
 
-// balancerEndpoint returns a listed endpoint in the balancer's form.
-func (l *Loop) balancerEndpoint(endpoint *upstream.Endpoint, listed *membership.Endpoint) balance.Endpoint {
+// toBalancerEndpoint returns a listed endpoint in the balancer's form.
+func (l *Loop) toBalancerEndpoint(endpoint *upstream.Endpoint, listed *membership.Endpoint) balance.Endpoint {
 	return balance.Endpoint{
 		ID:          endpoint.ID,
 		State:       listed.State(),
--- a/internal/eventloop/endpointlist.go
+++ b/internal/eventloop/endpointlist.go
@@ -8,25 +8,25 @@
 	"cindersaddle/internal/upstream"
 )
 
-// applyList applies an endpoint list to the table and passes it to the balancer.
-func (l *Loop) applyList(ev endpointListUpdate, kind balance.UpdateKind) {
-	l.list = l.list.next(ev, kind)
+// applyEndpointList applies an endpoint list to the table and passes it to the balancer.
+func (l *Loop) applyEndpointList(ev endpointListUpdate, kind balance.UpdateKind) {
+	l.listVersion = l.listVersion.next(ev, kind)
 	l.observeClocks()
-	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEndpoints(ev.list.Endpoints)}
+	update := balance.EndpointUpdate{Kind: kind, Endpoints: l.applyEntries(ev.list.Endpoints)}
 	if kind != balance.UpdateDelta {
 		l.removeUnlisted(ev.list.Endpoints)
 	}
-	l.service.Ready.Store(l.endpoints.len() > 0)
+	l.serviceState.Ready.Store(l.endpoints.len() > 0)
 	l.notifyBalancer(update)
 }
 
-// applyEndpoints adds, updates and removes the listed endpoints, and returns them as the balancer needs them.
-func (l *Loop) applyEndpoints(list []membership.Endpoint) []balance.Endpoint {
+// applyEntries adds, updates and removes the listed endpoints, and returns them as the balancer needs them.
+func (l *Loop) applyEntries(list []membership.Endpoint) []balance.Endpoint {
 	var updates []balance.Endpoint
 	for i := range list {
 		listed := &list[i]
 		endpoint := l.updateEndpoint(listed)
-		updates = append(updates, l.balancerEndpoint(endpoint, listed))
+		updates = append(updates, l.toBalancerEndpoint(endpoint, listed))
 		if listed.State() != balance.Ready {
 			l.stopSending(endpoint)
 		}
@@ -61,7 +61,7 @@
 	address := endpoint.Address.Load()
 	restarted := hasRestarted(endpoint, listed)
 	if restarted || address == nil {
-		endpoint.StartedAt = l.clockSteps.startedAt(listed.StartedAt, l.clock.now)
+		endpoint.StartedAt = l.clockOffsets.convertStartTime(listed.StartedAt, l.clock.now)
 	}
 	if address == nil || restarted || *address != listed.Address {
 		current := strings.Clone(listed.Address) // a substring would keep the text of the whole list in memory
--- a/internal/eventloop/endpointtable_test.go
+++ b/internal/eventloop/endpointtable_test.go
@@ -25,7 +25,7 @@
 		l := newTestLoop(t)
 		l.upstreamClient = newTestUpstream(t)
 		for _, i := range order {
-			l.applyList(endpointListUpdate{list: &membership.EndpointList{Endpoints: endpoints[i : i+1]}}, balance.UpdateDelta)
+			l.applyEndpointList(endpointListUpdate{list: &membership.EndpointList{Endpoints: endpoints[i : i+1]}}, balance.UpdateDelta)
 		}
 		ids := map[string]balance.EndpointID{}
 		for name, endpoint := range l.endpoints.byName {
@@ -58,7 +58,7 @@
 		for i := range list.Endpoints {
 			list.Endpoints[i].ID += fmt.Sprint(round)
 		}
-		l.applyList(endpointListUpdate{&list, "127.0.0.1:2"}, 0)
+		l.applyEndpointList(endpointListUpdate{&list, "127.0.0.1:2"}, 0)
 	}
 	if grown := int64(heapBytes()) - int64(before); grown > maxBytes || l.endpoints.len() != endpointCount {
 		t.Errorf("%d endpoints take %d bytes, want %d endpoints in %d bytes at most", l.endpoints.len(), grown, endpointCount, maxBytes)
--- a/internal/eventloop/events_discovery.go
+++ b/internal/eventloop/events_discovery.go
@@ -20,7 +20,7 @@
 	if ev.list.Complete {
 		kind = balance.UpdateSnapshot
 	}
-	l.applyList(ev, kind)
+	l.applyEndpointList(ev, kind)
 }
 
 // ListReceived posts a list from the discovery at the address source.
@@ -28,11 +28,11 @@
 	l.inbox.post(endpointListUpdate{list: list, source: source})
 }
 
-// endpointListFailure is a call to discovery that failed.
-type endpointListFailure struct{ err error }
+// endpointListFailed is a call to discovery that failed.
+type endpointListFailed struct{ err error }
 
-func (ev endpointListFailure) apply(l *Loop) {
-	if l.failureLog.allow(l.clock.now) {
+func (ev endpointListFailed) apply(l *Loop) {
+	if l.discoveryFailureLog.allow(l.clock.now) {
 		l.log.Info("endpoint list not received", "error", ev.err)
 	}
 	if l.cfg.Balance.PolledDiscovery { // otherwise discovery calls again by itself, without the balancer
@@ -42,5 +42,5 @@
 
 // ListFailed posts that a call to discovery failed.
 func (l *Loop) ListFailed(err error) {
-	l.inbox.post(endpointListFailure{err: err})
+	l.inbox.post(endpointListFailed{err: err})
 }
--- a/internal/eventloop/events_upstream.go
+++ b/internal/eventloop/events_upstream.go
@@ -21,56 +21,56 @@
 	l.inbox.post(uploadSent{attempt: attempt})
 }
 
-// responseStart is the moment when the first part of a good response arrived.
-type responseStart struct {
+// responseStarted is the moment when the first part of a good response arrived.
+type responseStarted struct {
 	attempt   *upstream.Attempt
 	startedAt time.Time
 }
 
-func (ev responseStart) apply(l *Loop) {
+func (ev responseStarted) apply(l *Loop) {
 	l.notifyBalancer(balance.ResponseStarted{
 		Request: ev.attempt.RequestID,
 		Attempt: ev.attempt.Number,
-		Latency: l.clock.milliseconds(ev.startedAt) - ev.attempt.SentAt,
+		Latency: l.clock.toMilliseconds(ev.startedAt) - ev.attempt.SentAt,
 	})
 }
 
 // ResponseStarted posts that the first part of a good response arrived.
 func (l *Loop) ResponseStarted(attempt *upstream.Attempt, startedAt time.Time) {
-	l.inbox.post(responseStart{attempt: attempt, startedAt: startedAt})
+	l.inbox.post(responseStarted{attempt: attempt, startedAt: startedAt})
 }
 
-// streamStart is a long response whose first bytes are ready for the client.
-type streamStart struct {
+// streamStarted is a long response whose first bytes are ready for the client.
+type streamStarted struct {
 	attempt   *upstream.Attempt
 	response  *exchange.Response
 	startedAt time.Time
 }
 
-func (ev streamStart) apply(l *Loop) { l.startStream(ev) }
+func (ev streamStarted) apply(l *Loop) { l.startStream(ev) }
 
 // StreamStarted posts a long response, whose Download is read while it arrives.
 func (l *Loop) StreamStarted(attempt *upstream.Attempt, response *exchange.Response, startedAt time.Time) {
-	l.inbox.post(streamStart{attempt: attempt, response: response, startedAt: startedAt})
+	l.inbox.post(streamStarted{attempt: attempt, response: response, startedAt: startedAt})
 }
 
-// attemptEnd is the end of an attempt.
-type attemptEnd struct {
+// attemptEnded is the end of an attempt.
+type attemptEnded struct {
 	attempt *upstream.Attempt
 	ending  upstream.Ending
 	endedAt time.Time // zero for an attempt that was not made
 }
 
-func (ev attemptEnd) apply(l *Loop) { l.endAttempt(ev) }
+func (ev attemptEnded) apply(l *Loop) { l.endAttempt(ev) }
 
-// healthCheckEnd is the end of a health check.
-type healthCheckEnd struct {
+// healthCheckEnded is the end of a health check.
+type healthCheckEnded struct {
 	endpoint *upstream.Endpoint
 	ending   upstream.Ending
 	duration balance.Milliseconds
 }
 
-func (ev healthCheckEnd) apply(l *Loop) {
+func (ev healthCheckEnded) apply(l *Loop) {
 	l.notifyBalancer(balance.HealthCheckResult{
 		Endpoint:   ev.endpoint.ID,
 		Result:     ev.ending.Result,
--- a/internal/eventloop/failingdiscovery_test.go
+++ b/internal/eventloop/failingdiscovery_test.go
@@ -36,10 +36,10 @@
 
 // failingDiscovery serves the list before until downAt. From upAt on it serves the list after, in which an endpoint drains.
 type failingDiscovery struct {
-	downAt, upAt  time.Time
-	mode          failureMode
-	before, after membership.EndpointList
-	ctx           context.Context
+	downAt, upAt          time.Time
+	mode                  failureMode
+	listBefore, listAfter membership.EndpointList
+	ctx                   context.Context
 }
 
 func (d *failingDiscovery) isDown() bool {
@@ -78,23 +78,23 @@
 	if time.Now().Before(d.downAt) {
 		query := req.URL.Query()
 		if !query.Has("from") {
-			return writeList(conn, d.before)
+			return writeList(conn, d.listBefore)
 		}
 		hold, _ := time.ParseDuration(query.Get("hold_ms") + "ms")
 		if time.Now().Add(hold).Before(d.downAt) {
 			timing.Sleep(d.ctx, hold)
-			return writeList(conn, membership.EndpointList{Revision: d.before.Revision})
+			return writeList(conn, membership.EndpointList{Revision: d.listBefore.Revision})
 		}
 		timing.Sleep(d.ctx, time.Until(d.downAt))
 	}
 	if d.isDown() {
 		return d.fail(conn)
 	}
-	if req.URL.Query().Get("from") == fmt.Sprint(d.after.Revision) {
+	if req.URL.Query().Get("from") == fmt.Sprint(d.listAfter.Revision) {
 		<-d.ctx.Done()
 		return false
 	}
-	return writeList(conn, d.after)
+	return writeList(conn, d.listAfter)
 }
 
 // fail handles a call during the outage, and reports whether the connection stays open.
@@ -109,7 +109,7 @@
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{")
 	case lateResponse:
 		timing.Sleep(d.ctx, 10*time.Second)
-		return writeList(conn, d.before)
+		return writeList(conn, d.listBefore)
 	}
 	<-d.ctx.Done()
 	return false
--- a/internal/eventloop/finish.go
+++ b/internal/eventloop/finish.go
@@ -9,9 +9,9 @@
 
 // finish gives a request its final response, or none (nil) if the client side has ended it. Only the first call for a request
 // has an effect, and a nil request is ignored. This is the only place that sends a response to a client: a good one comes
-// from finishWithEnding or startStream, all others from unserved.go.
+// from finishAfterAttempt or startStream, all others from unserved.go.
 func (l *Loop) finish(req *request, response *exchange.Response) {
-	if req == nil || !req.open() {
+	if req == nil || !req.isOpen() {
 		return
 	}
 	streaming := response != nil && response.Download != nil
@@ -29,8 +29,8 @@
 	l.releaseIfEnded(req)
 }
 
-// endStream counts a request whose long response has ended.
-func (l *Loop) endStream(req *request, outcome balance.Result) {
+// finishStream counts a request whose long response has ended.
+func (l *Loop) finishStream(req *request, outcome balance.Result) {
 	if req.state != stateStreaming {
 		return
 	}
@@ -47,7 +47,7 @@
 
 // releaseIfEnded forgets a request that has ended and of which nothing is in flight.
 func (l *Loop) releaseIfEnded(req *request) {
-	if req.releasable() {
+	if req.canRelease() {
 		l.requests.remove(req)
 		req.release()
 	}
--- a/internal/eventloop/finish_test.go
+++ b/internal/eventloop/finish_test.go
@@ -19,7 +19,7 @@
 	l.requests.byExchange[incoming] = req
 	l.timers.schedule(timer{dueAt: l.clock.now, request: req})
 	l.fireTimers()
-	l.perform([]balance.Action{{Kind: balance.RejectRequest, Request: 1}, {Kind: balance.FailRequest, Request: 1}})
+	l.performActions([]balance.Action{{Kind: balance.RejectRequest, Request: 1}, {Kind: balance.FailRequest, Request: 1}})
 	l.finish(req, textResponse(200, "late"))
 	if response := sidecartest.Next(t, incoming.Responses); response.Status != 504 {
 		t.Errorf("status %d, want 504", response.Status)
@@ -35,10 +35,10 @@
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	l := newTestLoop(t)
 	l.upstreamClient = newTestUpstream(t)
-	l.applyList(completeList(server.Addr), balance.UpdateSnapshot)
-	incoming := newTestExchange(l, l.clock.started)
+	l.applyEndpointList(singleEndpointList(server.Addr), balance.UpdateSnapshot)
+	incoming := newTestExchange(l, l.clock.origin)
 	l.registerRequest(incoming)
-	sidecartest.Next(t, l.inbox.posted).apply(l) // the end of its attempt
+	sidecartest.Next(t, l.inbox.events).apply(l) // the end of its attempt
 	if response := sidecartest.Next(t, incoming.Responses); response.Status != 200 {
 		t.Fatalf("status %d, want 200", response.Status)
 	}
@@ -58,7 +58,7 @@
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
 	responses := req.exchange.Responses
-	l.finishWithEnding(req, &upstream.Ending{Result: balance.NotAttempted, ClientDisconnected: true})
+	l.finishAfterAttempt(req, &upstream.Ending{Result: balance.NotAttempted, ClientDisconnected: true})
 	select {
 	case response := <-responses:
 		if !response.Abort {
--- a/internal/eventloop/handover.go
+++ b/internal/eventloop/handover.go
@@ -11,12 +11,12 @@
 )
 
 // TakeOverFrom sets the state that the predecessor in an upgrade has learned; nil: there is none. It comes before Run.
-func (l *Loop) TakeOverFrom(predecessor *upgrade.State) { l.predecessor = predecessor }
+func (l *Loop) TakeOverFrom(predecessor *upgrade.State) { l.predecessorState = predecessor }
 
-// stateExport is a call for the learned state, for the successor in an upgrade.
-type stateExport struct{ state chan<- *upgrade.State }
+// stateRequested is a call for the learned state, for the successor in an upgrade.
+type stateRequested struct{ reply chan<- *upgrade.State }
 
-func (ev stateExport) apply(l *Loop) { ev.state <- l.exportState() }
+func (ev stateRequested) apply(l *Loop) { ev.reply <- l.exportState() }
 
 // StateTimeoutError is returned by ExportState when the loop is too busy to respond, or has ended.
 type StateTimeoutError struct{ Timeout time.Duration }
@@ -30,7 +30,7 @@
 // upgrade.StateTimeout; the error is a StateTimeoutError. Any goroutine but the loop's may call it.
 func (l *Loop) ExportState() (*upgrade.State, error) {
 	exported := make(chan *upgrade.State, 1)
-	l.inbox.post(stateExport{state: exported})
+	l.inbox.post(stateRequested{reply: exported})
 	select {
 	case state := <-exported:
 		return state, nil
@@ -45,12 +45,12 @@
 	state := &upgrade.State{
 		Version:   upgrade.StateVersion,
 		Listen:    l.cfg.Listen,
-		Discovery: l.list.source,
-		List:      membership.EndpointList{Revision: l.list.revision, Complete: l.list.complete},
+		Discovery: l.listVersion.source,
+		List:      membership.EndpointList{Revision: l.listVersion.revision, Complete: l.listVersion.complete},
 		Classes:   l.settings.ClassNames,
 		Tenants:   l.settings.TenantNames,
 		Learned:   l.balancer.ExportState(l.clock.now),
-		WallAhead: l.clockSteps.wallAhead(),
+		WallAhead: l.clockOffsets.wallAhead(),
 	}
 	for _, endpoint := range l.endpoints.sorted() {
 		state.List.Endpoints = append(state.List.Endpoints, endpoint.Listed)
@@ -60,16 +60,16 @@
 
 // importState gives the balancer what the predecessor has learned, if there is one.
 func (l *Loop) importState() {
-	if l.predecessor == nil {
+	if l.predecessorState == nil {
 		return
 	}
 	// Its times are on the clock of the predecessor, which does not follow steps of the wall clock.
-	l.predecessor.Learned.ShiftTimes(l.predecessor.WallAhead - l.clockSteps.wallAhead())
+	l.predecessorState.Learned.ShiftTimes(l.predecessorState.WallAhead - l.clockOffsets.wallAhead())
 	l.balancer.ImportState(
 		l.clock.now,
-		l.predecessor.Learned,
-		exchange.PreviousIndexes(l.settings.ClassNames, config.IndexByName(l.predecessor.Classes)),
-		exchange.PreviousIndexes(l.settings.TenantNames, config.IndexByName(l.predecessor.Tenants)),
+		l.predecessorState.Learned,
+		exchange.PreviousIndexes(l.settings.ClassNames, config.IndexByName(l.predecessorState.Classes)),
+		exchange.PreviousIndexes(l.settings.TenantNames, config.IndexByName(l.predecessorState.Tenants)),
 	)
-	l.predecessor = nil
+	l.predecessorState = nil
 }
--- a/internal/eventloop/healthchecks.go
+++ b/internal/eventloop/healthchecks.go
@@ -13,9 +13,9 @@
 		return
 	}
 	sentAt := l.clock.now
-	l.running.Go(func() {
+	l.goroutines.Go(func() {
 		ending := l.upstreamClient.CheckHealth(l.ctx, endpoint)
-		duration := l.clock.milliseconds(time.Now()) - sentAt
-		l.inbox.post(healthCheckEnd{endpoint: endpoint, ending: ending, duration: duration})
+		duration := l.clock.toMilliseconds(time.Now()) - sentAt
+		l.inbox.post(healthCheckEnded{endpoint: endpoint, ending: ending, duration: duration})
 	})
 }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -30,10 +30,10 @@
 }
 
 // newOpenRequest returns a request of newTestExchange that the loop knows, but its balancer does not.
-func newOpenRequest(l *Loop) *request { return openExchange(l, newTestExchange(l, time.Now())) }
+func newOpenRequest(l *Loop) *request { return addRequest(l, newTestExchange(l, time.Now())) }
 
-// openExchange returns the request of an exchange, as newOpenRequest does.
-func openExchange(l *Loop, incoming *exchange.Exchange) *request {
+// addRequest returns the request of an exchange, as newOpenRequest does.
+func addRequest(l *Loop, incoming *exchange.Exchange) *request {
 	l.clock.update()
 	req := newRequest(l.requests.nextID(), incoming)
 	l.requests.add(req)
@@ -66,8 +66,8 @@
 	}
 }
 
-// completeList returns an endpoint list with one ready endpoint.
-func completeList(address string) endpointListUpdate {
+// singleEndpointList returns an endpoint list with one ready endpoint.
+func singleEndpointList(address string) endpointListUpdate {
 	endpoints := []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", address)}
 	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: endpoints}}
 }
@@ -76,7 +76,7 @@
 func runUntilResponse(l *Loop, incoming *exchange.Exchange) {
 	for len(incoming.Responses) == 0 {
 		select {
-		case ev := <-l.inbox.posted:
+		case ev := <-l.inbox.events:
 			l.clock.update()
 			ev.apply(l)
 		case <-time.After(time.Millisecond):
@@ -96,6 +96,6 @@
 	listed := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
 	listed.StartedAt = l.clock.now - age
 	list := &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{listed}}
-	l.applyList(endpointListUpdate{list: list}, balance.UpdateSnapshot)
+	l.applyEndpointList(endpointListUpdate{list: list}, balance.UpdateSnapshot)
 	return l, listed
 }
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -8,7 +8,7 @@
 
 // logFailedAttempt logs an attempt that brought no good response. duration is from its sending to its end, or to the start of
 // its response if that was streamed.
-func (l *Loop) logFailedAttempt(req *request, ev *attemptEnd, duration balance.Milliseconds) {
+func (l *Loop) logFailedAttempt(req *request, ev *attemptEnded, duration balance.Milliseconds) {
 	if ev.ending.Result == balance.OK {
 		return
 	}
@@ -19,15 +19,15 @@
 	l.log.Info("attempt failed",
 		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "endpoint", endpoint,
 		"outcome", ev.ending.Result, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
-		"client_disconnected", ev.ending.ClientDisconnected, "request_done", !req.open(), "error", ev.ending.Err)
+		"client_disconnected", ev.ending.ClientDisconnected, "request_done", !req.isOpen(), "error", ev.ending.Err)
 }
 
 // logUnserved logs why a request gets no endpoint's response. It logs nothing if the request has its final response already.
 func (l *Loop) logUnserved(req *request, level slog.Level, reason unservedReason) {
-	if req == nil || !req.open() {
+	if req == nil || !req.isOpen() {
 		return
 	}
 	l.log.Log(l.ctx, level, "request not served", "reason", reason, "request", req.exchange.TraceID,
 		"attempts", len(req.attempts.byNumber), "in_flight", req.attempts.inFlight,
-		"uploading", req.uploading(), "remaining_ms", req.remaining(l.clock.now))
+		"uploading", req.isUploading(), "remaining_ms", req.remaining(l.clock.now))
 }
--- a/internal/eventloop/log_test.go
+++ b/internal/eventloop/log_test.go
@@ -27,7 +27,7 @@
 	l.watcher = discovery.NewWatcher(l.cfg, l)
 	for range 40 { // ten seconds
 		l.clock.now += 250
-		endpointListFailure{errors.New("no answer")}.apply(l)
+		endpointListFailed{errors.New("no answer")}.apply(l)
 	}
 	if got := strings.Count(text.String(), "endpoint list not received"); got != 10 {
 		t.Errorf("%d log lines in ten seconds, want 10", got)
@@ -40,14 +40,14 @@
 	for reason, end := range map[unservedReason]func(*Loop, *request){
 		reasonRejected:           func(l *Loop, req *request) { l.rejectRequest(req, 0) },
 		reasonFailed:             func(l *Loop, req *request) { l.failRequest(req) },
-		reasonClientDisconnected: func(l *Loop, req *request) { l.endDisconnected(req.exchange) },
+		reasonClientDisconnected: func(l *Loop, req *request) { l.handleDisconnect(req.exchange) },
 		reasonDeadlineExceeded:   func(l *Loop, req *request) { l.expireRequest(req) },
 	} {
 		var text strings.Builder
 		l := newLoggingLoop(t, &text)
 		req := newOpenRequest(l)
 		end(l, req)
-		l.perform([]balance.Action{{Kind: balance.RejectRequest, Request: req.id}, {Kind: balance.FailRequest, Request: req.id}})
+		l.performActions([]balance.Action{{Kind: balance.RejectRequest, Request: req.id}, {Kind: balance.FailRequest, Request: req.id}})
 		want := fmt.Sprintf("reason=%s request=7 ", reason)
 		if strings.Contains(string(reason), " ") {
 			want = fmt.Sprintf("reason=%q request=7 ", reason)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -23,27 +23,27 @@
 	ctx            context.Context // ends Run and all attempts
 	upstreamClient *upstream.Client
 	watcher        *discovery.Watcher
-	service        *exchange.ServiceState // shared with the other packages
+	serviceState   *exchange.ServiceState // shared with the other packages
 	metrics        *metrics.Metrics       // shared with the other packages
 	log            *slog.Logger
 
-	inbox   inbox
-	running sync.WaitGroup // goroutines of attempts and health checks; only the loop adds to it
+	inbox      inbox
+	goroutines sync.WaitGroup // goroutines of attempts and health checks; only the loop adds to it
 
 	// The fields below belong to the goroutine of Run.
 
-	balancer    *balance.Balancer
-	cfg         *config.Config     // in force; replaced by applyConfig only
-	settings    *exchange.Settings // those of cfg, for new requests
-	predecessor *upgrade.State     // learned by the predecessor in an upgrade; nil: there is none, or Run has imported it
+	balancer         *balance.Balancer
+	cfg              *config.Config     // in force; replaced by applyConfig only
+	settings         *exchange.Settings // those of cfg, for new requests
+	predecessorState *upgrade.State     // learned by the predecessor in an upgrade; nil: there is none, or Run has imported it
 
-	clock      clock
-	timers     timerQueue
-	requests   requestIndex
-	endpoints  endpointTable
-	list       listVersion
-	clockSteps clockSteps
-	failureLog logLimiter // of failed calls to discovery
+	clock               clock
+	timers              timerQueue
+	requests            requestIndex
+	endpoints           endpointTable
+	listVersion         listVersion
+	clockOffsets        clockOffsets
+	discoveryFailureLog logLimiter // of failed calls to discovery
 }
 
 // New returns a loop that runs until ctx is done. Attach must be called before Run.
@@ -51,20 +51,20 @@
 	ctx context.Context, cfg *config.Config, service *exchange.ServiceState, registry *metrics.Metrics, log *slog.Logger,
 ) *Loop {
 	l := &Loop{
-		ctx:        ctx,
-		service:    service,
-		metrics:    registry,
-		log:        log,
-		inbox:      newInbox(ctx.Done()),
-		balancer:   balance.New(cfg.Balance),
-		cfg:        cfg,
-		settings:   exchange.NewSettings(cfg, registry),
-		clock:      newClock(time.Now()),
-		requests:   newRequestIndex(),
-		endpoints:  newEndpointTable(),
-		failureLog: logLimiter{interval: failureLogInterval},
+		ctx:                 ctx,
+		serviceState:        service,
+		metrics:             registry,
+		log:                 log,
+		inbox:               newInbox(ctx.Done()),
+		balancer:            balance.New(cfg.Balance),
+		cfg:                 cfg,
+		settings:            exchange.NewSettings(cfg, registry),
+		clock:               newClock(time.Now()),
+		requests:            newRequestIndex(),
+		endpoints:           newEndpointTable(),
+		discoveryFailureLog: logLimiter{interval: discoveryFailureLogInterval},
 	}
-	l.service.Settings.Store(l.settings)
+	l.serviceState.Settings.Store(l.settings)
 	return l
 }
 
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// finishEvent finishes a request with a good response, as the end of an attempt does.
-type finishEvent struct{ request *request }
+// requestFinished finishes a request with a good response, as the end of an attempt does.
+type requestFinished struct{ request *request }
 
-func (ev finishEvent) apply(l *Loop) { l.finish(ev.request, textResponse(http.StatusOK, "served")) }
+func (ev requestFinished) apply(l *Loop) { l.finish(ev.request, textResponse(http.StatusOK, "served")) }
 
 // A response has arrived and waits in the inbox when the deadline of its request is due, because the process did not run for a
 // moment. The response must be handled first: it was in time, and its request must not fail.
@@ -17,7 +17,7 @@
 	req := newOpenRequest(l)
 	responses := req.exchange.Responses
 	l.timers.schedule(timer{dueAt: l.clock.now, request: req})
-	l.inbox.post(finishEvent{req})
+	l.inbox.post(requestFinished{req})
 	l.handleBatch(nil)
 	l.fireTimers()
 	if response := <-responses; response.Status != http.StatusOK {
--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -18,16 +18,16 @@
 
 // drainCase is how a sidecar follows discovery, and when it starts.
 type drainCase struct {
-	polled     bool          // the balancer polls discovery; otherwise lists are pushed
-	knownList  bool          // it starts with a complete list
-	startDelay time.Duration // from the start of the outage to that of the sidecar; 0: it runs long before
+	polled         bool          // the balancer polls discovery; otherwise lists are pushed
+	startsWithList bool          // it starts with a complete list
+	startDelay     time.Duration // from the start of the outage to that of the sidecar; 0: it runs long before
 }
 
 // limit returns within which time after an outage of the given length the sidecar must notice a drain. The service counts a
 // drain as announced 6 s after discovery has it and can be reached, whatever a failed or aborted call allows: nothing new may
 // be sent to the endpoint from then on. Pushed lists count at once, and the grace period is all the time there is, but for a
 // watch that a short outage interrupted.
-func (c drainCase) limit(mode failureMode, outage time.Duration) time.Duration {
+func (c drainCase) maxNoticeDelay(mode failureMode, outage time.Duration) time.Duration {
 	const announced, grace = 6 * time.Second, 250 * time.Millisecond // as in the settings
 	limit := announced
 	switch {
@@ -48,17 +48,17 @@
 func TestDrainIsNoticedInTimeAfterDiscoveryOutage(t *testing.T) {
 	for _, mode := range failureModes {
 		for name, c := range map[string]drainCase{
-			"pushed":              {polled: false, knownList: true, startDelay: 0},
-			"pushed, restarted":   {polled: false, knownList: true, startDelay: time.Second},
-			"pushed, first start": {polled: false, knownList: false, startDelay: time.Second},
-			"polled":              {polled: true, knownList: true, startDelay: 0},
-			"polled, restarted":   {polled: true, knownList: true, startDelay: time.Second},
-			"polled, first start": {polled: true, knownList: false, startDelay: time.Second},
+			"pushed":              {polled: false, startsWithList: true, startDelay: 0},
+			"pushed, restarted":   {polled: false, startsWithList: true, startDelay: time.Second},
+			"pushed, first start": {polled: false, startsWithList: false, startDelay: time.Second},
+			"polled":              {polled: true, startsWithList: true, startDelay: 0},
+			"polled, restarted":   {polled: true, startsWithList: true, startDelay: time.Second},
+			"polled, first start": {polled: true, startsWithList: false, startDelay: time.Second},
 		} {
 			t.Run(string(mode)+", "+name, func(t *testing.T) {
 				for outage := 200 * time.Millisecond; outage < 22*time.Second; outage += 1130 * time.Millisecond {
 					synctest.Test(t, func(t *testing.T) {
-						limit := c.limit(mode, outage)
+						limit := c.maxNoticeDelay(mode, outage)
 						if took := timeToNoticeDrain(t, c, mode, outage); took > limit {
 							t.Errorf("outage of %v: drain noticed after %v, want %v at most", outage, took, limit)
 						}
@@ -79,8 +79,8 @@
 	cfg.Balance.InstanceCount = 60
 	cfg.Balance.InstanceIndex = 7
 	cfg.Balance.MaxPollInterval = 10000
-	cfg.KnownEndpoints.Revision = agent.before.Revision
-	cfg.KnownEndpoints.Complete = c.knownList
+	cfg.KnownEndpoints.Revision = agent.listBefore.Revision
+	cfg.KnownEndpoints.Complete = c.startsWithList
 
 	l := New(ctx, cfg, &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.DiscardHandler))
 	client := upstream.NewClient(upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116}), nil, "", l.metrics)
@@ -113,11 +113,11 @@
 		downAt = downAt.Add(5*time.Second + 7*outage%(4200*time.Millisecond))
 	}
 	return &failingDiscovery{
-		mode:   mode,
-		ctx:    ctx,
-		downAt: downAt,
-		upAt:   downAt.Add(outage),
-		before: membership.EndpointList{Revision: 41, Complete: true, Endpoints: []membership.Endpoint{first, second}},
-		after:  membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{draining, second}},
+		mode:       mode,
+		ctx:        ctx,
+		downAt:     downAt,
+		upAt:       downAt.Add(outage),
+		listBefore: membership.EndpointList{Revision: 41, Complete: true, Endpoints: []membership.Endpoint{first, second}},
+		listAfter:  membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{draining, second}},
 	}
 }
--- a/internal/eventloop/reload.go
+++ b/internal/eventloop/reload.go
@@ -21,13 +21,13 @@
 		case <-ctx.Done():
 			return
 		}
-		next, err := loadReplacement(running)
+		next, err := reloadConfig(running)
 		if err != nil {
 			l.metrics.ReloadErrors.Add(1)
 			l.log.Error("configuration reload failed, keeping the running configuration", "error", err)
 			continue
 		}
-		if !l.switchConfig(ctx, next) {
+		if !l.replaceConfig(ctx, next) {
 			return
 		}
 		l.metrics.Reloads.Add(1)
@@ -37,8 +37,8 @@
 	}
 }
 
-// loadReplacement loads the configuration that is to replace the running one.
-func loadReplacement(running *config.Config) (*config.Config, error) {
+// reloadConfig loads the configuration that is to replace the running one.
+func reloadConfig(running *config.Config) (*config.Config, error) {
 	next, err := running.Reload()
 	if err != nil {
 		return nil, err
@@ -49,21 +49,21 @@
 	return next, nil
 }
 
-// configChange is a new configuration.
-type configChange struct {
-	cfg  *config.Config
-	done chan<- struct{} // closed when it is in force
+// configLoaded is a new configuration.
+type configLoaded struct {
+	cfg     *config.Config
+	applied chan<- struct{} // closed when it is in force
 }
 
-func (ev configChange) apply(l *Loop) {
+func (ev configLoaded) apply(l *Loop) {
 	l.applyConfig(ev.cfg)
-	close(ev.done)
+	close(ev.applied)
 }
 
-// switchConfig puts a configuration in force and returns when that is done; false: ctx was done before.
-func (l *Loop) switchConfig(ctx context.Context, next *config.Config) bool {
+// replaceConfig puts a configuration in force and returns when that is done; false: ctx was done before.
+func (l *Loop) replaceConfig(ctx context.Context, next *config.Config) bool {
 	done := make(chan struct{})
-	l.inbox.post(configChange{cfg: next, done: done})
+	l.inbox.post(configLoaded{cfg: next, applied: done})
 	select {
 	case <-done:
 		return true
@@ -77,7 +77,7 @@
 func (l *Loop) applyConfig(next *config.Config) {
 	previous := l.cfg
 	previousSettings := l.settings
-	copyRestartOnly(next, previous)
+	copyRestartOnlySettings(next, previous)
 	l.cfg = next
 	l.settings = exchange.NewSettings(next, l.metrics)
 	l.balancer.Reconfigure(
@@ -85,15 +85,15 @@
 		exchange.PreviousIndexes(l.settings.ClassNames, previousSettings.ClassIndex),
 		exchange.PreviousIndexes(l.settings.TenantNames, previousSettings.TenantIndex),
 	)
-	l.service.Settings.Store(l.settings)
+	l.serviceState.Settings.Store(l.settings)
 	if !maps.Equal(previous.ZoneIndex, next.ZoneIndex) || !maps.Equal(previous.MachineTypeIndex, next.MachineTypeIndex) {
 		l.resendEndpoints()
 	}
 }
 
-// copyRestartOnly copies to next what only a restart can change: the seed, the times of connections, the way that discovery
+// copyRestartOnlySettings copies to next what only a restart can change: the seed, the times of connections, the way that discovery
 // is followed, the form of load reports and the admin address.
-func copyRestartOnly(next, running *config.Config) {
+func copyRestartOnlySettings(next, running *config.Config) {
 	next.Balance.Seed = running.Balance.Seed
 	next.Balance.ConnIdleTimeout = running.Balance.ConnIdleTimeout
 	next.Balance.ConnectTimeout = running.Balance.ConnectTimeout
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -52,20 +52,20 @@
 		state:    state,
 		exchange: incoming,
 		counters: incoming.Settings.Counters[incoming.Request.Class],
-		attempts: attemptSet{limit: incoming.Settings.MaxAttempts},
+		attempts: attemptSet{maxAttempts: incoming.Settings.MaxAttempts},
 	}
 }
 
 // open reports whether the request has no final response yet.
-func (r *request) open() bool { return r.state == stateUploading || r.state == stateWaiting }
+func (r *request) isOpen() bool { return r.state == stateUploading || r.state == stateWaiting }
 
 // uploading reports whether the end of its long body has not been sent.
-func (r *request) uploading() bool { return r.state == stateUploading }
+func (r *request) isUploading() bool { return r.state == stateUploading }
 
 // markUploadSent ends stateUploading: the last byte of the long body has been sent. Remaining counts from now on.
 func (r *request) markUploadSent() {
 	r.state = stateWaiting
-	r.exchange.Request.Remaining = r.timeFromLastByte()
+	r.exchange.Request.Remaining = r.remainingFromLastByte()
 }
 
 // markFinished records the final response of an open request.
@@ -81,8 +81,8 @@
 func (r *request) markStreamEnded() { r.state = stateDone }
 
 // releasable reports whether the request can be forgotten.
-func (r *request) releasable() bool {
-	return !r.open() && r.state != stateReleased && r.attempts.inFlight == 0
+func (r *request) canRelease() bool {
+	return !r.isOpen() && r.state != stateReleased && r.attempts.inFlight == 0
 }
 
 // release frees what the request refers to. Its timer refers to the request until its deadline, long after the response;
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -14,8 +14,8 @@
 	if req.state != want {
 		t.Errorf("state %d, want %d", req.state, want)
 	}
-	if open := want == stateUploading || want == stateWaiting; req.open() != open {
-		t.Errorf("open %v in state %d", req.open(), want)
+	if open := want == stateUploading || want == stateWaiting; req.isOpen() != open {
+		t.Errorf("open %v in state %d", req.isOpen(), want)
 	}
 }
 
@@ -27,7 +27,7 @@
 	incoming.Request.Uploading = true
 	incoming.Message.Upload = &exchange.Upload{}
 	l.metrics.PendingRequests.Add(1)
-	req := openExchange(l, incoming)
+	req := addRequest(l, incoming)
 	expectState(t, req, stateUploading)
 
 	attempt, cancelled := addAttempt(l, req), addAttempt(l, req)
@@ -35,13 +35,13 @@
 	expectState(t, req, stateWaiting)
 
 	download := &exchange.Download{Done: make(chan error, 1), Cancel: attempt.Cancel}
-	streamStart{attempt: attempt, response: &exchange.Response{Status: 200, Download: download}, startedAt: time.Now()}.apply(l)
+	streamStarted{attempt: attempt, response: &exchange.Response{Status: 200, Download: download}, startedAt: time.Now()}.apply(l)
 	expectState(t, req, stateStreaming)
 	if pending := l.metrics.PendingRequests.Load(); pending != 1 {
 		t.Errorf("%d pending requests during the response, want 1", pending)
 	}
 
-	end := attemptEnd{attempt: attempt, endedAt: time.Now()}
+	end := attemptEnded{attempt: attempt, endedAt: time.Now()}
 	end.ending.Result = balance.OK
 	end.apply(l)
 	expectState(t, req, stateDone)
@@ -64,9 +64,9 @@
 	incoming := newTestExchange(l, time.Now())
 	incoming.Request.Uploading = true
 	incoming.Message.Upload = &exchange.Upload{}
-	req := openExchange(l, incoming)
+	req := addRequest(l, incoming)
 	attempt := addAttempt(l, req)
-	l.endDisconnected(incoming)
+	l.handleDisconnect(incoming)
 	expectState(t, req, stateDone)
 	l.finishUpload(attempt)
 	expectState(t, req, stateDone)
--- a/internal/eventloop/requesttime.go
+++ b/internal/eventloop/requesttime.go
@@ -9,8 +9,8 @@
 	maxUploadTime balance.Milliseconds = 60 * 60 * 1000
 )
 
-// beginDeadline sets the deadline of a request that is complete: its client waits for Remaining from now on.
-func (r *request) beginDeadline(now balance.Milliseconds) {
+// setDeadline sets the deadline of a request that is complete: its client waits for Remaining from now on.
+func (r *request) setDeadline(now balance.Milliseconds) {
 	r.deadline = now + r.exchange.Request.Remaining
 }
 
@@ -20,8 +20,8 @@
 	incoming.Remaining = max(0, incoming.Remaining-queued)
 }
 
-// limitTime bounds the time of a request that came late in a shutdown by what the shutdown allows.
-func (r *request) limitTime(allowed balance.Milliseconds) {
+// limitToShutdown bounds the time of a request that came late in a shutdown by what the shutdown allows.
+func (r *request) limitToShutdown(allowed balance.Milliseconds) {
 	r.lateInShutdown = true
 	incoming := &r.exchange.Request
 	incoming.Remaining = max(0, min(incoming.Remaining, allowed))
@@ -29,7 +29,7 @@
 
 // remaining returns how long the client of an open request still waits. While its body is on its way, its time has not begun.
 func (r *request) remaining(now balance.Milliseconds) balance.Milliseconds {
-	if r.uploading() {
+	if r.isUploading() {
 		return r.exchange.Request.Remaining
 	}
 	return r.deadline - now
@@ -37,15 +37,15 @@
 
 // timeAfterUpload returns how long an attempt that begins now may take from the last byte of the request on.
 func (r *request) timeAfterUpload(now balance.Milliseconds) balance.Milliseconds {
-	if r.uploading() {
-		return r.timeFromLastByte()
+	if r.isUploading() {
+		return r.remainingFromLastByte()
 	}
 	return max(0, r.deadline-now)
 }
 
-// timeFromLastByte returns how long the client of a request with a long body waits at least, from now on if the last byte has
+// remainingFromLastByte returns how long the client of a request with a long body waits at least, from now on if the last byte has
 // come, and otherwise from then on. An attempt that follows a failed one can begin long after the last byte.
-func (r *request) timeFromLastByte() balance.Milliseconds {
+func (r *request) remainingFromLastByte() balance.Milliseconds {
 	remaining := r.exchange.Request.Remaining
 	if upload := r.exchange.Message.Upload; upload != nil {
 		remaining -= balance.MillisecondsOf(upload.SinceLastByte())
@@ -57,8 +57,8 @@
 // limit 0: there is none.
 func (r *request) attemptDeadline(now, limit balance.Milliseconds) balance.Milliseconds {
 	deadline := r.deadline
-	if r.uploading() {
-		deadline = now + r.maxAttemptTime()
+	if r.isUploading() {
+		deadline = now + r.maxUploadAttemptTime()
 	}
 	if limit > 0 {
 		deadline = min(deadline, limit)
@@ -66,10 +66,10 @@
 	return deadline
 }
 
-// maxAttemptTime returns how long an attempt that begins now may take, of a request in stateUploading.
-func (r *request) maxAttemptTime() balance.Milliseconds {
+// maxUploadAttemptTime returns how long an attempt that begins now may take, of a request in stateUploading.
+func (r *request) maxUploadAttemptTime() balance.Milliseconds {
 	if upload := r.exchange.Message.Upload; upload != nil && upload.Received.Load() {
-		return r.timeFromLastByte()
+		return r.remainingFromLastByte()
 	}
 	return maxUploadTime
 }
--- a/internal/eventloop/responses.go
+++ b/internal/eventloop/responses.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// retryAfterUnit is the unit of the Retry-After header: a second.
-	retryAfterUnit balance.Milliseconds = 1000
+	// millisecondsPerSecond is the unit of the Retry-After header: a second.
+	millisecondsPerSecond balance.Milliseconds = 1000
 	// retryAfterDecimals is how many digits after the point the header has, which are down to milliseconds.
 	retryAfterDecimals = 3
 )
@@ -18,11 +18,11 @@
 // rejection returns the response of a request that its client may safely retry: it was not executed, or may be executed
 // again. retryAfter is how long the client should wait; 0: it may retry at once.
 // The texts of the responses are part of the wire protocol.
-func (l *Loop) rejection(retryAfter balance.Milliseconds) *exchange.Response {
+func (l *Loop) rejectionResponse(retryAfter balance.Milliseconds) *exchange.Response {
 	response := textResponse(http.StatusServiceUnavailable, "refused, trying again is harmless")
 	limits := &l.cfg.Balance
 	if limits.RetryAfter && retryAfter > 0 {
-		seconds := float64(min(retryAfter, limits.MaxRetryAfter) / retryAfterUnit)
+		seconds := float64(min(retryAfter, limits.MaxRetryAfter) / millisecondsPerSecond)
 		response.Header.Set("Retry-After", strconv.FormatFloat(seconds, 'f', retryAfterDecimals, 64))
 	}
 	return response
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -6,16 +6,16 @@
 	"cindersaddle/balance"
 )
 
-// idleWakeup is how long the loop sleeps at most while no timer is set.
-const idleWakeup = time.Hour
+// maxIdleSleep is how long the loop sleeps at most while no timer is set.
+const maxIdleSleep = time.Hour
 
 // Run handles events until the context of New is done, and returns when all attempts and health checks have ended. The
 // events that wait at one moment are handled as one batch, with one reading of the clock.
 func (l *Loop) Run() {
-	l.start()
+	l.startBalancer()
 	gaugeTicks, stopGauges := l.startGauges()
 	defer stopGauges()
-	wakeup := time.NewTimer(idleWakeup)
+	wakeup := time.NewTimer(maxIdleSleep)
 	defer wakeup.Stop()
 	for {
 		l.handleLocalEvents()
@@ -23,7 +23,7 @@
 		l.handleLocalEvents()
 		wakeup.Reset(l.untilNextTimer())
 		select {
-		case ev := <-l.inbox.posted:
+		case ev := <-l.inbox.events:
 			l.handleBatch(ev)
 		case <-wakeup.C:
 			l.handleBatch(nil)
@@ -31,17 +31,17 @@
 			l.clock.update()
 			l.publishGauges()
 		case <-l.ctx.Done():
-			l.running.Wait()
+			l.goroutines.Wait()
 			return
 		}
 	}
 }
 
 // start starts the balancer with the endpoints of the configuration and what the predecessor has learned.
-func (l *Loop) start() {
+func (l *Loop) startBalancer() {
 	l.clock.update()
-	l.perform(l.balancer.Start(l.clock.now))
-	l.applyList(endpointListUpdate{list: &l.cfg.KnownEndpoints, source: l.cfg.Discovery}, balance.UpdateCachedSnapshot)
+	l.performActions(l.balancer.Start(l.clock.now))
+	l.applyEndpointList(endpointListUpdate{list: &l.cfg.KnownEndpoints, source: l.cfg.Discovery}, balance.UpdateCachedSnapshot)
 	l.importState()
 }
 
@@ -57,9 +57,9 @@
 
 // drainInbox handles the events that wait now, but none that come meanwhile.
 func (l *Loop) drainInbox() {
-	for n := len(l.inbox.posted); n > 0; n-- {
+	for n := len(l.inbox.events); n > 0; n-- {
 		l.handleLocalEvents()
-		(<-l.inbox.posted).apply(l)
+		(<-l.inbox.events).apply(l)
 	}
 }
 
@@ -78,9 +78,9 @@
 func (l *Loop) untilNextTimer() time.Duration {
 	dueAt, ok := l.timers.next()
 	if !ok {
-		return idleWakeup
+		return maxIdleSleep
 	}
-	return time.Until(l.clock.timeOf(dueAt))
+	return time.Until(l.clock.toTime(dueAt))
 }
 
 // fireTimers handles the timers that are due.
--- a/internal/eventloop/shutdown.go
+++ b/internal/eventloop/shutdown.go
@@ -20,9 +20,9 @@
 // limitLateRequest bounds the time of a request that was complete, at a moment, late in a shutdown. It guards against a
 // response that is lost because the process is killed before it was sent, which the client sees as a reset connection.
 func (l *Loop) limitLateRequest(req *request, completeAt time.Time) {
-	shutdown := l.service.Shutdown.Load()
+	shutdown := l.serviceState.Shutdown.Load()
 	if shutdown == nil || !completeAt.After(shutdown.LateAfter) {
 		return
 	}
-	req.limitTime(l.clock.milliseconds(shutdown.RespondBy) - l.clock.now)
+	req.limitToShutdown(l.clock.toMilliseconds(shutdown.RespondBy) - l.clock.now)
 }
--- a/internal/eventloop/shutdown_test.go
+++ b/internal/eventloop/shutdown_test.go
@@ -29,19 +29,19 @@
 			l := newTestLoop(t)
 			l.upstreamClient = newTestUpstream(t)
 			now := time.Now()
-			l.clock.now = l.clock.milliseconds(now)
+			l.clock.now = l.clock.toMilliseconds(now)
 			shutdown := &exchange.ShutdownTimes{LateAfter: now.Add(time.Hour), RespondBy: now.Add(300 * time.Millisecond)}
 			if c.late {
 				shutdown.LateAfter = now.Add(-time.Millisecond)
 			}
-			l.service.Shutdown.Store(shutdown)
-			l.applyList(completeList(server.Addr), balance.UpdateSnapshot)
+			l.serviceState.Shutdown.Store(shutdown)
+			l.applyEndpointList(singleEndpointList(server.Addr), balance.UpdateSnapshot)
 			incoming := newTestExchange(l, now)
 			l.registerRequest(incoming)
 			runUntilResponse(l, incoming)
 			response := <-incoming.Responses
-			if response.Status != c.wantStatus || l.clock.now > l.clock.milliseconds(shutdown.RespondBy)+deadlineSlack+1000 {
-				t.Errorf("status %d after %v ms, want %d in time", response.Status, l.clock.now-l.clock.milliseconds(now), c.wantStatus)
+			if response.Status != c.wantStatus || l.clock.now > l.clock.toMilliseconds(shutdown.RespondBy)+deadlineSlack+1000 {
+				t.Errorf("status %d after %v ms, want %d in time", response.Status, l.clock.now-l.clock.toMilliseconds(now), c.wantStatus)
 			}
 			if response.Download != nil {
 				response.Download.Finish(exchange.ErrDownloadStopped)
--- a/internal/eventloop/streams_test.go
+++ b/internal/eventloop/streams_test.go
@@ -15,12 +15,12 @@
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
 	attempt := addAttempt(l, req)
-	l.perform([]balance.Action{{Kind: balance.CancelAttempt, Request: req.id, Attempt: 0}})
+	l.performActions([]balance.Action{{Kind: balance.CancelAttempt, Request: req.id, Attempt: 0}})
 
 	download := &exchange.Download{Done: make(chan error, 1), Cancel: attempt.Cancel}
-	streamStart{attempt: attempt, response: &exchange.Response{Status: 200, Download: download}, startedAt: time.Now()}.apply(l)
+	streamStarted{attempt: attempt, response: &exchange.Response{Status: 200, Download: download}, startedAt: time.Now()}.apply(l)
 
-	if !req.open() || len(req.exchange.Responses) > 0 {
+	if !req.isOpen() || len(req.exchange.Responses) > 0 {
 		t.Error("the response of a cancelled attempt was given to the client")
 	}
 	select {
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -19,9 +19,9 @@
 //	rejected by balancer    503, perhaps Retry-After    rejectRequest      rejected
 //	failed by balancer      502                         failRequest        failed
 //	trace identifier open   409, connection closed      rejectDuplicate    -
-//	upload incomplete       a RequestError, closed      failUpload         -
-//	client disconnected     none                        endDisconnected    client disconnected
-//	the same, found late    none, connection closed     abortDisconnected  -
+//	upload incomplete       a RequestError, closed      failIncompleteUpload         -
+//	client disconnected     none                        handleDisconnect    client disconnected
+//	the same, found late    none, connection closed     abortRequest  -
 //	not finished in time    504                         expireRequest      deadline exceeded
 type unservedReason string
 
@@ -35,7 +35,7 @@
 // rejectRequest finishes a request that the balancer rejected: no endpoint has executed it, or it may be executed again.
 func (l *Loop) rejectRequest(req *request, retryAfter balance.Milliseconds) {
 	l.logUnserved(req, slog.LevelInfo, reasonRejected)
-	l.finish(req, l.rejection(retryAfter))
+	l.finish(req, l.rejectionResponse(retryAfter))
 }
 
 // failRequest finishes a request that the balancer has given up, that an endpoint may have executed, and that must not be
@@ -51,29 +51,29 @@
 	l.finish(req, closingResponse(http.StatusConflict, "a request of this X-Trace-Id is open"))
 }
 
-// failUpload finishes a request whose client has not sent its long body to the end.
-func (l *Loop) failUpload(req *request, uploadError error) {
+// failIncompleteUpload finishes a request whose client has not sent its long body to the end.
+func (l *Loop) failIncompleteUpload(req *request, uploadError error) {
 	var requestError *exchange.RequestError
 	errors.As(exchange.BodyError(uploadError), &requestError)
 	l.finish(req, closingResponse(requestError.Status, requestError.Text))
 }
 
-// abortDisconnected finishes a request whose client was found to have disconnected when its attempt was to be sent. The client
+// abortRequest finishes a request whose client was found to have disconnected when its attempt was to be sent. The client
 // side may not notice that itself, and closes the connection.
-func (l *Loop) abortDisconnected(req *request) { l.finish(req, &exchange.Response{Abort: true}) }
+func (l *Loop) abortRequest(req *request) { l.finish(req, &exchange.Response{Abort: true}) }
 
 // expireRequest fails a request that is still open after its deadline. It guards against a balancer that never finishes a
 // request, by a fault of its own: its client would wait for ever.
 func (l *Loop) expireRequest(req *request) {
-	if !req.open() {
+	if !req.isOpen() {
 		return
 	}
 	l.logUnserved(req, slog.LevelError, reasonDeadlineExceeded)
 	l.finishWithoutBalancer(req, textResponse(http.StatusGatewayTimeout, "out of time"))
 }
 
-// endDisconnected ends the request of a client that has closed its connection.
-func (l *Loop) endDisconnected(disconnected *exchange.Exchange) {
+// handleDisconnect ends the request of a client that has closed its connection.
+func (l *Loop) handleDisconnect(disconnected *exchange.Exchange) {
 	if req := l.requests.byExchange[disconnected]; req != nil {
 		l.logUnserved(req, slog.LevelInfo, reasonClientDisconnected)
 		l.finishWithoutBalancer(req, nil)
--- a/internal/eventloop/upload_test.go
+++ b/internal/eventloop/upload_test.go
@@ -31,7 +31,7 @@
 		if test.complete {
 			incoming.Message.Upload.MarkReceived(time.Now().Add(-since))
 		}
-		req := openExchange(l, incoming)
+		req := addRequest(l, incoming)
 		attempt := addAttempt(l, req)
 		remaining := balance.MillisecondsOf(attempt.TimeAfterUpload)
 		if remaining > test.want || remaining < test.want-100 {
@@ -63,7 +63,7 @@
 		Length: 20, Source: strings.NewReader("a body, all of it"), Budget: &exchange.BufferBudget{}, SetReadTimeout: func(time.Duration) {},
 	}
 	incoming.Message.Upload = upload
-	req := openExchange(l, incoming)
+	req := addRequest(l, incoming)
 	if _, err := exchange.NewUploadReader(upload).Read(make([]byte, 5)); err != nil { // the first attempt, which fails then
 		t.Fatal(err)
 	}
