--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -2,15 +2,16 @@
 
 import "cindersaddle/balance"
 
-// perform performs the actions that the balancer returned, in their order. They are valid until the balancer's next call, so
-// that no action may call it: what follows from one at once is posted as a local event.
+// performActions performs the actions that the balancer returned, in order. The slice is valid only until the next call
+// of the balancer, so an action must not call the balancer: an immediate consequence is posted as a local event
+// instead.
 func (l *Loop) performActions(actions []balance.Action) {
 	for i := range actions {
 		l.performAction(&actions[i])
 	}
 }
 
-// performAction performs one action. A request or an endpoint that it names may not exist any more.
+// performAction performs one action. The request or endpoint that it names may no longer exist.
 func (l *Loop) performAction(action *balance.Action) {
 	switch action.Kind {
 	case balance.SendAttempt:
--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -8,25 +8,25 @@
 	"cindersaddle/internal/upstream"
 )
 
-// registerRequest enters a new request in the index and passes it to the balancer, which decides whether it is admitted.
-func (l *Loop) registerRequest(incoming *exchange.Exchange) {
-	req := newRequest(l.requests.nextID(), incoming)
+// registerRequest adds a new request to the index and passes it to the balancer, which decides whether to admit it.
+func (l *Loop) registerRequest(ex *exchange.Exchange) {
+	req := newRequest(l.requests.nextID(), ex)
 	l.metrics.PendingRequests.Add(1)
-	if l.requests.byTraceID[incoming.TraceID] != nil {
+	if l.requests.byTraceID[ex.TraceID] != nil {
 		l.rejectDuplicate(req)
 		return
 	}
-	incoming.Request.ID = req.id
-	l.settings.Translate(incoming.Settings, &incoming.Request)
-	req.subtractQueueTime(l.clock.now - l.clock.toMilliseconds(incoming.ReceivedAt))
+	ex.Request.ID = req.id
+	l.settings.Translate(ex.Settings, &ex.Request)
+	req.subtractQueueTime(l.clock.now - l.clock.toMilliseconds(ex.ReceivedAt))
 	l.requests.add(req)
 	if !req.isUploading() {
-		l.startDeadline(req, incoming.ReceivedAt)
+		l.startDeadline(req, ex.ReceivedAt)
 	}
-	l.notifyBalancer(incoming.Request)
+	l.notifyBalancer(ex.Request)
 }
 
-// finishUpload sets the deadline of a request whose long body has been sent to its last byte.
+// finishUpload starts the deadline of a request after the last byte of its long body has been sent.
 func (l *Loop) finishUpload(attempt *upstream.Attempt) {
 	attempt.SentAt = l.clock.now
 	req := l.requests.byID[attempt.RequestID]
@@ -42,8 +42,8 @@
 	})
 }
 
-// setDeadline sets the deadline of a request that was complete at a moment, and the timer that fails the request if the
-// balancer does not finish it in time.
+// startDeadline sets the deadline of a request that was complete at completeAt, and a timer that fails the request if
+// the balancer does not finish it in time.
 func (l *Loop) startDeadline(req *request, completeAt time.Time) {
 	l.limitLateRequest(req, completeAt)
 	req.setDeadline(l.clock.now)
--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -5,7 +5,7 @@
 	"cindersaddle/internal/upstream"
 )
 
-// endAttempt handles the end of an attempt. The first good response of a request's attempts goes to the client.
+// endAttempt handles the end of an attempt. The first successful response to a request is sent to the client.
 func (l *Loop) endAttempt(ev attemptEnded) {
 	ev.attempt.Cancel()
 	req := l.requests.byID[ev.attempt.RequestID]
@@ -22,8 +22,8 @@
 	l.releaseIfEnded(req)
 }
 
-// finishAfterAttempt finishes a request if the result of an attempt settles it. Otherwise the balancer decides whether the
-// request is retried.
+// finishAfterAttempt finishes a request if an attempt succeeded, or failed because of the client. In all other cases
+// the balancer decides whether to retry the request.
 func (l *Loop) finishAfterAttempt(req *request, ending *upstream.Ending) {
 	if ending.Result == balance.OK {
 		l.finish(req, ending.Response)
@@ -36,7 +36,8 @@
 	}
 }
 
-// newOutcome returns the balancer's event for the end of an attempt. finished means that its request has its final response.
+// newOutcome returns the balancer's event for the end of an attempt. finished reports whether the request has its final
+// response.
 func newOutcome(ev attemptEnded, duration balance.Milliseconds, finished bool) balance.Outcome {
 	attempt := ev.attempt
 	outcome := balance.Outcome{
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -8,8 +8,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// startAttempt sends a request to an endpoint. An attempt that cannot be made any more ends at once, as a local event: its
-// request is done, its endpoint has been removed, or the request has had all its attempts.
+// startAttempt starts an attempt to send a request to an endpoint. If the request already has its final response or has
+// used all its attempts, or if the endpoint has been removed, nothing is sent and the attempt ends with a local event.
 func (l *Loop) startAttempt(action *balance.Action) {
 	req := l.requests.byID[action.Request]
 	if req == nil {
@@ -27,7 +27,7 @@
 	})
 }
 
-// newAttempt returns the next attempt of a request. Its endpoint is nil if that has been removed.
+// newAttempt returns the next attempt of a request. Its Endpoint is nil if the endpoint has been removed.
 func (l *Loop) newAttempt(req *request, action *balance.Action) *upstream.Attempt {
 	if upload := req.exchange.Message.Upload; upload != nil {
 		upload.ResumeReading()
@@ -47,12 +47,13 @@
 	return attempt
 }
 
-// cancelAttempt cancels an attempt because the balancer has decided so: its request has its response from another attempt, or
-// its endpoint is taken for unresponsive and another attempt is made. It cancels none of a request that has been released, and
-// none whose response is on its way to the client, as that would break off.
+// cancelAttempt cancels an attempt at the balancer's request: either the request has its response from another attempt,
+// or the endpoint is considered unresponsive and another attempt is made. It does nothing if the request has been
+// released, or if the attempt's response is being streamed to the client, because cancelling would truncate that
+// response.
 //
-// An attempt is cancelled in three other cases: the client side cancels it (Download.Cancel) when the client of a long response
-// has disconnected, all are cancelled when the loop ends, and endAttempt releases the context of one that has ended.
+// An attempt's context is also cancelled when the client of a streamed response disconnects (Download.Cancel), when the
+// loop ends, and in endAttempt, to release the resources of the context.
 func (l *Loop) cancelAttempt(id balance.RequestID, number int) {
 	req := l.requests.byID[id]
 	if req == nil {
--- a/internal/eventloop/attemptset.go
+++ b/internal/eventloop/attemptset.go
@@ -2,12 +2,12 @@
 
 import "cindersaddle/internal/upstream"
 
-// attemptSet holds the attempts of one request. Each attempt that is added ends exactly once, by an attemptEnded event; inFlight
-// is the number of those that have not, so that the request may be released when it is 0.
+// attemptSet holds the attempts of one request. Each attempt that is added ends with exactly one attemptEnded event.
+// The request must not be released until inFlight is 0.
 type attemptSet struct {
 	byNumber    []*upstream.Attempt // nil once the request is released
-	inFlight    int
-	maxAttempts int // most attempts that may be sent
+	inFlight    int                 // number of attempts that have not ended
+	maxAttempts int                 // how many attempts may be sent
 }
 
 // add adds the next attempt. It is in flight until markEnded is called for it.
@@ -16,10 +16,10 @@
 	s.inFlight++
 }
 
-// markEnded records the end of an attempt.
+// markEnded records that one of the attempts in flight has ended.
 func (s *attemptSet) markEnded() { s.inFlight-- }
 
-// overLimit reports whether the attempt that was added last may not be sent.
+// overLimit reports whether the last attempt added exceeds maxAttempts and must not be sent.
 func (s *attemptSet) overLimit() bool { return len(s.byNumber) > s.maxAttempts }
 
 // get returns an attempt by its number, or nil if there is none.
@@ -30,12 +30,12 @@
 	return s.byNumber[number]
 }
 
-// markRequestDone keeps the attempts that have not sent anything yet from doing so.
+// markRequestDone prevents attempts that have not sent anything yet from sending.
 func (s *attemptSet) markRequestDone() {
 	for _, attempt := range s.byNumber {
 		attempt.RequestDone.Store(true)
 	}
 }
 
-// release frees the attempts.
+// release drops the references to the attempts.
 func (s *attemptSet) release() { s.byNumber = nil }
--- a/internal/eventloop/balancer.go
+++ b/internal/eventloop/balancer.go
@@ -16,9 +16,9 @@
 	l.performActions(actions)
 }
 
-// callBalancer calls the balancer. It guards against a panic of the balancer, which would end the process and lose all open
-// requests: the panic is returned as an error and logged, and the requests that the balancer then never finishes fail at
-// their deadlines, by expireRequest.
+// callBalancer calls the balancer. A panic of the balancer would end the process and lose all open requests, so it is
+// returned as an error. Requests that the balancer never finishes because of the panic fail at their deadlines, by
+// expireRequest.
 func (l *Loop) callBalancer(ev balance.Event) (actions []balance.Action, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -28,11 +28,11 @@
 	return l.balancer.Handle(l.clock.now, ev)
 }
 
-// balancerPanicError is a panic of the balancer.
+// balancerPanicError reports a panic of the balancer.
 type balancerPanicError struct {
 	cause any
 	stack []byte
 }
 
-// Error returns the cause, and the stack on the lines after it.
+// Error returns the cause of the panic, followed by the stack trace.
 func (e *balancerPanicError) Error() string { return fmt.Sprintf("panic: %v\n%s", e.cause, e.stack) }
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -6,29 +6,29 @@
 	"cindersaddle/balance"
 )
 
-// clock is the loop's time: Unix milliseconds at the start of the process, advanced by the monotonic clock, so that steps of
-// the system's clock do not show. started and epoch do not change, so that the conversions are safe in any goroutine; now
-// belongs to the loop, and does not decrease.
+// clock is the loop's clock. Its time is Unix milliseconds at the start of the process, advanced by the monotonic
+// clock, so that steps of the wall clock do not affect it. origin and originUnix do not change, so any goroutine may
+// use the conversions. Only the loop uses now, which never decreases.
 type clock struct {
-	origin     time.Time            // the origin
-	originUnix balance.Milliseconds // the origin in Unix milliseconds
-	now        balance.Milliseconds // the time of the batch of events that is being handled; 0 before the first
+	origin     time.Time            // the start of the process
+	originUnix balance.Milliseconds // origin in Unix milliseconds
+	now        balance.Milliseconds // the time of the current batch of events; 0 before the first batch
 }
 
 // newClock returns a clock with the given origin.
-func newClock(started time.Time) clock {
-	return clock{origin: started, originUnix: wallMilliseconds(started)}
+func newClock(origin time.Time) clock {
+	return clock{origin: origin, originUnix: wallMilliseconds(origin)}
 }
 
-// update sets now to the present moment.
+// update sets now to the current time.
 func (c *clock) update() { c.now = c.toMilliseconds(time.Now()) }
 
-// milliseconds converts a moment to the loop's time.
-func (c *clock) toMilliseconds(moment time.Time) balance.Milliseconds {
-	return c.originUnix + balance.MillisecondsOf(moment.Sub(c.origin))
+// toMilliseconds converts a time.Time to a time on the loop's clock.
+func (c *clock) toMilliseconds(t time.Time) balance.Milliseconds {
+	return c.originUnix + balance.MillisecondsOf(t.Sub(c.origin))
 }
 
-// toTime converts a point in the loop's time to a moment, which is on the monotonic clock.
-func (c *clock) toTime(point balance.Milliseconds) time.Time {
-	return c.origin.Add((point - c.originUnix).Duration())
+// toTime converts a time on the loop's clock to a time.Time with a monotonic clock reading.
+func (c *clock) toTime(ms balance.Milliseconds) time.Time {
+	return c.origin.Add((ms - c.originUnix).Duration())
 }
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,40 +1,40 @@
-// Package eventloop connects the decision module (package balance) to the sockets. One goroutine, Loop.Run, owns the balancer,
-// the open requests, the endpoint table and the timers. Everything else posts a typed event to its inbox:
+// Package eventloop connects the decision logic (package balance) to the sockets. One goroutine, Loop.Run, owns the
+// balancer, the open requests, the endpoint table and the timers. All other goroutines post typed events to its inbox:
 //
-//   - the client side (package downstream): a request arrived, its client disconnected (events_client.go)
-//   - the endpoint side (package upstream): an attempt or a health check progressed or ended (events_upstream.go)
-//   - package discovery: an endpoint list arrived, a call failed (events_discovery.go)
-//   - WatchReloads: a new configuration (reload.go)
-//   - package upgrade: a request for the learned state (handover.go)
+//   - package downstream: a request arrived, or its client disconnected (events_client.go)
+//   - package upstream: an attempt or a health check made progress or ended (events_upstream.go)
+//   - package discovery: an endpoint list arrived, or a call failed (events_discovery.go)
+//   - WatchReloads: a new configuration was loaded (reload.go)
+//   - package upgrade: the successor needs the learned state (handover.go)
 //
-// The loop passes what happened on to the balancer, and performs the actions that the balancer returns (actions.go): it sends
-// and cancels attempts, sets timers, starts health checks and gives each request its one final response. It never waits for a
-// socket; each attempt and each health check runs in a goroutine of its own, which ends before Run returns.
+// The loop passes these events to the balancer and performs the actions that the balancer returns (actions.go): it
+// sends and cancels attempts, sets timers, starts health checks and sends each request its one final response. It never
+// blocks on a socket: each attempt and each health check runs in a separate goroutine, which ends before Run returns.
 //
 // # Where to look
 //
 //   - the loop itself: Loop in loop.go, Run in run.go
 //   - the states of a request: requestState in request.go
 //   - how long a request and its attempts may take: requesttime.go
-//   - why a request got no response of an endpoint: unservedReason in unserved.go
+//   - why a request did not get a response from an endpoint: unservedReason in unserved.go
 //   - why an attempt was cancelled: Loop.cancelAttempt in attempts.go
 //   - what happens between SIGTERM and exit: shutdown.go
 //
 // # State
 //
-// Each part of the loop's state is a type in a file of its own, which alone writes its fields, and only on the goroutine of Run
-// unless its comment says otherwise:
+// The state of the loop is split into the types below, each in its own file. Only the methods of a type write its
+// fields, and only on the goroutine of Run unless a comment says otherwise:
 //
-//	inbox           events that wait to be handled
-//	clock           the loop's time
+//	inbox           events that have not been handled
+//	clock           the loop's clock
 //	timerQueue      timers that have not fired
-//	requestIndex    the requests that are not released, each a request with its requestState and attemptSet
-//	endpointTable   the endpoints that discovery lists
-//	listVersion     which endpoint list that is
-//	clockOffsets      differences between wall clock and loop clock
-//	logLimiter      when a failed call to discovery was logged last
+//	requestIndex    the requests that have not been released, each with its requestState and attemptSet
+//	endpointTable   the endpoints in the endpoint list
+//	listVersion     the source and revision of that list
+//	clockOffsets    current and recent offsets between the wall clock and the loop's clock
+//	logLimiter      when a failed call to discovery was last logged
 //
-// The loop also owns a group of fields of each upstream.Attempt; newAttempt, finishUpload and startStream write them.
+// The loop also owns some fields of each upstream.Attempt, which newAttempt, finishUpload and startStream write.
 //
-// Points in time are balance.Milliseconds on the loop's clock, unless their type says otherwise.
+// Points in time are balance.Milliseconds on the loop's clock unless their type says otherwise.
 package eventloop
--- a/internal/eventloop/endpointconversion.go
+++ b/internal/eventloop/endpointconversion.go
@@ -6,8 +6,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// resendEndpoints passes the endpoints of the table to the balancer again, after their zones or machine types got other
-// indexes.
+// resendEndpoints passes all endpoints to the balancer again, after a reload has changed the indexes of zones or
+// machine types.
 func (l *Loop) resendEndpoints() {
 	update := balance.EndpointUpdate{Kind: balance.UpdateDelta}
 	for _, endpoint := range l.endpoints.sorted() {
@@ -16,23 +16,24 @@
 	l.notifyBalancer(update)
 }
 
-// toBalancerEndpoint returns a listed endpoint in the balancer's form.
-func (l *Loop) toBalancerEndpoint(endpoint *upstream.Endpoint, listed *membership.Endpoint) balance.Endpoint {
+// toBalancerEndpoint converts an endpoint and its list entry to the balancer's form.
+func (l *Loop) toBalancerEndpoint(endpoint *upstream.Endpoint, entry *membership.Endpoint) balance.Endpoint {
 	return balance.Endpoint{
 		ID:          endpoint.ID,
-		State:       listed.State(),
+		State:       entry.State(),
 		StartedAt:   endpoint.StartedAt,
-		Rating:      listed.Rating,
-		Cell:        listed.Cell,
-		Zone:        indexOrUnknown(l.cfg.ZoneIndex, listed.Zone),
-		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, listed.MachineType),
+		Rating:      entry.Rating,
+		Cell:        entry.Cell,
+		Zone:        indexOrUnknown(l.cfg.ZoneIndex, entry.Zone),
+		MachineType: indexOrUnknown(l.cfg.MachineTypeIndex, entry.MachineType),
 	}
 }
 
-// indexOrUnknown returns the index of a name. All names that the configuration does not have share the index after its last.
-func indexOrUnknown(known map[string]int, name string) int {
-	if index, ok := known[name]; ok {
+// indexOrUnknown returns the index of a name. All names that are not in the configuration share the index after the
+// last configured one.
+func indexOrUnknown(indexes map[string]int, name string) int {
+	if index, ok := indexes[name]; ok {
 		return index
 	}
-	return len(known)
+	return len(indexes)
 }
--- a/internal/eventloop/endpointlist.go
+++ b/internal/eventloop/endpointlist.go
@@ -20,28 +20,29 @@
 	l.notifyBalancer(update)
 }
 
-// applyEntries adds, updates and removes the listed endpoints, and returns them as the balancer needs them.
-func (l *Loop) applyEntries(list []membership.Endpoint) []balance.Endpoint {
+// applyEntries adds, updates and removes endpoints according to the entries of a list, and returns the entries in the
+// balancer's form.
+func (l *Loop) applyEntries(entries []membership.Endpoint) []balance.Endpoint {
 	var updates []balance.Endpoint
-	for i := range list {
-		listed := &list[i]
-		endpoint := l.updateEndpoint(listed)
-		updates = append(updates, l.toBalancerEndpoint(endpoint, listed))
-		if listed.State() != balance.Ready {
+	for i := range entries {
+		entry := &entries[i]
+		endpoint := l.updateEndpoint(entry)
+		updates = append(updates, l.toBalancerEndpoint(endpoint, entry))
+		if entry.State() != balance.Ready {
 			l.stopSending(endpoint)
 		}
-		if listed.State() == balance.Gone {
+		if entry.State() == balance.Gone {
 			l.endpoints.remove(endpoint)
 		}
 	}
 	return updates
 }
 
-// removeUnlisted removes the endpoints that a complete list does not have.
-func (l *Loop) removeUnlisted(list []membership.Endpoint) {
+// removeUnlisted removes the endpoints that are not in a complete list.
+func (l *Loop) removeUnlisted(entries []membership.Endpoint) {
 	listed := map[string]bool{}
-	for i := range list {
-		listed[list[i].ID] = true
+	for i := range entries {
+		listed[entries[i].ID] = true
 	}
 	for name, endpoint := range l.endpoints.byName {
 		if !listed[name] {
@@ -51,35 +52,35 @@
 	}
 }
 
-// updateEndpoint returns the table's entry for a listed endpoint, which may be new or have another address or a new incarnation.
-// It and stopSending are the only functions that change an entry.
-func (l *Loop) updateEndpoint(listed *membership.Endpoint) *upstream.Endpoint {
-	endpoint := l.endpoints.byName[listed.ID]
+// updateEndpoint updates the endpoint of a list entry, or adds it to the table, and returns it. The entry may have a
+// new address or describe a new incarnation. Only updateEndpoint and stopSending change endpoints.
+func (l *Loop) updateEndpoint(entry *membership.Endpoint) *upstream.Endpoint {
+	endpoint := l.endpoints.byName[entry.ID]
 	if endpoint == nil {
-		endpoint = l.endpoints.add(listed.ID)
+		endpoint = l.endpoints.add(entry.ID)
 	}
 	address := endpoint.Address.Load()
-	restarted := hasRestarted(endpoint, listed)
+	restarted := hasRestarted(endpoint, entry)
 	if restarted || address == nil {
-		endpoint.StartedAt = l.clockOffsets.convertStartTime(listed.StartedAt, l.clock.now)
+		endpoint.StartedAt = l.clockOffsets.convertStartTime(entry.StartedAt, l.clock.now)
 	}
-	if address == nil || restarted || *address != listed.Address {
-		current := strings.Clone(listed.Address) // a substring would keep the text of the whole list in memory
-		endpoint.Address.Store(&current)
-		l.upstreamClient.CloseIdle(endpoint) // they lead to the previous incarnation
+	if address == nil || restarted || *address != entry.Address {
+		newAddress := strings.Clone(entry.Address) // a substring would keep the whole list's text in memory
+		endpoint.Address.Store(&newAddress)
+		l.upstreamClient.CloseIdle(endpoint) // idle connections lead to the previous incarnation or address
 	}
-	endpoint.Listed = listed.Clone()
-	endpoint.Closed.Store(listed.State() != balance.Ready)
+	endpoint.Listed = entry.Clone()
+	endpoint.Closed.Store(entry.State() != balance.Ready)
 	return endpoint
 }
 
-// hasRestarted reports whether a listed endpoint is another incarnation than the one listed before. Its start time is then
-// earlier than the previous one if the wall clock was set back in between.
-func hasRestarted(endpoint *upstream.Endpoint, listed *membership.Endpoint) bool {
-	return listed.StartedAt > 0 && listed.StartedAt != endpoint.Listed.StartedAt
+// hasRestarted reports whether a list entry describes another incarnation than the previous entry of the endpoint. The
+// new start time may be earlier than the previous one, if the wall clock was set back in between.
+func hasRestarted(endpoint *upstream.Endpoint, entry *membership.Endpoint) bool {
+	return entry.StartedAt > 0 && entry.StartedAt != endpoint.Listed.StartedAt
 }
 
-// stopSending ends sending to an endpoint that is draining or gone. What is in flight there goes on.
+// stopSending stops sending to an endpoint that is draining or gone. Attempts in flight at the endpoint continue.
 func (l *Loop) stopSending(endpoint *upstream.Endpoint) {
 	endpoint.Closed.Store(true)
 	l.upstreamClient.CloseIdle(endpoint)
--- a/internal/eventloop/endpointtable.go
+++ b/internal/eventloop/endpointtable.go
@@ -10,8 +10,9 @@
 	"cindersaddle/internal/upstream"
 )
 
-// endpointTable holds the endpoints that discovery lists, each in both maps. Attempts and health checks that are in flight may
-// still refer to an endpoint that has been removed; one that is listed again later is a new entry with the same ID.
+// endpointTable holds the endpoints in the endpoint list, each in both maps. Attempts and health checks in flight may
+// still refer to an endpoint that has been removed. If such an endpoint is listed again, it gets a new entry with the
+// same ID.
 type endpointTable struct {
 	byName map[string]*upstream.Endpoint
 	byID   map[balance.EndpointID]*upstream.Endpoint
@@ -27,7 +28,7 @@
 // len returns the number of endpoints.
 func (t *endpointTable) len() int { return len(t.byName) }
 
-// add returns a new endpoint with the given name, which no endpoint may have.
+// add adds an endpoint and returns it. No endpoint in the table may have the same name.
 func (t *endpointTable) add(name string) *upstream.Endpoint {
 	endpoint := &upstream.Endpoint{ID: t.newID(name), Name: name}
 	t.byName[name] = endpoint
@@ -41,8 +42,8 @@
 	delete(t.byID, endpoint.ID)
 }
 
-// newID returns an unused identifier for a name. It is a hash of the name, so that all sidecars have the same one: they hash
-// sticky keys to endpoints by it.
+// newID returns an unused ID for a name. The ID is a hash of the name, so that all sidecars use the same one: they hash
+// sticky keys to endpoint IDs.
 func (t *endpointTable) newID(name string) balance.EndpointID {
 	hash := fnv.New64a()
 	io.WriteString(hash, name)
--- a/internal/eventloop/events_client.go
+++ b/internal/eventloop/events_client.go
@@ -2,23 +2,23 @@
 
 import "cindersaddle/internal/exchange"
 
-// requestArrived is a request of a client, read and checked.
+// requestArrived reports a client's request that has been read and validated.
 type requestArrived struct{ exchange *exchange.Exchange }
 
 func (ev requestArrived) apply(l *Loop) { l.registerRequest(ev.exchange) }
 
-// RequestArrived posts a new request. The loop owns it from then on.
-func (l *Loop) RequestArrived(incoming *exchange.Exchange) {
-	l.inbox.post(requestArrived{exchange: incoming})
+// RequestArrived passes a new request to the loop, which owns it from then on.
+func (l *Loop) RequestArrived(ex *exchange.Exchange) {
+	l.inbox.post(requestArrived{exchange: ex})
 }
 
-// clientDisconnected is a client that closed its connection before it got its response.
+// clientDisconnected reports that a client closed its connection before it got its response.
 type clientDisconnected struct{ exchange *exchange.Exchange }
 
 func (ev clientDisconnected) apply(l *Loop) { l.handleDisconnect(ev.exchange) }
 
-// ClientDisconnected posts that the client of a request has closed its connection. The loop sends no response once
-// it has handled this.
-func (l *Loop) ClientDisconnected(disconnected *exchange.Exchange) {
-	l.inbox.post(clientDisconnected{exchange: disconnected})
+// ClientDisconnected tells the loop that the client of a request has closed its connection. The loop sends no response
+// after it has handled this event.
+func (l *Loop) ClientDisconnected(ex *exchange.Exchange) {
+	l.inbox.post(clientDisconnected{exchange: ex})
 }
--- a/internal/eventloop/events_discovery.go
+++ b/internal/eventloop/events_discovery.go
@@ -6,13 +6,13 @@
 	"cindersaddle/internal/membership"
 )
 
-// The loop receives the lists of discovery.
+// Loop receives the endpoint lists from package discovery.
 var _ discovery.Observer = (*Loop)(nil)
 
-// endpointListUpdate is a list of endpoints, or of changes to it, from discovery.
+// endpointListUpdate reports a complete endpoint list, or changes to it.
 type endpointListUpdate struct {
 	list   *membership.EndpointList
-	source string // the address of discovery
+	source string // the address of the discovery service
 }
 
 func (ev endpointListUpdate) apply(l *Loop) {
@@ -23,24 +23,24 @@
 	l.applyEndpointList(ev, kind)
 }
 
-// ListReceived posts a list from the discovery at the address source.
+// ListReceived passes a list from the discovery service at the address source to the loop.
 func (l *Loop) ListReceived(list *membership.EndpointList, source string) {
 	l.inbox.post(endpointListUpdate{list: list, source: source})
 }
 
-// endpointListFailed is a call to discovery that failed.
+// endpointListFailed reports a failed call to discovery.
 type endpointListFailed struct{ err error }
 
 func (ev endpointListFailed) apply(l *Loop) {
 	if l.discoveryFailureLog.allow(l.clock.now) {
 		l.log.Info("endpoint list not received", "error", ev.err)
 	}
-	if l.cfg.Balance.PolledDiscovery { // otherwise discovery calls again by itself, without the balancer
+	if l.cfg.Balance.PolledDiscovery { // otherwise the watcher repeats the call without the balancer
 		l.notifyBalancer(balance.EndpointUpdate{Kind: balance.UpdateFailed})
 	}
 }
 
-// ListFailed posts that a call to discovery failed.
+// ListFailed tells the loop that a call to discovery failed.
 func (l *Loop) ListFailed(err error) {
 	l.inbox.post(endpointListFailed{err: err})
 }
--- a/internal/eventloop/events_upstream.go
+++ b/internal/eventloop/events_upstream.go
@@ -8,20 +8,20 @@
 	"cindersaddle/internal/upstream"
 )
 
-// The loop receives the progress of attempts.
+// Loop receives the progress of attempts from package upstream.
 var _ upstream.Observer = (*Loop)(nil)
 
-// uploadSent is the moment when the last byte of a long body was sent to the endpoint.
+// uploadSent reports that the last byte of a long request body was sent to the endpoint.
 type uploadSent struct{ attempt *upstream.Attempt }
 
 func (ev uploadSent) apply(l *Loop) { l.finishUpload(ev.attempt) }
 
-// UploadSent posts that the last byte of a long body was sent to the endpoint.
+// UploadSent tells the loop that the last byte of a long request body was sent to the endpoint.
 func (l *Loop) UploadSent(attempt *upstream.Attempt) {
 	l.inbox.post(uploadSent{attempt: attempt})
 }
 
-// responseStarted is the moment when the first part of a good response arrived.
+// responseStarted reports that the head of a successful response arrived.
 type responseStarted struct {
 	attempt   *upstream.Attempt
 	startedAt time.Time
@@ -35,12 +35,12 @@
 	})
 }
 
-// ResponseStarted posts that the first part of a good response arrived.
+// ResponseStarted tells the loop that the head of a successful response arrived.
 func (l *Loop) ResponseStarted(attempt *upstream.Attempt, startedAt time.Time) {
 	l.inbox.post(responseStarted{attempt: attempt, startedAt: startedAt})
 }
 
-// streamStarted is a long response whose first bytes are ready for the client.
+// streamStarted reports a long response whose first bytes are ready for the client.
 type streamStarted struct {
 	attempt   *upstream.Attempt
 	response  *exchange.Response
@@ -49,21 +49,21 @@
 
 func (ev streamStarted) apply(l *Loop) { l.startStream(ev) }
 
-// StreamStarted posts a long response, whose Download is read while it arrives.
+// StreamStarted passes a long response to the loop. Its Download is read while the response arrives.
 func (l *Loop) StreamStarted(attempt *upstream.Attempt, response *exchange.Response, startedAt time.Time) {
 	l.inbox.post(streamStarted{attempt: attempt, response: response, startedAt: startedAt})
 }
 
-// attemptEnded is the end of an attempt.
+// attemptEnded reports the end of an attempt.
 type attemptEnded struct {
 	attempt *upstream.Attempt
 	ending  upstream.Ending
-	endedAt time.Time // zero for an attempt that was not made
+	endedAt time.Time // zero if nothing was sent
 }
 
 func (ev attemptEnded) apply(l *Loop) { l.endAttempt(ev) }
 
-// healthCheckEnded is the end of a health check.
+// healthCheckEnded reports the end of a health check.
 type healthCheckEnded struct {
 	endpoint *upstream.Endpoint
 	ending   upstream.Ending
--- a/internal/eventloop/finish.go
+++ b/internal/eventloop/finish.go
@@ -7,9 +7,9 @@
 	"cindersaddle/internal/exchange"
 )
 
-// finish gives a request its final response, or none (nil) if the client side has ended it. Only the first call for a request
-// has an effect, and a nil request is ignored. This is the only place that sends a response to a client: a good one comes
-// from finishAfterAttempt or startStream, all others from unserved.go.
+// finish sends a request its final response. A nil response sends nothing, for a request that the client side has
+// ended. Only the first call for a request has an effect; a nil request is ignored. No other function sends responses
+// to clients: successful ones come from finishAfterAttempt and startStream, all others from unserved.go.
 func (l *Loop) finish(req *request, response *exchange.Response) {
 	if req == nil || !req.isOpen() {
 		return
@@ -29,23 +29,23 @@
 	l.releaseIfEnded(req)
 }
 
-// finishStream counts a request whose long response has ended.
-func (l *Loop) finishStream(req *request, outcome balance.Result) {
+// finishStream marks a request as done after the end of its streamed response, and counts it in the metrics.
+func (l *Loop) finishStream(req *request, result balance.Result) {
 	if req.state != stateStreaming {
 		return
 	}
 	req.markStreamEnded()
 	l.metrics.PendingRequests.Add(-1)
-	switch outcome {
+	switch result {
 	case balance.OK:
 		req.counters.CountStatus(http.StatusOK)
-	case balance.Cancelled: // its client has disconnected: not counted
+	case balance.Cancelled: // the client has disconnected: not counted
 	default:
 		req.counters.CountStatus(http.StatusBadGateway)
 	}
 }
 
-// releaseIfEnded forgets a request that has ended and of which nothing is in flight.
+// releaseIfEnded removes and releases a request that has ended and has no attempt in flight.
 func (l *Loop) releaseIfEnded(req *request) {
 	if req.canRelease() {
 		l.requests.remove(req)
--- a/internal/eventloop/gauges.go
+++ b/internal/eventloop/gauges.go
@@ -6,8 +6,9 @@
 	"cindersaddle/internal/metrics"
 )
 
-// startGauges publishes the gauges for the first time and returns the ticks at which to do it again, and a function that
-// stops these. Without an admin address nobody reads the gauges, and there are no ticks.
+// startGauges publishes the gauges once, and returns a channel that ticks when they are to be published again and a
+// function that stops the ticks. Without an admin address the gauges cannot be read, so they are not published and the
+// channel is nil.
 func (l *Loop) startGauges() (ticks <-chan time.Time, stop func()) {
 	if l.cfg.AdminListen == "" {
 		return nil, func() {}
@@ -19,7 +20,8 @@
 
 // publishGauges stores the gauges that only the loop can compute.
 func (l *Loop) publishGauges() {
-	// In this order, a reader that finds new endpoints counted finds the unavailable ones among them counted too.
+	// UnavailableEndpoints comes first, so that a reader that sees new endpoints in Endpoints also sees those of them
+	// that are unavailable.
 	l.metrics.UnavailableEndpoints.Store(int64(l.balancer.UnavailableCount(l.clock.now)))
 	l.metrics.Endpoints.Store(int64(l.endpoints.len()))
 }
--- a/internal/eventloop/handover.go
+++ b/internal/eventloop/handover.go
@@ -10,36 +10,37 @@
 	"cindersaddle/internal/upgrade"
 )
 
-// TakeOverFrom sets the state that the predecessor in an upgrade has learned; nil: there is none. It comes before Run.
-func (l *Loop) TakeOverFrom(predecessor *upgrade.State) { l.predecessorState = predecessor }
+// SetPredecessorState sets the state that the predecessor handed over in an upgrade; nil means that there is none. It
+// must be called before Run.
+func (l *Loop) TakeOverFrom(state *upgrade.State) { l.predecessorState = state }
 
-// stateRequested is a call for the learned state, for the successor in an upgrade.
+// stateRequested asks for the learned state, for the successor in an upgrade.
 type stateRequested struct{ reply chan<- *upgrade.State }
 
 func (ev stateRequested) apply(l *Loop) { ev.reply <- l.exportState() }
 
-// StateTimeoutError is returned by ExportState when the loop is too busy to respond, or has ended.
+// StateTimeoutError is the error of ExportState when the loop is too busy to respond, or has ended.
 type StateTimeoutError struct{ Timeout time.Duration }
 
-// Error returns the text of the error.
+// Error returns a message with the timeout.
 func (e *StateTimeoutError) Error() string {
 	return fmt.Sprintf("export state: event loop did not respond within %v", e.Timeout)
 }
 
-// ExportState returns a copy of the learned state, for the successor in an upgrade. It waits for the loop for
-// upgrade.StateTimeout; the error is a StateTimeoutError. Any goroutine but the loop's may call it.
+// ExportState returns a copy of the learned state, for the successor in an upgrade. It waits for the loop for at most
+// upgrade.StateTimeout and then returns a *StateTimeoutError. It must not be called on the goroutine of Run.
 func (l *Loop) ExportState() (*upgrade.State, error) {
-	exported := make(chan *upgrade.State, 1)
-	l.inbox.post(stateRequested{reply: exported})
+	reply := make(chan *upgrade.State, 1)
+	l.inbox.post(stateRequested{reply: reply})
 	select {
-	case state := <-exported:
+	case state := <-reply:
 		return state, nil
 	case <-time.After(upgrade.StateTimeout):
 		return nil, &StateTimeoutError{Timeout: upgrade.StateTimeout}
 	}
 }
 
-// exportState returns what the successor needs: the endpoint list and what the balancer has learned.
+// exportState returns the state for the successor: the endpoint list and what the balancer has learned.
 func (l *Loop) exportState() *upgrade.State {
 	l.observeClocks()
 	state := &upgrade.State{
@@ -58,12 +59,12 @@
 	return state
 }
 
-// importState gives the balancer what the predecessor has learned, if there is one.
+// importState passes the predecessor's learned state to the balancer, if there is one.
 func (l *Loop) importState() {
 	if l.predecessorState == nil {
 		return
 	}
-	// Its times are on the clock of the predecessor, which does not follow steps of the wall clock.
+	// The learned times are on the predecessor's clock, which does not follow steps of the wall clock.
 	l.predecessorState.Learned.ShiftTimes(l.predecessorState.WallAhead - l.clockOffsets.wallAhead())
 	l.balancer.ImportState(
 		l.clock.now,
--- a/internal/eventloop/healthchecks.go
+++ b/internal/eventloop/healthchecks.go
@@ -6,7 +6,7 @@
 	"cindersaddle/balance"
 )
 
-// startHealthCheck checks an endpoint in a goroutine of its own, unless the endpoint is draining or gone.
+// startHealthCheck checks an endpoint in a separate goroutine, unless the endpoint is draining or gone.
 func (l *Loop) startHealthCheck(id balance.EndpointID) {
 	endpoint := l.endpoints.byID[id]
 	if endpoint == nil || endpoint.Closed.Load() {
--- a/internal/eventloop/inbox.go
+++ b/internal/eventloop/inbox.go
@@ -1,24 +1,25 @@
 package eventloop
 
-// inboxSize is how many events may wait for the loop before those who post wait too.
+// inboxSize is how many events the inbox holds before post blocks.
 const inboxSize = 1024
 
-// event is something that happened, for the loop to handle. apply is called by the goroutine of Run only.
+// event is an input of the loop. apply handles it, and is called only on the goroutine of Run.
 type event interface{ apply(l *Loop) }
 
-// inbox holds the events that wait for the loop. Any goroutine may post; the other methods are the loop's.
+// inbox holds the events that the loop has not handled. Any goroutine may call post; only the loop calls the other
+// methods.
 type inbox struct {
 	events      chan event
-	localEvents []event         // posted by the loop itself, oldest first; handled before any other event
+	localEvents []event         // posted by the loop itself, oldest first; handled before all other events
 	loopDone    <-chan struct{} // closed when the loop ends
 }
 
-// newInbox returns an empty inbox of a loop that ends when loopDone is closed.
+// newInbox returns an empty inbox for a loop that ends when loopDone is closed.
 func newInbox(loopDone <-chan struct{}) inbox {
 	return inbox{events: make(chan event, inboxSize), loopDone: loopDone}
 }
 
-// post adds an event, and waits while the inbox is full. It drops the event if the loop has ended.
+// post adds an event, and blocks while the inbox is full. It drops the event if the loop has ended.
 func (b *inbox) post(ev event) {
 	select {
 	case b.events <- ev:
@@ -26,11 +27,11 @@
 	}
 }
 
-// postLocal adds an event of the loop's own, which is handled right after the present one. The loop cannot use post: when the
-// inbox is full, it would wait for itself.
+// postLocal adds an event from the loop itself, which is handled right after the current one. The loop must not use
+// post: it would block forever if the inbox were full.
 func (b *inbox) postLocal(ev event) { b.localEvents = append(b.localEvents, ev) }
 
-// popLocal removes and returns the oldest of the loop's own events.
+// popLocal removes and returns the oldest local event. ok is false if there is none.
 func (b *inbox) popLocal() (ev event, ok bool) {
 	if len(b.localEvents) == 0 {
 		return nil, false
--- a/internal/eventloop/listversion.go
+++ b/internal/eventloop/listversion.go
@@ -2,15 +2,15 @@
 
 import "cindersaddle/balance"
 
-// listVersion says which endpoint list the endpoint table holds. It is replaced with each list that is applied, and never
-// becomes incomplete again.
+// listVersion identifies the endpoint list that the endpoint table holds. Each list that is applied replaces it. Once
+// complete, it stays complete.
 type listVersion struct {
-	source   string // the address of the discovery that the list came from
-	revision int64  // discovery's number for it
+	source   string // the address of the discovery service that sent the list
+	revision int64  // as numbered by that discovery service
 	complete bool   // the list was complete, or discovery has updated it since
 }
 
-// next returns the version after an update is applied.
+// next returns the version after an update has been applied.
 func (v listVersion) next(update endpointListUpdate, kind balance.UpdateKind) listVersion {
 	return listVersion{
 		source:   update.source,
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -6,8 +6,8 @@
 	"cindersaddle/balance"
 )
 
-// logFailedAttempt logs an attempt that brought no good response. duration is from its sending to its end, or to the start of
-// its response if that was streamed.
+// logFailedAttempt logs an attempt that did not succeed. duration is the time from sending the attempt to its end, or
+// to the start of its response if that was streamed.
 func (l *Loop) logFailedAttempt(req *request, ev *attemptEnded, duration balance.Milliseconds) {
 	if ev.ending.Result == balance.OK {
 		return
@@ -22,7 +22,8 @@
 		"client_disconnected", ev.ending.ClientDisconnected, "request_done", !req.isOpen(), "error", ev.ending.Err)
 }
 
-// logUnserved logs why a request gets no endpoint's response. It logs nothing if the request has its final response already.
+// logUnserved logs why a request ends without a response from an endpoint. It logs nothing if the request already has
+// its final response.
 func (l *Loop) logUnserved(req *request, level slog.Level, reason unservedReason) {
 	if req == nil || !req.isOpen() {
 		return
--- a/internal/eventloop/loglimiter.go
+++ b/internal/eventloop/loglimiter.go
@@ -2,17 +2,17 @@
 
 import "cindersaddle/balance"
 
-// discoveryFailureLogInterval is the least time between two log lines about failed calls to discovery: an unresponsive agent is called
-// several times a second.
+// discoveryFailureLogInterval is the minimum time between two log lines about failed calls to discovery. An
+// unresponsive agent is called several times a second.
 const discoveryFailureLogInterval balance.Milliseconds = 1000
 
-// logLimiter bounds how often something is logged: at most one line in each interval.
+// logLimiter limits how often something is logged, to one line per interval.
 type logLimiter struct {
 	interval      balance.Milliseconds
-	lastAllowedAt balance.Milliseconds // when the last line was allowed
+	lastAllowedAt balance.Milliseconds // when allow last returned true
 }
 
-// allow reports whether a line may be logged now, and counts it if so.
+// allow reports whether a line may be logged now. If so, the next interval starts.
 func (l *logLimiter) allow(now balance.Milliseconds) bool {
 	if now < l.lastAllowedAt+l.interval {
 		return false
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -15,12 +15,12 @@
 	"cindersaddle/internal/upstream"
 )
 
-// Loop composes the state of the event loop. Its exported methods may be called from any goroutine, but for Attach and
-// TakeOverFrom, which come before Run.
+// Loop is the event loop. Attach and SetPredecessorState must be called before Run; all other exported methods may be
+// called from any goroutine.
 type Loop struct {
 	// The fields of this group do not change after New and Attach.
 
-	ctx            context.Context // ends Run and all attempts
+	ctx            context.Context // its end stops Run and cancels all attempts
 	upstreamClient *upstream.Client
 	watcher        *discovery.Watcher
 	serviceState   *exchange.ServiceState // shared with the other packages
@@ -28,14 +28,14 @@
 	log            *slog.Logger
 
 	inbox      inbox
-	goroutines sync.WaitGroup // goroutines of attempts and health checks; only the loop adds to it
+	goroutines sync.WaitGroup // of attempts and health checks; only the loop adds to it
 
-	// The fields below belong to the goroutine of Run.
+	// Only the goroutine of Run uses the fields below.
 
 	balancer         *balance.Balancer
-	cfg              *config.Config     // in force; replaced by applyConfig only
-	settings         *exchange.Settings // those of cfg, for new requests
-	predecessorState *upgrade.State     // learned by the predecessor in an upgrade; nil: there is none, or Run has imported it
+	cfg              *config.Config     // the configuration in force; only applyConfig replaces it
+	settings         *exchange.Settings // derived from cfg, for new requests
+	predecessorState *upgrade.State     // from the predecessor in an upgrade; nil if there is none or after its import
 
 	clock               clock
 	timers              timerQueue
@@ -43,16 +43,17 @@
 	endpoints           endpointTable
 	listVersion         listVersion
 	clockOffsets        clockOffsets
-	discoveryFailureLog logLimiter // of failed calls to discovery
+	discoveryFailureLog logLimiter
 }
 
 // New returns a loop that runs until ctx is done. Attach must be called before Run.
 func New(
-	ctx context.Context, cfg *config.Config, service *exchange.ServiceState, registry *metrics.Metrics, log *slog.Logger,
+	ctx context.Context, cfg *config.Config, serviceState *exchange.ServiceState, registry *metrics.Metrics,
+	log *slog.Logger,
 ) *Loop {
 	l := &Loop{
 		ctx:                 ctx,
-		serviceState:        service,
+		serviceState:        serviceState,
 		metrics:             registry,
 		log:                 log,
 		inbox:               newInbox(ctx.Done()),
@@ -68,7 +69,8 @@
 	return l
 }
 
-// Attach sets the client that sends attempts to endpoints and the watcher of the endpoint list. It comes before Run.
+// Attach sets the client that sends attempts to endpoints and the watcher of the endpoint list. It must be called
+// before Run.
 func (l *Loop) Attach(client *upstream.Client, watcher *discovery.Watcher) {
 	l.upstreamClient = client
 	l.watcher = watcher
--- a/internal/eventloop/reload.go
+++ b/internal/eventloop/reload.go
@@ -10,9 +10,10 @@
 	"cindersaddle/internal/exchange"
 )
 
-// WatchReloads loads the configuration again on each signal, until ctx is done. cfg is the configuration of New. A new
-// configuration is in force at once, and its discovery is followed from then on. If it cannot be loaded or may not replace
-// the running one, the error is logged and counted, and nothing changes. WatchReloads runs in a goroutine of its own.
+// WatchReloads reloads the configuration on each signal, until ctx is done. cfg is the configuration that was passed to
+// New. A new configuration applies immediately, and the watcher switches to its discovery address. If it cannot be
+// loaded or must not replace the running one, the error is logged and counted, and nothing changes. WatchReloads runs
+// in a separate goroutine.
 func (l *Loop) WatchReloads(ctx context.Context, cfg *config.Config, signals <-chan os.Signal) {
 	running := cfg
 	for {
@@ -37,7 +38,7 @@
 	}
 }
 
-// reloadConfig loads the configuration that is to replace the running one.
+// reloadConfig loads the configuration again and checks that it may replace the running one.
 func reloadConfig(running *config.Config) (*config.Config, error) {
 	next, err := running.Reload()
 	if err != nil {
@@ -49,10 +50,10 @@
 	return next, nil
 }
 
-// configLoaded is a new configuration.
+// configLoaded reports a new configuration.
 type configLoaded struct {
 	cfg     *config.Config
-	applied chan<- struct{} // closed when it is in force
+	applied chan<- struct{} // closed when the configuration is in force
 }
 
 func (ev configLoaded) apply(l *Loop) {
@@ -60,20 +61,20 @@
 	close(ev.applied)
 }
 
-// replaceConfig puts a configuration in force and returns when that is done; false: ctx was done before.
+// replaceConfig puts a configuration in force and waits until that is done. It returns false if ctx was done first.
 func (l *Loop) replaceConfig(ctx context.Context, next *config.Config) bool {
-	done := make(chan struct{})
-	l.inbox.post(configLoaded{cfg: next, applied: done})
+	applied := make(chan struct{})
+	l.inbox.post(configLoaded{cfg: next, applied: applied})
 	select {
-	case <-done:
+	case <-applied:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// applyConfig puts a configuration in force. The balancer retains what it has learned, and open requests retain the settings
-// that they were read under.
+// applyConfig puts a configuration in force. The balancer keeps what it has learned, and open requests keep the
+// settings under which they were read.
 func (l *Loop) applyConfig(next *config.Config) {
 	previous := l.cfg
 	previousSettings := l.settings
@@ -91,8 +92,8 @@
 	}
 }
 
-// copyRestartOnlySettings copies to next what only a restart can change: the seed, the times of connections, the way that discovery
-// is followed, the form of load reports and the admin address.
+// copyRestartOnlySettings copies to next the settings that change only with a restart: the seed, the connection
+// timeouts, the discovery mode, the format of load reports and the admin address.
 func copyRestartOnlySettings(next, running *config.Config) {
 	next.Balance.Seed = running.Balance.Seed
 	next.Balance.ConnIdleTimeout = running.Balance.ConnIdleTimeout
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -6,60 +6,60 @@
 	"cindersaddle/internal/metrics"
 )
 
-// requestState is the stage of a request's life. A request never returns to an earlier state:
+// requestState is the state of a request. A request never returns to an earlier state:
 //
-//	state      the client waits for  deadline  ends when                      next
-//	uploading  the response          none      its last body byte was sent    waiting
-//	                                           its final response was made    streaming, done
-//	waiting    the response          set       its final response was made    streaming, done
-//	streaming  the rest of it        unused    its attempt has ended          done
-//	done       nothing               unused    its last attempt has ended     released
+//	state      the client waits for  deadline  ends when                         next
+//	uploading  the response          none      the last body byte has been sent  waiting
+//	                                           the final response is ready       streaming, done
+//	waiting    the response          set       the final response is ready       streaming, done
+//	streaming  the rest of it        unused    its attempt has ended             done
+//	done       nothing               unused    its last attempt has ended        released
 //	released   nothing               unused    -
 //
-// A done request only waits for the end of its attempts that are in flight. The metrics count a request as pending until it is
-// done.
+// A request that is done stays in the index until its attempts in flight have ended. The metrics count a request as
+// pending until it is done.
 type requestState uint8
 
 const (
-	stateUploading requestState = iota // its long body is on its way to an endpoint: its time has not begun
-	stateWaiting                       // its time runs
-	stateStreaming                     // a long response is on its way to the client
+	stateUploading requestState = iota // a long body is being sent to an endpoint: the time limit does not run yet
+	stateWaiting                       // the request is complete: the time limit runs
+	stateStreaming                     // a long response is being streamed to the client
 	stateDone                          // the client has its response, or has disconnected
-	stateReleased                      // forgotten: only its timer still refers to it
+	stateReleased                      // removed from the index: only its timer still refers to it
 )
 
-// request is a client's request, from its arrival until it has its response and no attempt of it is in flight. Its state and
-// deadline are changed by the methods of this file and of requesttime.go only.
+// request is a client's request, from its arrival until it has its response and none of its attempts is in flight. Only
+// the methods in this file and in requesttime.go change its state and deadline.
 type request struct {
 	id       balance.RequestID
 	exchange *exchange.Exchange     // nil once released
-	counters *metrics.ClassCounters // of the class that it arrived with
+	counters *metrics.ClassCounters // of the class under which it arrived
 	attempts attemptSet
-	deadline balance.Milliseconds // see requestState
+	deadline balance.Milliseconds // when the client gives up; set in stateWaiting
 	state    requestState
 	// lateInShutdown means that the request must have ended before the process may be killed.
 	lateInShutdown bool
 }
 
 // newRequest returns the request of an exchange.
-func newRequest(id balance.RequestID, incoming *exchange.Exchange) *request {
+func newRequest(id balance.RequestID, ex *exchange.Exchange) *request {
 	state := stateWaiting
-	if incoming.Request.Uploading {
+	if ex.Request.Uploading {
 		state = stateUploading
 	}
 	return &request{
 		id:       id,
 		state:    state,
-		exchange: incoming,
-		counters: incoming.Settings.Counters[incoming.Request.Class],
-		attempts: attemptSet{maxAttempts: incoming.Settings.MaxAttempts},
+		exchange: ex,
+		counters: ex.Settings.Counters[ex.Request.Class],
+		attempts: attemptSet{maxAttempts: ex.Settings.MaxAttempts},
 	}
 }
 
-// open reports whether the request has no final response yet.
+// isOpen reports whether the request has no final response yet.
 func (r *request) isOpen() bool { return r.state == stateUploading || r.state == stateWaiting }
 
-// uploading reports whether the end of its long body has not been sent.
+// isUploading reports whether the request has a long body whose last byte has not been sent.
 func (r *request) isUploading() bool { return r.state == stateUploading }
 
 // markUploadSent ends stateUploading: the last byte of the long body has been sent. Remaining counts from now on.
@@ -68,7 +68,8 @@
 	r.exchange.Request.Remaining = r.remainingFromLastByte()
 }
 
-// markFinished records the final response of an open request.
+// markFinished records that an open request has its final response. streaming reports whether its body is still being
+// streamed.
 func (r *request) markFinished(streaming bool) {
 	r.state = stateDone
 	if streaming {
@@ -80,13 +81,13 @@
 // markStreamEnded ends stateStreaming.
 func (r *request) markStreamEnded() { r.state = stateDone }
 
-// releasable reports whether the request can be forgotten.
+// canRelease reports whether the request has ended, has no attempt in flight and has not been released yet.
 func (r *request) canRelease() bool {
 	return !r.isOpen() && r.state != stateReleased && r.attempts.inFlight == 0
 }
 
-// release frees what the request refers to. Its timer refers to the request until its deadline, long after the response;
-// headers and body need not stay in memory for that.
+// release drops the references to the exchange and the attempts. The request's timer refers to the request until the
+// deadline, long after the response, and must not keep headers and body in memory until then.
 func (r *request) release() {
 	r.state = stateReleased
 	r.exchange = nil
--- a/internal/eventloop/requestindex.go
+++ b/internal/eventloop/requestindex.go
@@ -5,13 +5,13 @@
 	"cindersaddle/internal/exchange"
 )
 
-// requestIndex finds the requests that the loop knows. A request is in byID and byTraceID until it is released, and in
-// byExchange while it is open.
+// requestIndex holds the requests that the loop has not released. A request is in byID and byTraceID until it is
+// released, and in byExchange while it is open.
 type requestIndex struct {
 	byID       map[balance.RequestID]*request
 	byExchange map[*exchange.Exchange]*request
-	byTraceID  map[string]*request // by the client's identifier
-	lastID     balance.RequestID   // of the request that came last
+	byTraceID  map[string]*request // keyed by the client's X-Trace-Id
+	lastID     balance.RequestID   // ID of the latest request
 }
 
 func newRequestIndex() requestIndex {
@@ -22,23 +22,24 @@
 	}
 }
 
-// nextID returns an identifier that no request has had.
+// nextID returns an ID that no request has had.
 func (x *requestIndex) nextID() balance.RequestID {
 	x.lastID++
 	return x.lastID
 }
 
-// add adds a request, whose trace identifier no other request may have.
+// add adds a request. No other request in the index may have its trace ID.
 func (x *requestIndex) add(req *request) {
 	x.byID[req.id] = req
 	x.byExchange[req.exchange] = req
 	x.byTraceID[req.exchange.TraceID] = req
 }
 
-// removeOpen removes a request from the open ones.
+// removeOpen removes a request from the index of open requests.
 func (x *requestIndex) removeOpen(req *request) { delete(x.byExchange, req.exchange) }
 
-// remove removes a request that is to be released. It may never have been added, as another has its trace identifier.
+// remove removes a request before its release. A request that was rejected as a duplicate was never added: the entry of
+// its trace ID then belongs to another request and stays.
 func (x *requestIndex) remove(req *request) {
 	delete(x.byID, req.id)
 	if x.byTraceID[req.exchange.TraceID] == req {
--- a/internal/eventloop/requesttime.go
+++ b/internal/eventloop/requesttime.go
@@ -3,31 +3,32 @@
 import "cindersaddle/balance"
 
 const (
-	// deadlineSlack is how long after its deadline a request fails that the balancer has not finished.
+	// deadlineSlack is how long after its deadline the loop fails a request that the balancer has not finished.
 	deadlineSlack balance.Milliseconds = 10
-	// maxUploadTime is the limit of an attempt whose request's time has not begun: an hour.
+	// maxUploadTime is the time limit of an attempt while the request's own time limit does not run yet: one hour.
 	maxUploadTime balance.Milliseconds = 60 * 60 * 1000
 )
 
-// setDeadline sets the deadline of a request that is complete: its client waits for Remaining from now on.
+// setDeadline sets the deadline of a request that is complete: its client waits for another Remaining.
 func (r *request) setDeadline(now balance.Milliseconds) {
 	r.deadline = now + r.exchange.Request.Remaining
 }
 
-// subtractQueueTime takes the time that the request was queued for the event loop from what remains of its time.
+// subtractQueueTime subtracts the time that the request waited for the event loop from its remaining time.
 func (r *request) subtractQueueTime(queued balance.Milliseconds) {
-	incoming := &r.exchange.Request
-	incoming.Remaining = max(0, incoming.Remaining-queued)
+	balancerRequest := &r.exchange.Request
+	balancerRequest.Remaining = max(0, balancerRequest.Remaining-queued)
 }
 
-// limitToShutdown bounds the time of a request that came late in a shutdown by what the shutdown allows.
+// limitToShutdown limits the remaining time of a request that arrived late in a shutdown to what the shutdown allows.
 func (r *request) limitToShutdown(allowed balance.Milliseconds) {
 	r.lateInShutdown = true
-	incoming := &r.exchange.Request
-	incoming.Remaining = max(0, min(incoming.Remaining, allowed))
+	balancerRequest := &r.exchange.Request
+	balancerRequest.Remaining = max(0, min(balancerRequest.Remaining, allowed))
 }
 
-// remaining returns how long the client of an open request still waits. While its body is on its way, its time has not begun.
+// remaining returns how much longer the client of an open request waits. During the upload that is the complete time
+// limit, which does not run yet.
 func (r *request) remaining(now balance.Milliseconds) balance.Milliseconds {
 	if r.isUploading() {
 		return r.exchange.Request.Remaining
@@ -35,7 +36,7 @@
 	return r.deadline - now
 }
 
-// timeAfterUpload returns how long an attempt that begins now may take from the last byte of the request on.
+// timeAfterUpload returns how long an attempt that starts now may take after it has sent the last byte of the request.
 func (r *request) timeAfterUpload(now balance.Milliseconds) balance.Milliseconds {
 	if r.isUploading() {
 		return r.remainingFromLastByte()
@@ -43,8 +44,9 @@
 	return max(0, r.deadline-now)
 }
 
-// remainingFromLastByte returns how long the client of a request with a long body waits at least, from now on if the last byte has
-// come, and otherwise from then on. An attempt that follows a failed one can begin long after the last byte.
+// remainingFromLastByte returns the least time for which the client of a request with a long body still waits. It
+// counts from now if the last byte has been received, and from the receipt of the last byte otherwise. An attempt that
+// follows a failed one may start long after the last byte.
 func (r *request) remainingFromLastByte() balance.Milliseconds {
 	remaining := r.exchange.Request.Remaining
 	if upload := r.exchange.Message.Upload; upload != nil {
@@ -53,8 +55,8 @@
 	return max(0, remaining)
 }
 
-// attemptDeadline returns when an attempt that begins now is given up: with its request, or at limit if that is sooner;
-// limit 0: there is none.
+// attemptDeadline returns the deadline of an attempt that starts now: the deadline of its request, or limit if that is
+// earlier. A limit of 0 means none.
 func (r *request) attemptDeadline(now, limit balance.Milliseconds) balance.Milliseconds {
 	deadline := r.deadline
 	if r.isUploading() {
@@ -66,7 +68,7 @@
 	return deadline
 }
 
-// maxUploadAttemptTime returns how long an attempt that begins now may take, of a request in stateUploading.
+// maxUploadAttemptTime returns how long an attempt that starts now may take, for a request in stateUploading.
 func (r *request) maxUploadAttemptTime() balance.Milliseconds {
 	if upload := r.exchange.Message.Upload; upload != nil && upload.Received.Load() {
 		return r.remainingFromLastByte()
--- a/internal/eventloop/responses.go
+++ b/internal/eventloop/responses.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// millisecondsPerSecond is the unit of the Retry-After header: a second.
+	// millisecondsPerSecond converts to seconds, the unit of the Retry-After header.
 	millisecondsPerSecond balance.Milliseconds = 1000
-	// retryAfterDecimals is how many digits after the point the header has, which are down to milliseconds.
+	// retryAfterDecimals is the number of decimal places in the Retry-After header: it is precise to a millisecond.
 	retryAfterDecimals = 3
 )
 
-// rejection returns the response of a request that its client may safely retry: it was not executed, or may be executed
-// again. retryAfter is how long the client should wait; 0: it may retry at once.
-// The texts of the responses are part of the wire protocol.
+// rejectionResponse returns the response to a rejected request, which its client may safely retry: it was not executed,
+// or may be executed more than once. retryAfter is how long the client should wait before the retry; 0 means not at
+// all. The texts of the responses are part of the wire protocol.
 func (l *Loop) rejectionResponse(retryAfter balance.Milliseconds) *exchange.Response {
 	response := textResponse(http.StatusServiceUnavailable, "refused, trying again is harmless")
-	limits := &l.cfg.Balance
-	if limits.RetryAfter && retryAfter > 0 {
-		seconds := float64(min(retryAfter, limits.MaxRetryAfter) / millisecondsPerSecond)
+	cfg := &l.cfg.Balance
+	if cfg.RetryAfter && retryAfter > 0 {
+		seconds := float64(min(retryAfter, cfg.MaxRetryAfter) / millisecondsPerSecond)
 		response.Header.Set("Retry-After", strconv.FormatFloat(seconds, 'f', retryAfterDecimals, 64))
 	}
 	return response
@@ -35,7 +35,7 @@
 	return response
 }
 
-// textResponse returns a plain text response of one line.
+// textResponse returns a plain text response with one line.
 func textResponse(status int, text string) *exchange.Response {
 	return &exchange.Response{
 		Status: status,
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -9,8 +9,8 @@
 // maxIdleSleep is how long the loop sleeps at most while no timer is set.
 const maxIdleSleep = time.Hour
 
-// Run handles events until the context of New is done, and returns when all attempts and health checks have ended. The
-// events that wait at one moment are handled as one batch, with one reading of the clock.
+// Run handles events until the context passed to New is done, and returns when all attempts and health checks have
+// ended. Events that are queued at the same time are handled as one batch, with a single reading of the clock.
 func (l *Loop) Run() {
 	l.startBalancer()
 	gaugeTicks, stopGauges := l.startGauges()
@@ -37,16 +37,20 @@
 	}
 }
 
-// start starts the balancer with the endpoints of the configuration and what the predecessor has learned.
+// startBalancer starts the balancer with the endpoints in the configuration and the learned state of the predecessor.
 func (l *Loop) startBalancer() {
 	l.clock.update()
 	l.performActions(l.balancer.Start(l.clock.now))
-	l.applyEndpointList(endpointListUpdate{list: &l.cfg.KnownEndpoints, source: l.cfg.Discovery}, balance.UpdateCachedSnapshot)
+	l.applyEndpointList(
+		endpointListUpdate{list: &l.cfg.KnownEndpoints, source: l.cfg.Discovery},
+		balance.UpdateCachedSnapshot,
+	)
 	l.importState()
 }
 
-// handleBatch handles an event, if there is one, and those that wait in the inbox. It is called for a timer that is due too:
-// what has happened comes before what is decided because nothing has, such as a response before its attempt is overdue.
+// handleBatch handles the given event, which may be nil, and the events that are queued in the inbox. It is also called
+// when a timer is due, so that queued events are handled before the timer fires: a response that has arrived, for
+// example, is handled before the timer that treats its attempt as overdue.
 func (l *Loop) handleBatch(first event) {
 	l.clock.update()
 	if first != nil {
@@ -55,7 +59,7 @@
 	l.drainInbox()
 }
 
-// drainInbox handles the events that wait now, but none that come meanwhile.
+// drainInbox handles the events that are queued now, but not those that are posted in the meantime.
 func (l *Loop) drainInbox() {
 	for n := len(l.inbox.events); n > 0; n-- {
 		l.handleLocalEvents()
@@ -63,7 +67,7 @@
 	}
 }
 
-// handleLocalEvents handles the events of the loop's own until there are none.
+// handleLocalEvents handles local events until none is left.
 func (l *Loop) handleLocalEvents() {
 	for {
 		ev, ok := l.inbox.popLocal()
--- a/internal/eventloop/streams.go
+++ b/internal/eventloop/streams.go
@@ -5,18 +5,18 @@
 	"cindersaddle/internal/exchange"
 )
 
-// minStreamLatency, a microsecond, keeps the latency of a stream above 0, which means that no stream has started.
+// minStreamLatency, one microsecond, keeps Attempt.StreamLatency above 0, which means that no stream has started.
 const minStreamLatency balance.Milliseconds = 1e-3
 
-// startStream gives a request a long response, which ends with its attempt. A late request of a shutdown gets none:
-// the process would be killed before its end.
+// startStream starts to stream a long response to the client; the stream ends with its attempt. A request that arrived
+// late in a shutdown gets no streamed response, because the process would be killed before its end.
 func (l *Loop) startStream(ev streamStarted) {
 	attempt := ev.attempt
 	req := l.requests.byID[attempt.RequestID]
 	if req.lateInShutdown {
 		attempt.NoRetry = true
 	}
-	// The rest of a response whose attempt the balancer has cancelled cannot be read any more, and the request is retried.
+	// If the balancer has cancelled the attempt, the rest of its response cannot be read, and the request is retried.
 	cancelled := attempt.Context.Err() != nil
 	if !req.isOpen() || req.lateInShutdown || cancelled {
 		ev.response.Download.Finish(exchange.ErrDownloadStopped)
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -6,21 +6,22 @@
 	"cindersaddle/balance"
 )
 
-// timer is a timer of the balancer, or the deadline of a request.
+// timer is either a timer of the balancer or the deadline of a request.
 type timer struct {
 	dueAt   balance.Milliseconds
-	token   uint64   // the balancer's identifier of it; unused if request is set
-	request *request // the request that expires; nil: a timer of the balancer
+	token   uint64   // the balancer's identifier of the timer; unused if request is set
+	request *request // the request that expires; nil for a timer of the balancer
 }
 
-// timerQueue holds the timers that have not fired. None is removed before it is due: the balancer ignores a token that it does
-// not wait for any more, and expireRequest a request that has ended. The zero value is empty.
+// timerQueue holds the timers that have not fired. A timer cannot be removed before it is due: the balancer ignores
+// tokens of timers that it no longer needs, and expireRequest ignores requests that have ended. The zero value is an
+// empty queue.
 type timerQueue struct{ heap timerHeap }
 
 // schedule adds a timer.
 func (q *timerQueue) schedule(t timer) { heap.Push(&q.heap, t) }
 
-// next returns when the first timer is due, and whether there is one.
+// next returns the time at which the earliest timer is due. ok is false if there is no timer.
 func (q *timerQueue) next() (dueAt balance.Milliseconds, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -28,7 +29,7 @@
 	return q.heap[0].dueAt, true
 }
 
-// popDue removes and returns the first timer if it is due.
+// popDue removes and returns the earliest timer if it is due.
 func (q *timerQueue) popDue(now balance.Milliseconds) (due timer, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].dueAt > now {
 		return timer{}, false
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -9,61 +9,62 @@
 	"cindersaddle/internal/exchange"
 )
 
-// unservedReason says why a request ended without the response of an endpoint, in the log line "request not served".
+// unservedReason says in the log line "request not served" why a request ended without a response from an endpoint.
 //
-// This is the complete list of such ends. The balancer decides on the first two, and why it did is its own; the others are
-// decided here. Those without a line of their own are not logged as unserved: an attempt that found its client disconnected, or
-// a body that its client did not send to the end, is logged as a failed attempt.
+// The table lists all cases in which that happens. The balancer decides the first two for reasons of its own; the event
+// loop decides the others. Cases without a reason are not logged as "request not served": an attempt that found its
+// client disconnected, or an upload that the client did not complete, is logged as a failed attempt.
 //
-//	end                     response                    function           reason in the log
-//	rejected by balancer    503, perhaps Retry-After    rejectRequest      rejected
-//	failed by balancer      502                         failRequest        failed
-//	trace identifier open   409, connection closed      rejectDuplicate    -
-//	upload incomplete       a RequestError, closed      failIncompleteUpload         -
-//	client disconnected     none                        handleDisconnect    client disconnected
-//	the same, found late    none, connection closed     abortRequest  -
-//	not finished in time    504                         expireRequest      deadline exceeded
+//	case                      response                    function                reason in the log
+//	rejected by the balancer  503, may have Retry-After   rejectRequest           rejected
+//	failed by the balancer    502                         failRequest             failed
+//	trace ID already open     409, connection closed      rejectDuplicate         -
+//	upload incomplete         RequestError, closed        failIncompleteUpload    -
+//	client disconnected       none                        handleDisconnect        client disconnected
+//	same, found by attempt    none, connection closed     abortRequest            -
+//	not finished in time      504                         expireRequest           deadline exceeded
 type unservedReason string
 
 const (
-	reasonRejected           unservedReason = "rejected"            // by the balancer: a retry by the client is harmless
-	reasonFailed             unservedReason = "failed"              // by the balancer: a retry might execute the request twice
-	reasonClientDisconnected unservedReason = "client disconnected" // before its response
+	reasonRejected           unservedReason = "rejected"            // by the balancer: the client may retry safely
+	reasonFailed             unservedReason = "failed"              // by the balancer: a retry might execute it twice
+	reasonClientDisconnected unservedReason = "client disconnected" // before it got its response
 	reasonDeadlineExceeded   unservedReason = "deadline exceeded"   // the balancer has not finished it in time
 )
 
-// rejectRequest finishes a request that the balancer rejected: no endpoint has executed it, or it may be executed again.
+// rejectRequest finishes a request that the balancer rejected: either no endpoint has executed it, or it may be
+// executed more than once.
 func (l *Loop) rejectRequest(req *request, retryAfter balance.Milliseconds) {
 	l.logUnserved(req, slog.LevelInfo, reasonRejected)
 	l.finish(req, l.rejectionResponse(retryAfter))
 }
 
-// failRequest finishes a request that the balancer has given up, that an endpoint may have executed, and that must not be
+// failRequest finishes a request that the balancer failed: an endpoint may have executed it, and it must not be
 // executed twice.
 func (l *Loop) failRequest(req *request) {
 	l.logUnserved(req, slog.LevelInfo, reasonFailed)
 	l.finish(req, textResponse(http.StatusBadGateway, "failed"))
 }
 
-// rejectDuplicate finishes a request that has the trace identifier of an open one. Endpoints and clients know a request by that
-// identifier: with two of the same, a request would get the response of the other.
+// rejectDuplicate finishes a request that has the same trace ID as an open request. Endpoints and clients identify a
+// request by its trace ID: if two open requests shared one, each could get the other's response.
 func (l *Loop) rejectDuplicate(req *request) {
 	l.finish(req, closingResponse(http.StatusConflict, "a request of this X-Trace-Id is open"))
 }
 
-// failIncompleteUpload finishes a request whose client has not sent its long body to the end.
+// failIncompleteUpload finishes a request whose client did not send its long body completely.
 func (l *Loop) failIncompleteUpload(req *request, uploadError error) {
 	var requestError *exchange.RequestError
 	errors.As(exchange.BodyError(uploadError), &requestError)
 	l.finish(req, closingResponse(requestError.Status, requestError.Text))
 }
 
-// abortRequest finishes a request whose client was found to have disconnected when its attempt was to be sent. The client
-// side may not notice that itself, and closes the connection.
+// abortRequest finishes a request whose client turned out to have disconnected when an attempt was about to be sent.
+// Package downstream may not notice the disconnect itself, so the response tells it to close the connection.
 func (l *Loop) abortRequest(req *request) { l.finish(req, &exchange.Response{Abort: true}) }
 
-// expireRequest fails a request that is still open after its deadline. It guards against a balancer that never finishes a
-// request, by a fault of its own: its client would wait for ever.
+// expireRequest fails a request that is still open after its deadline. It guards against a fault in the balancer: a
+// request that the balancer never finishes would leave its client waiting forever.
 func (l *Loop) expireRequest(req *request) {
 	if !req.isOpen() {
 		return
@@ -73,13 +74,13 @@
 }
 
 // handleDisconnect ends the request of a client that has closed its connection.
-func (l *Loop) handleDisconnect(disconnected *exchange.Exchange) {
-	if req := l.requests.byExchange[disconnected]; req != nil {
+func (l *Loop) handleDisconnect(ex *exchange.Exchange) {
+	if req := l.requests.byExchange[ex]; req != nil {
 		l.logUnserved(req, slog.LevelInfo, reasonClientDisconnected)
 		l.finishWithoutBalancer(req, nil)
 	}
-	select { // a long response may have been sent just before the client disconnected: nobody else ends it
-	case response := <-disconnected.Responses:
+	select { // A streamed response may have been sent just before the disconnect: its Download has no other reader.
+	case response := <-ex.Responses:
 		if response.Download != nil {
 			response.Download.Finish(exchange.ErrDownloadStopped)
 		}
@@ -87,10 +88,11 @@
 	}
 }
 
-// finishWithoutBalancer finishes a request without the balancer's decision, and notifies the balancer, which drops it.
+// finishWithoutBalancer finishes a request without a decision of the balancer, and notifies the balancer, which drops
+// the request.
 func (l *Loop) finishWithoutBalancer(req *request, response *exchange.Response) {
 	l.finish(req, response)
-	// Also sent for a request past its deadline, whose client is still connected: the balancer has no other event that makes
-	// it drop a request.
+	// A request past its deadline is reported as ClientGone too, although its client is still connected: the balancer
+	// has no other event that makes it drop a request.
 	l.notifyBalancer(balance.ClientGone{Request: req.id})
 }
