--- a/internal/eventloop/clockoffsets_faults_test.go
+++ b/internal/eventloop/clockoffsets_faults_test.go
@@ -10,9 +10,10 @@
 	"cindersaddle/internal/fault"
 )
 
-// The wall clock is stepped while a process runs, and a successor takes over what it has learned. The clocks of the two differ
-// by the step: the successor must take the learned times for as long ago as they are.
+// The wall clock is stepped while a process runs, so its loop clock differs by the step from that of its successor. The
+// successor must convert the learned times, or they would be wrong by the step.
 func TestLearnedTimesAreShiftedByClockSteps(t *testing.T) {
+	const maxAge balance.Milliseconds = 10e3 // far less than the clock step
 	predecessor, _ := newLoopWithEndpoint(t, 1000)
 	fault.SetClockStep(time.Hour)
 	t.Cleanup(func() { fault.SetClockStep(0) })
@@ -26,7 +27,7 @@
 	successor.applyEndpointList(endpointListUpdate{list: &successor.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
 	successor.importState()
 	learned := successor.balancer.ExportState(successor.clock.now)
-	if age := successor.clock.now - learned.Endpoints[0].WarmUpSince; age < 0 || age > 10e3 {
-		t.Errorf("the endpoint counts as started %v ms ago, want about 1000", age)
+	if age := successor.clock.now - learned.Endpoints[0].WarmUpSince; age < 0 || age > maxAge {
+		t.Errorf("got an endpoint started %v ms ago, want about 1000, at most %v", age, maxAge)
 	}
 }
--- a/internal/eventloop/clockoffsets_test.go
+++ b/internal/eventloop/clockoffsets_test.go
@@ -7,16 +7,16 @@
 	"cindersaddle/balance"
 )
 
-// hour is the size of the steps of the wall clock.
+// hour is the size of the clock steps, in milliseconds.
 const hour balance.Milliseconds = 60 * 60 * 1000
 
-// The wall clock is stepped by an hour before or after the start of an endpoint, whose time discovery lists by that clock. An
-// endpoint that has just started must not count as one that has run for long, which would be overloaded, or as one that will
-// start in an hour.
+// Discovery lists the start of an endpoint by the wall clock, which is stepped by an hour before or after that start.
+// An endpoint that has just started must not count as started long ago, which would overload it, or as starting in an
+// hour.
 func TestStartTimeAcrossClockSteps(t *testing.T) {
-	const began, now = 1e12, 1e12 + 30e3
+	const processStart, now = 1e12, 1e12 + 30e3
 	for name, test := range map[string]struct {
-		step      balance.Milliseconds // of the wall clock, 10 s after the process began
+		step      balance.Milliseconds // of the wall clock, 10 s after processStart
 		listed    balance.Milliseconds
 		want      balance.Milliseconds
 		tolerance balance.Milliseconds
@@ -31,46 +31,49 @@
 		"ahead of all clocks":          {0, now + 2*hour, now, 0},
 		"started long before the step": {hour, now - 20*hour, now - 20*hour, 0},
 	} {
-		var steps clockOffsets
-		steps.observe(began, began)
-		steps.observe(began+10e3, began+10e3+test.step)
-		steps.observe(now, now+test.step)
-		if got := steps.convertStartTime(test.listed, now); math.Abs(float64(got-test.want)) > float64(test.tolerance) {
-			t.Errorf("%s: started %v ms before now, want %v", name, now-got, now-test.want)
+		var clocks clockOffsets
+		clocks.observe(processStart, processStart)
+		clocks.observe(processStart+10e3, processStart+10e3+test.step)
+		clocks.observe(now, now+test.step)
+		got := clocks.convertStartTime(test.listed, now)
+		if math.Abs(float64(got-test.want)) > float64(test.tolerance) {
+			t.Errorf("%s: got a start %v ms before now, want %v (tolerance %v)",
+				name, now-got, now-test.want, test.tolerance)
 		}
 	}
 }
 
-// The wall clock is stepped every second. The differences that are remembered must be bounded, and must not last.
+// The wall clock is stepped every second. The number of offsets kept must be limited, and offsets that ended more than
+// clockOffsetRetention ago must not be used.
 func TestClockDifferencesAreForgotten(t *testing.T) {
-	var steps clockOffsets
+	var clocks clockOffsets
 	for i := range 100 {
-		moment := 1e12 + balance.Milliseconds(i)*1000
-		steps.observe(moment, moment+balance.Milliseconds(i)*hour)
+		now := 1e12 + balance.Milliseconds(i)*1000
+		clocks.observe(now, now+balance.Milliseconds(i)*hour)
 	}
-	if len(steps.offsets) > maxClockOffsets {
-		t.Errorf("%d differences remembered, want at most %d", len(steps.offsets), maxClockOffsets)
+	if len(clocks.offsets) > maxClockOffsets {
+		t.Errorf("got %d offsets, want at most %d", len(clocks.offsets), maxClockOffsets)
 	}
 	now := balance.Milliseconds(1e12 + 200e3 + clockOffsetRetention)
-	if got, want := steps.convertStartTime(now+98*hour, now), now-hour; got != want {
-		t.Errorf("start at %v, want %v", got, want)
+	if got, want := clocks.convertStartTime(now+98*hour, now), now-hour; got != want {
+		t.Errorf("got start time %v, want %v", got, want)
 	}
 }
 
-// The wall clock is set back, and an endpoint restarts after that: the time listed for its start is earlier than the one before.
-// The restart must be noticed: the old connections are discarded, and the endpoint warms up.
+// The wall clock is set back before an endpoint restarts, so that the listed start time is earlier than the previous
+// one. The restart must be noticed: connections to the previous incarnation are discarded, and a new slow start begins.
 func TestRestartAfterClockWasSetBack(t *testing.T) {
-	l, listed := newLoopWithEndpoint(t, 60e3)
+	l, entry := newLoopWithEndpoint(t, 60e3)
 	endpoint := l.endpoints.byName["s-1"]
 	address := endpoint.Address.Load()
 
 	l.clockOffsets.observe(l.clock.now, l.clock.now-hour)
-	listed.StartedAt = l.clock.now - hour - 1000
-	restarted := l.toBalancerEndpoint(l.updateEndpoint(&listed), &listed)
+	entry.StartedAt = l.clock.now - hour - 1000
+	restarted := l.toBalancerEndpoint(l.updateEndpoint(&entry), &entry)
 	if endpoint.Address.Load() == address {
-		t.Error("connections to the previous incarnation are still used")
+		t.Errorf("got the address pointer %p of the previous incarnation, want a new one", address)
 	}
 	if age := l.clock.now - restarted.StartedAt; age > 2000 {
-		t.Errorf("the endpoint counts as started %v ms ago, want 1000", age)
+		t.Errorf("got an endpoint started %v ms ago, want 1000, at most 2000", age)
 	}
 }
--- a/internal/eventloop/endpointtable_test.go
+++ b/internal/eventloop/endpointtable_test.go
@@ -13,8 +13,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// Sidecars learn of the endpoints in different orders. All must hash a sticky key to the same endpoints, so that an endpoint's ID
-// may not depend on that order.
+// All sidecars must hash a sticky key to the same endpoints, although they may learn of the endpoints in different
+// orders. The ID of an endpoint must therefore not depend on that order.
 func TestEndpointIDsDoNotDependOnListOrder(t *testing.T) {
 	endpoints := []membership.Endpoint{
 		sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"),
@@ -25,7 +25,8 @@
 		l := newTestLoop(t)
 		l.upstreamClient = newTestUpstream(t)
 		for _, i := range order {
-			l.applyEndpointList(endpointListUpdate{list: &membership.EndpointList{Endpoints: endpoints[i : i+1]}}, balance.UpdateDelta)
+			list := &membership.EndpointList{Endpoints: endpoints[i : i+1]}
+			l.applyEndpointList(endpointListUpdate{list: list}, balance.UpdateDelta)
 		}
 		ids := map[string]balance.EndpointID{}
 		for name, endpoint := range l.endpoints.byName {
@@ -35,16 +36,17 @@
 	}
 	first, second := idsInOrder(0, 1, 2), idsInOrder(2, 0, 1)
 	if !maps.Equal(first, second) || len(first) != 3 || first["s-1"] == first["s-2"] {
-		t.Errorf("IDs %v and %v, want three equal ones that differ by name", first, second)
+		t.Errorf("got IDs %v and %v, want the same three different IDs for both orders", first, second)
 	}
 }
 
-// A sidecar may be limited to 32 MB, and each complete list brings hundreds of endpoints. They must take a small part of it, also
-// after many lists, of which each replaces all endpoints.
+// A sidecar may be limited to 32 MB of memory, and each complete list has hundreds of endpoints. They must take only a
+// small part of the memory, even after many lists that each replace all endpoints.
 func TestMemoryOfManyEndpoints(t *testing.T) {
 	const endpointCount, maxBytes = 400, 4 << 20
 	l := newTestLoop(t)
-	l.upstreamClient = upstream.NewClient(upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116}), nil, "", l.metrics)
+	pool := upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116})
+	l.upstreamClient = upstream.NewClient(pool, nil, "", l.metrics)
 	heapBytes := func() uint64 {
 		var stats runtime.MemStats
 		runtime.GC()
@@ -58,10 +60,11 @@
 		for i := range list.Endpoints {
 			list.Endpoints[i].ID += fmt.Sprint(round)
 		}
-		l.applyEndpointList(endpointListUpdate{&list, "127.0.0.1:2"}, 0)
+		l.applyEndpointList(endpointListUpdate{&list, "127.0.0.1:2"}, balance.UpdateSnapshot)
 	}
 	if grown := int64(heapBytes()) - int64(before); grown > maxBytes || l.endpoints.len() != endpointCount {
-		t.Errorf("%d endpoints take %d bytes, want %d endpoints in %d bytes at most", l.endpoints.len(), grown, endpointCount, maxBytes)
+		t.Errorf("got %d endpoints in %d bytes, want %d endpoints in at most %d bytes",
+			l.endpoints.len(), grown, endpointCount, maxBytes)
 	} else {
 		t.Logf("%d endpoints take %d bytes", endpointCount, grown)
 	}
--- a/internal/eventloop/failingdiscovery_test.go
+++ b/internal/eventloop/failingdiscovery_test.go
@@ -16,17 +16,18 @@
 	"cindersaddle/internal/timing"
 )
 
-// failureMode is how discovery fails while it is down.
+// failureMode is how discovery fails during an outage.
 type failureMode string
 
-// The failure modes. A call that discovery received before or during the outage and did not respond to gets no response.
+// The failure modes. A call that has no response when the outage begins, or is made during the outage, is handled
+// according to the mode: it gets no other response after the outage.
 const (
-	noResponse        failureMode = "no response"        // accepts calls and stays silent
+	noResponse        failureMode = "no response"        // accepts calls and does not respond
 	unreachable       failureMode = "unreachable"        // connections are neither accepted nor refused
 	connRefused       failureMode = "connection refused" // by the operating system
-	unavailableStatus failureMode = "status 503"         // to every call
+	unavailableStatus failureMode = "status 503"         // in response to every call
 	connClosed        failureMode = "connection closed"  // after each call
-	truncatedResponse failureMode = "truncated response" // starts a response and stays silent
+	truncatedResponse failureMode = "truncated response" // starts a response and sends nothing more
 	lateResponse      failureMode = "late response"      // sends the old list after ten seconds
 )
 
@@ -34,7 +35,8 @@
 	noResponse, unreachable, connRefused, unavailableStatus, connClosed, truncatedResponse, lateResponse,
 }
 
-// failingDiscovery serves the list before until downAt. From upAt on it serves the list after, in which an endpoint drains.
+// failingDiscovery is a stand-in for discovery with an outage from downAt to upAt. It serves listBefore before the
+// outage and listAfter after it; an endpoint is draining in listAfter.
 type failingDiscovery struct {
 	downAt, upAt          time.Time
 	mode                  failureMode
@@ -47,7 +49,7 @@
 	return !now.Before(d.downAt) && now.Before(d.upAt)
 }
 
-// dial returns a connection to the discovery, as the failure mode has it.
+// dial opens a connection to the stand-in, or fails as its failure mode requires.
 func (d *failingDiscovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if d.isDown() && d.mode == connRefused {
 		return nil, syscall.ECONNREFUSED
@@ -56,9 +58,9 @@
 		dialer := &sidecartest.LossyDialer{ReachableAt: d.upAt, Accept: d.serve}
 		return dialer.Dial(ctx, network, addr)
 	}
-	near, far := net.Pipe()
-	go d.serve(far)
-	return near, nil
+	clientConn, serverConn := net.Pipe()
+	go d.serve(serverConn)
+	return clientConn, nil
 }
 
 // serve handles the calls on one connection.
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -15,10 +15,12 @@
 	"cindersaddle/internal/upstream"
 )
 
-// newTestUpstream returns a client whose limits no test reaches.
+// newTestUpstream returns a client with limits that no test reaches.
 func newTestUpstream(t *testing.T) *upstream.Client {
 	t.Helper()
-	pool := upstream.NewPool(upstream.PoolConfig{ConnectTimeout: sidecartest.Timeout, IdleTimeout: sidecartest.Timeout, MaxConns: 500})
+	pool := upstream.NewPool(upstream.PoolConfig{
+		ConnectTimeout: sidecartest.Timeout, IdleTimeout: sidecartest.Timeout, MaxConns: 500,
+	})
 	t.Cleanup(pool.CloseAll)
 	return upstream.NewClient(pool, nil, "/alive", &metrics.Metrics{})
 }
@@ -26,16 +28,17 @@
 // newTestLoop returns a loop that discards its log, has no upstream client and no watcher, and does not run.
 func newTestLoop(t *testing.T) *Loop {
 	t.Helper()
-	return New(t.Context(), sidecartest.Config(t), &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.DiscardHandler))
+	log := slog.New(slog.DiscardHandler)
+	return New(t.Context(), sidecartest.Config(t), &exchange.ServiceState{}, &metrics.Metrics{}, log)
 }
 
-// newOpenRequest returns a request of newTestExchange that the loop knows, but its balancer does not.
+// newOpenRequest adds a request of newTestExchange to the loop's index, without passing it to the balancer.
 func newOpenRequest(l *Loop) *request { return addRequest(l, newTestExchange(l, time.Now())) }
 
-// addRequest returns the request of an exchange, as newOpenRequest does.
-func addRequest(l *Loop, incoming *exchange.Exchange) *request {
+// addRequest adds the request of an exchange to the loop's index, without passing it to the balancer.
+func addRequest(l *Loop, ex *exchange.Exchange) *request {
 	l.clock.update()
-	req := newRequest(l.requests.nextID(), incoming)
+	req := newRequest(l.requests.nextID(), ex)
 	l.requests.add(req)
 	return req
 }
@@ -66,15 +69,15 @@
 	}
 }
 
-// singleEndpointList returns an endpoint list with one ready endpoint.
+// singleEndpointList returns a complete endpoint list with one ready endpoint.
 func singleEndpointList(address string) endpointListUpdate {
 	endpoints := []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", address)}
 	return endpointListUpdate{list: &membership.EndpointList{Complete: true, Endpoints: endpoints}}
 }
 
 // runUntilResponse handles events and timers in the test's goroutine until the request has its response.
-func runUntilResponse(l *Loop, incoming *exchange.Exchange) {
-	for len(incoming.Responses) == 0 {
+func runUntilResponse(l *Loop, ex *exchange.Exchange) {
+	for len(ex.Responses) == 0 {
 		select {
 		case ev := <-l.inbox.events:
 			l.clock.update()
@@ -87,15 +90,15 @@
 	}
 }
 
-// newLoopWithEndpoint returns a loop that knows one endpoint, which has started some time ago, and its entry of the list.
+// newLoopWithEndpoint returns a loop with one endpoint that started age ago, and the list entry of that endpoint.
 func newLoopWithEndpoint(t *testing.T, age balance.Milliseconds) (*Loop, membership.Endpoint) {
 	t.Helper()
 	l := newTestLoop(t)
 	l.upstreamClient = newTestUpstream(t)
 	l.clock.update()
-	listed := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
-	listed.StartedAt = l.clock.now - age
-	list := &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{listed}}
+	entry := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")
+	entry.StartedAt = l.clock.now - age
+	list := &membership.EndpointList{Complete: true, Endpoints: []membership.Endpoint{entry}}
 	l.applyEndpointList(endpointListUpdate{list: list}, balance.UpdateSnapshot)
-	return l, listed
+	return l, entry
 }
--- a/internal/eventloop/log_test.go
+++ b/internal/eventloop/log_test.go
@@ -14,13 +14,14 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// newLoggingLoop returns a loop of newTestLoop that logs to text.
+// newLoggingLoop returns a loop like that of newTestLoop, which logs to text.
 func newLoggingLoop(t *testing.T, text *strings.Builder) *Loop {
 	t.Helper()
-	return New(t.Context(), sidecartest.Config(t), &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.NewTextHandler(text, nil)))
+	log := slog.New(slog.NewTextHandler(text, nil))
+	return New(t.Context(), sidecartest.Config(t), &exchange.ServiceState{}, &metrics.Metrics{}, log)
 }
 
-// Discovery is down, and is called several times a second. The log must have one line a second about it.
+// Discovery is down and is called several times a second. The log must have only one line per second about it.
 func TestDiscoveryFailuresAreLoggedOncePerSecond(t *testing.T) {
 	var text strings.Builder
 	l := newLoggingLoop(t, &text)
@@ -30,12 +31,12 @@
 		endpointListFailed{errors.New("no answer")}.apply(l)
 	}
 	if got := strings.Count(text.String(), "endpoint list not received"); got != 10 {
-		t.Errorf("%d log lines in ten seconds, want 10", got)
+		t.Errorf("got %d log lines in ten seconds, want 10", got)
 	}
 }
 
-// A request ends without an endpoint's response, and an on-call engineer asks why. The log must have one line with the reason;
-// what the balancer decides after the end must not add another.
+// A request ends without a response from an endpoint. The log must have one line with the reason, for operators who
+// investigate; a later decision of the balancer about the request must not add another line.
 func TestReasonOfUnservedRequestIsLogged(t *testing.T) {
 	for reason, end := range map[unservedReason]func(*Loop, *request){
 		reasonRejected:           func(l *Loop, req *request) { l.rejectRequest(req, 0) },
@@ -47,13 +48,16 @@
 		l := newLoggingLoop(t, &text)
 		req := newOpenRequest(l)
 		end(l, req)
-		l.performActions([]balance.Action{{Kind: balance.RejectRequest, Request: req.id}, {Kind: balance.FailRequest, Request: req.id}})
+		l.performActions([]balance.Action{
+			{Kind: balance.RejectRequest, Request: req.id},
+			{Kind: balance.FailRequest, Request: req.id},
+		})
 		want := fmt.Sprintf("reason=%s request=7 ", reason)
 		if strings.Contains(string(reason), " ") {
 			want = fmt.Sprintf("reason=%q request=7 ", reason)
 		}
 		if got := text.String(); strings.Count(got, "request not served") != 1 || !strings.Contains(got, want) {
-			t.Errorf("log %q, want one line with %q", got, want)
+			t.Errorf("got log %q, want one line with %q", got, want)
 		}
 	}
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// requestFinished finishes a request with a good response, as the end of an attempt does.
+// requestFinished finishes a request with a successful response, like the end of an attempt.
 type requestFinished struct{ request *request }
 
 func (ev requestFinished) apply(l *Loop) { l.finish(ev.request, textResponse(http.StatusOK, "served")) }
 
-// A response has arrived and waits in the inbox when the deadline of its request is due, because the process did not run for a
-// moment. The response must be handled first: it was in time, and its request must not fail.
+// The process does not run for a moment. Then the inbox holds a response that arrived in time, and the deadline of its
+// request is due. The response must be handled first, so that the request does not fail.
 func TestQueuedEventsAreHandledBeforeDueTimers(t *testing.T) {
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
@@ -21,6 +21,6 @@
 	l.handleBatch(nil)
 	l.fireTimers()
 	if response := <-responses; response.Status != http.StatusOK {
-		t.Errorf("status %d, want 200", response.Status)
+		t.Errorf("got status %d, want %d", response.Status, http.StatusOK)
 	}
 }
--- a/internal/eventloop/outage_test.go
+++ b/internal/eventloop/outage_test.go
@@ -18,15 +18,15 @@
 
 // drainCase is how a sidecar follows discovery, and when it starts.
 type drainCase struct {
-	polled         bool          // the balancer polls discovery; otherwise lists are pushed
-	startsWithList bool          // it starts with a complete list
-	startDelay     time.Duration // from the start of the outage to that of the sidecar; 0: it runs long before
+	polled         bool          // the balancer polls discovery; otherwise an agent pushes lists
+	startsWithList bool          // the sidecar starts with a complete list
+	startDelay     time.Duration // from the start of the outage to the start of the sidecar; 0: it starts long before
 }
 
-// limit returns within which time after an outage of the given length the sidecar must notice a drain. The service counts a
-// drain as announced 6 s after discovery has it and can be reached, whatever a failed or aborted call allows: nothing new may
-// be sent to the endpoint from then on. Pushed lists count at once, and the grace period is all the time there is, but for a
-// watch that a short outage interrupted.
+// maxNoticeDelay returns how long after an outage the sidecar may take to notice a drain; outage is the length of the
+// outage. The service considers a drain announced 6 s after discovery lists it and is reachable, even if calls failed
+// or were aborted. After that, nothing new may be sent to the endpoint. If lists are pushed, a drain is announced at
+// once and only the grace period remains, unless a short outage interrupted a watch.
 func (c drainCase) maxNoticeDelay(mode failureMode, outage time.Duration) time.Duration {
 	const announced, grace = 6 * time.Second, 250 * time.Millisecond // as in the settings
 	limit := announced
@@ -37,14 +37,14 @@
 	default:
 		limit = max(grace, announced-outage)
 	}
-	if mode == truncatedResponse { // the rest of a response that has begun is waited for
+	if mode == truncatedResponse { // the sidecar waits for the rest of a response that has started
 		limit = max(limit, discovery.AgentResponseSlack)
 	}
 	return limit
 }
 
-// Discovery is down for a while, in one of the failure modes, and an endpoint begins to drain meanwhile. Requests that are still
-// sent there would be lost when it exits: the sidecar must stop sending before the drain counts as announced.
+// An endpoint starts to drain while discovery is down. Requests that are still sent to it are lost when it exits, so
+// the sidecar must stop sending before the drain counts as announced.
 func TestDrainIsNoticedInTimeAfterDiscoveryOutage(t *testing.T) {
 	for _, mode := range failureModes {
 		for name, c := range map[string]drainCase{
@@ -60,7 +60,7 @@
 					synctest.Test(t, func(t *testing.T) {
 						limit := c.maxNoticeDelay(mode, outage)
 						if took := timeToNoticeDrain(t, c, mode, outage); took > limit {
-							t.Errorf("outage of %v: drain noticed after %v, want %v at most", outage, took, limit)
+							t.Errorf("outage of %v: got drain noticed after %v, want at most %v", outage, took, limit)
 						}
 					})
 				}
@@ -69,38 +69,39 @@
 	}
 }
 
-// timeToNoticeDrain returns how long after the end of an outage the sidecar stops sending to an endpoint that drains.
+// timeToNoticeDrain returns how long after the end of an outage the sidecar stops sending to a draining endpoint.
 func timeToNoticeDrain(t *testing.T, c drainCase, mode failureMode, outage time.Duration) time.Duration {
 	first, second := sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")
 	ctx, cancel := context.WithCancel(t.Context())
-	agent := newFailingDiscovery(ctx, c, mode, outage, first, second)
+	standIn := newFailingDiscovery(ctx, c, mode, outage, first, second)
 	cfg := sidecartest.Config(t, first, second)
 	cfg.Balance.PolledDiscovery = c.polled
 	cfg.Balance.InstanceCount = 60
 	cfg.Balance.InstanceIndex = 7
 	cfg.Balance.MaxPollInterval = 10000
-	cfg.KnownEndpoints.Revision = agent.listBefore.Revision
+	cfg.KnownEndpoints.Revision = standIn.listBefore.Revision
 	cfg.KnownEndpoints.Complete = c.startsWithList
 
 	l := New(ctx, cfg, &exchange.ServiceState{}, &metrics.Metrics{}, slog.New(slog.DiscardHandler))
-	client := upstream.NewClient(upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116}), nil, "", l.metrics)
-	l.Attach(client, discovery.NewWatcher(cfg, l))
-	l.watcher.Dial = agent.dial
-	var running sync.WaitGroup
-	running.Go(l.Run)
-	running.Go(func() { l.watcher.Run(ctx) })
+	pool := upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 116})
+	l.Attach(upstream.NewClient(pool, nil, "", l.metrics), discovery.NewWatcher(cfg, l))
+	l.watcher.Dial = standIn.dial
+	var goroutines sync.WaitGroup
+	goroutines.Go(l.Run)
+	goroutines.Go(func() { l.watcher.Run(ctx) })
 	synctest.Wait()
 	endpoint := l.endpoints.byName[first.ID]
-	for !endpoint.Closed.Load() && time.Since(agent.upAt) < time.Minute {
+	for !endpoint.Closed.Load() && time.Since(standIn.upAt) < time.Minute {
 		time.Sleep(10 * time.Millisecond)
 	}
 	cancel()
-	running.Wait()
-	return time.Since(agent.upAt)
+	goroutines.Wait()
+	return time.Since(standIn.upAt)
 }
 
-// newFailingDiscovery returns a discovery whose outage begins before the sidecar starts, as the case has it, or at any moment
-// of a watch. The first endpoint drains after the outage.
+// newFailingDiscovery returns a stand-in for discovery. Its outage begins c.startDelay before the sidecar starts, or
+// half the outage before if that is shorter; with a startDelay of 0 it begins after the start, at varying moments of a
+// watch. The first endpoint is draining after the outage.
 func newFailingDiscovery(
 	ctx context.Context, c drainCase, mode failureMode, outage time.Duration, first, second membership.Endpoint,
 ) *failingDiscovery {
@@ -113,11 +114,15 @@
 		downAt = downAt.Add(5*time.Second + 7*outage%(4200*time.Millisecond))
 	}
 	return &failingDiscovery{
-		mode:       mode,
-		ctx:        ctx,
-		downAt:     downAt,
-		upAt:       downAt.Add(outage),
-		listBefore: membership.EndpointList{Revision: 41, Complete: true, Endpoints: []membership.Endpoint{first, second}},
-		listAfter:  membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{draining, second}},
+		mode:   mode,
+		ctx:    ctx,
+		downAt: downAt,
+		upAt:   downAt.Add(outage),
+		listBefore: membership.EndpointList{
+			Revision: 41, Complete: true, Endpoints: []membership.Endpoint{first, second},
+		},
+		listAfter: membership.EndpointList{
+			Revision: 42, Complete: true, Endpoints: []membership.Endpoint{draining, second},
+		},
 	}
 }
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -12,22 +12,22 @@
 func expectState(t *testing.T, req *request, want requestState) {
 	t.Helper()
 	if req.state != want {
-		t.Errorf("state %d, want %d", req.state, want)
+		t.Errorf("got state %d, want %d", req.state, want)
 	}
 	if open := want == stateUploading || want == stateWaiting; req.isOpen() != open {
-		t.Errorf("open %v in state %d", req.isOpen(), want)
+		t.Errorf("got isOpen %v in state %d, want %v", req.isOpen(), want, open)
 	}
 }
 
-// A request with a long body and a long response passes through all states. It is counted as pending until the end of its
-// response, and found by its identifier until its last attempt has ended, also one that was cancelled.
+// A request with a long body and a long response passes through all states. It must count as pending until the end of
+// its response, and stay in the index until its last attempt has ended, even if that attempt was cancelled.
 func TestRequestPassesThroughAllStates(t *testing.T) {
 	l := newTestLoop(t)
-	incoming := newTestExchange(l, time.Now())
-	incoming.Request.Uploading = true
-	incoming.Message.Upload = &exchange.Upload{}
+	ex := newTestExchange(l, time.Now())
+	ex.Request.Uploading = true
+	ex.Message.Upload = &exchange.Upload{}
 	l.metrics.PendingRequests.Add(1)
-	req := addRequest(l, incoming)
+	req := addRequest(l, ex)
 	expectState(t, req, stateUploading)
 
 	attempt, cancelled := addAttempt(l, req), addAttempt(l, req)
@@ -35,10 +35,11 @@
 	expectState(t, req, stateWaiting)
 
 	download := &exchange.Download{Done: make(chan error, 1), Cancel: attempt.Cancel}
-	streamStarted{attempt: attempt, response: &exchange.Response{Status: 200, Download: download}, startedAt: time.Now()}.apply(l)
+	response := &exchange.Response{Status: 200, Download: download}
+	streamStarted{attempt: attempt, response: response, startedAt: time.Now()}.apply(l)
 	expectState(t, req, stateStreaming)
 	if pending := l.metrics.PendingRequests.Load(); pending != 1 {
-		t.Errorf("%d pending requests during the response, want 1", pending)
+		t.Errorf("got %d pending requests during the response, want 1", pending)
 	}
 
 	end := attemptEnded{attempt: attempt, endedAt: time.Now()}
@@ -46,31 +47,32 @@
 	end.apply(l)
 	expectState(t, req, stateDone)
 	if pending := l.metrics.PendingRequests.Load(); pending != 0 || l.requests.byID[req.id] == nil {
-		t.Errorf("%d pending requests after the response, known %v, want none, known", pending, l.requests.byID[req.id] != nil)
+		t.Errorf("after the response: got %d pending requests, in the index %v, want 0, true",
+			pending, l.requests.byID[req.id] != nil)
 	}
 
 	end.attempt, end.ending.Result = cancelled, balance.Cancelled
 	end.apply(l)
 	expectState(t, req, stateReleased)
 	if len(l.requests.byID) != 0 {
-		t.Error("a released request is still known")
+		t.Errorf("got %d requests in the index after the release, want 0", len(l.requests.byID))
 	}
 }
 
-// The client of a request with a long body disconnects before its last byte was sent, and that byte is reported only
-// afterwards. The request has ended: its time must not begin, and it must not become open again.
+// The client disconnects during the upload, and the event that the last byte was sent is handled only after that. The
+// request has ended: it must not become open again, and its deadline must not start.
 func TestUploadSentAfterClientDisconnectIsIgnored(t *testing.T) {
 	l := newTestLoop(t)
-	incoming := newTestExchange(l, time.Now())
-	incoming.Request.Uploading = true
-	incoming.Message.Upload = &exchange.Upload{}
-	req := addRequest(l, incoming)
+	ex := newTestExchange(l, time.Now())
+	ex.Request.Uploading = true
+	ex.Message.Upload = &exchange.Upload{}
+	req := addRequest(l, ex)
 	attempt := addAttempt(l, req)
-	l.handleDisconnect(incoming)
+	l.handleDisconnect(ex)
 	expectState(t, req, stateDone)
 	l.finishUpload(attempt)
 	expectState(t, req, stateDone)
-	if len(l.timers.heap) != 0 || len(incoming.Responses) != 0 {
-		t.Errorf("%d timers, %d responses, want none", len(l.timers.heap), len(incoming.Responses))
+	if len(l.timers.heap) != 0 || len(ex.Responses) != 0 {
+		t.Errorf("got %d timers and %d responses, want none", len(l.timers.heap), len(ex.Responses))
 	}
 }
--- a/internal/eventloop/shutdown_test.go
+++ b/internal/eventloop/shutdown_test.go
@@ -10,9 +10,11 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// A request comes late in a shutdown, and the process is killed while its response is on its way: the client sees a reset
-// connection. It must be rejected in time if there is no response by then, or if the response is long and would not end in time.
+// A request arrives late in a shutdown, and the process is killed while its response is being sent: the client sees a
+// reset connection. The request must be rejected in time if there is no response by then, or if the response is too
+// long to be streamed before the end of the shutdown.
 func TestLateRequestsDuringShutdown(t *testing.T) {
+	const tolerance balance.Milliseconds = 1000
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(sidecartest.LongBody))
 	for name, c := range map[string]struct {
 		response   sidecartest.Step
@@ -36,12 +38,15 @@
 			}
 			l.serviceState.Shutdown.Store(shutdown)
 			l.applyEndpointList(singleEndpointList(server.Addr), balance.UpdateSnapshot)
-			incoming := newTestExchange(l, now)
-			l.registerRequest(incoming)
-			runUntilResponse(l, incoming)
-			response := <-incoming.Responses
-			if response.Status != c.wantStatus || l.clock.now > l.clock.toMilliseconds(shutdown.RespondBy)+deadlineSlack+1000 {
-				t.Errorf("status %d after %v ms, want %d in time", response.Status, l.clock.now-l.clock.toMilliseconds(now), c.wantStatus)
+			ex := newTestExchange(l, now)
+			l.registerRequest(ex)
+			runUntilResponse(l, ex)
+			response := <-ex.Responses
+			limit := l.clock.toMilliseconds(shutdown.RespondBy) + deadlineSlack + tolerance
+			if response.Status != c.wantStatus || l.clock.now > limit {
+				start := l.clock.toMilliseconds(now)
+				t.Errorf("got status %d after %v ms, want %d after at most %v ms",
+					response.Status, l.clock.now-start, c.wantStatus, limit-start)
 			}
 			if response.Download != nil {
 				response.Download.Finish(exchange.ErrDownloadStopped)
--- a/internal/eventloop/streams_test.go
+++ b/internal/eventloop/streams_test.go
@@ -9,8 +9,8 @@
 	"cindersaddle/internal/exchange"
 )
 
-// An attempt is cancelled, and the beginning of its long response arrives after that. The rest cannot be read any more, and the
-// balancer retries the request: the client must not be given the beginning.
+// The start of a streamed response arrives after its attempt was cancelled. The rest of the response cannot be read,
+// and the balancer retries the request: the start must not be sent to the client.
 func TestResponseOfCancelledAttemptIsDiscarded(t *testing.T) {
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
@@ -18,17 +18,19 @@
 	l.performActions([]balance.Action{{Kind: balance.CancelAttempt, Request: req.id, Attempt: 0}})
 
 	download := &exchange.Download{Done: make(chan error, 1), Cancel: attempt.Cancel}
-	streamStarted{attempt: attempt, response: &exchange.Response{Status: 200, Download: download}, startedAt: time.Now()}.apply(l)
+	response := &exchange.Response{Status: 200, Download: download}
+	streamStarted{attempt: attempt, response: response, startedAt: time.Now()}.apply(l)
 
 	if !req.isOpen() || len(req.exchange.Responses) > 0 {
-		t.Error("the response of a cancelled attempt was given to the client")
+		t.Errorf("got isOpen %v and %d responses for the client, want true and 0",
+			req.isOpen(), len(req.exchange.Responses))
 	}
 	select {
 	case err := <-download.Done:
 		if !errors.Is(err, exchange.ErrDownloadStopped) {
-			t.Errorf("the response ended with %v, want %v", err, exchange.ErrDownloadStopped)
+			t.Errorf("got download error %v, want %v", err, exchange.ErrDownloadStopped)
 		}
 	default:
-		t.Error("the response is still open, and its attempt would wait for its end")
+		t.Errorf("got a download that is still open, want one that ended with %v", exchange.ErrDownloadStopped)
 	}
 }
