--- a/internal/eventloop/finish.go
+++ b/internal/eventloop/finish.go
@@ -7,8 +7,8 @@
 	"cindersaddle/internal/exchange"
 )
 
-// finish sends a request its final response. A nil response sends nothing, for a request that the client side has
-// ended. Only the first call for a request has an effect; a nil request is ignored. No other function sends responses
+// finish sends a request its final response. A nil response sends nothing, for a client that has disconnected.
+// Only the first call for a request has an effect; a nil request is ignored. No other function sends responses
 // to clients: successful ones come from finishAfterAttempt and startStream, all others from unserved.go.
 func (l *Loop) finish(req *request, response *exchange.Response) {
 	if req == nil || !req.isOpen() {
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -11,9 +11,9 @@
 
 // unservedReason says in the log line "request not served" why a request ended without a response from an endpoint.
 //
-// The table lists all cases in which that happens. The balancer decides the first two for reasons of its own; the event
-// loop decides the others. Cases without a reason are not logged as "request not served": an attempt that found its
-// client disconnected, or an upload that the client did not complete, is logged as a failed attempt.
+// The table lists all cases in which that happens. The first two are decisions of the balancer, the others of the event
+// loop. Cases without a reason are not logged as "request not served": an attempt that found its client disconnected, or
+// an upload that the client did not complete, is logged as a failed attempt.
 //
 //	case                      response                    function                reason in the log
 //	rejected by the balancer  503, may have Retry-After   rejectRequest           rejected
