--- a/internal/eventloop/clockoffsets_test.go
+++ b/internal/eventloop/clockoffsets_test.go
@@ -45,7 +45,7 @@
 
 // The wall clock is stepped every second. The number of offsets kept must be limited, and offsets that ended more than
 // clockOffsetRetention ago must not be used.
-func TestClockDifferencesAreForgotten(t *testing.T) {
+func TestOldClockOffsetsAreDropped(t *testing.T) {
 	var clocks clockOffsets
 	for i := range 100 {
 		now := 1e12 + balance.Milliseconds(i)*1000
