--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -8,33 +8,33 @@
 	"cindersaddle/internal/upstream"
 )
 
-// registerRequest enters a new request in the index and passes it to the balancer, which decides whether it is admitted.
-func (l *Loop) registerRequest(incoming *exchange.Exchange) {
-	req := newRequest(l.requests.nextID(), incoming)
+// registerRequest adds a new request to the index and passes it to the balancer, which decides whether to admit it.
+func (l *Loop) registerRequest(ex *exchange.Exchange) {
+	req := newRequest(l.requests.nextID(), ex)
 	l.metrics.PendingRequests.Add(1)
-	if l.requests.byTraceID[incoming.TraceID] != nil {
+	if l.requests.byTraceID[ex.TraceID] != nil {
 		l.rejectDuplicate(req)
 		return
 	}
-	incoming.Request.ID = req.id
-	l.settings.Translate(incoming.Settings, &incoming.Request)
-	req.subtractQueueTime(l.clock.now - l.clock.milliseconds(incoming.ReceivedAt))
+	ex.Request.ID = req.id
+	l.settings.Translate(ex.Settings, &ex.Request)
+	req.subtractQueueTime(l.clock.now - l.clock.toMilliseconds(ex.ReceivedAt))
 	l.requests.add(req)
-	if !req.uploading() {
-		l.beginDeadline(req, incoming.ReceivedAt)
+	if !req.isUploading() {
+		l.startDeadline(req, ex.ReceivedAt)
 	}
-	l.notifyBalancer(incoming.Request)
+	l.notifyBalancer(ex.Request)
 }
 
-// finishUpload sets the deadline of a request whose long body has been sent to its last byte.
+// finishUpload starts the deadline of a request after the last byte of its long body has been sent.
 func (l *Loop) finishUpload(attempt *upstream.Attempt) {
 	attempt.SentAt = l.clock.now
 	req := l.requests.byID[attempt.RequestID]
-	if req == nil || !req.uploading() {
+	if req == nil || !req.isUploading() {
 		return
 	}
 	req.markUploadSent()
-	l.beginDeadline(req, l.clock.timeOf(l.clock.now))
+	l.startDeadline(req, l.clock.toTime(l.clock.now))
 	l.notifyBalancer(balance.UploadComplete{
 		Request:       req.id,
 		Remaining:     req.exchange.Request.Remaining,
@@ -42,10 +42,10 @@
 	})
 }
 
-// beginDeadline sets the deadline of a request that was complete at a moment, and the timer that fails the request if the
-// balancer does not finish it in time.
-func (l *Loop) beginDeadline(req *request, completeAt time.Time) {
+// startDeadline sets the deadline of a request that was complete at completeAt, and a timer that fails the request if
+// the balancer does not finish it in time.
+func (l *Loop) startDeadline(req *request, completeAt time.Time) {
 	l.limitLateRequest(req, completeAt)
-	req.beginDeadline(l.clock.now)
+	req.setDeadline(l.clock.now)
 	l.timers.schedule(timer{dueAt: req.deadline + deadlineSlack, request: req})
 }
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -8,8 +8,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// startAttempt sends a request to an endpoint. An attempt that cannot be made any more ends at once, as a local event: its
-// request is done, its endpoint has been removed, or the request has had all its attempts.
+// startAttempt starts an attempt to send a request to an endpoint. If the request already has its final response or has
+// used all its attempts, or if the endpoint has been removed, nothing is sent and the attempt ends with a local event.
 func (l *Loop) startAttempt(action *balance.Action) {
 	req := l.requests.byID[action.Request]
 	if req == nil {
@@ -17,17 +17,17 @@
 	}
 	attempt := l.newAttempt(req, action)
 	req.attempts.add(attempt)
-	if !req.open() || attempt.Endpoint == nil || req.attempts.overLimit() {
-		l.inbox.postLocal(attemptEnd{attempt: attempt, ending: upstream.Ending{Result: balance.NotAttempted}})
+	if !req.isOpen() || attempt.Endpoint == nil || req.attempts.overLimit() {
+		l.inbox.postLocal(attemptEnded{attempt: attempt, ending: upstream.Ending{Result: balance.NotAttempted}})
 		return
 	}
-	l.running.Go(func() {
+	l.goroutines.Go(func() {
 		ending := l.upstreamClient.Do(attempt)
-		l.inbox.post(attemptEnd{attempt: attempt, ending: ending, endedAt: time.Now()})
+		l.inbox.post(attemptEnded{attempt: attempt, ending: ending, endedAt: time.Now()})
 	})
 }
 
-// newAttempt returns the next attempt of a request. Its endpoint is nil if that has been removed.
+// newAttempt returns the next attempt of a request. Its Endpoint is nil if the endpoint has been removed.
 func (l *Loop) newAttempt(req *request, action *balance.Action) *upstream.Attempt {
 	if upload := req.exchange.Message.Upload; upload != nil {
 		upload.ResumeReading()
@@ -38,7 +38,7 @@
 		Endpoint:        l.endpoints.byID[action.Endpoint],
 		Message:         req.exchange.Message,
 		SentAt:          l.clock.now,
-		Deadline:        l.clock.timeOf(req.attemptDeadline(l.clock.now, action.Deadline)),
+		Deadline:        l.clock.toTime(req.attemptDeadline(l.clock.now, action.Deadline)),
 		TimeAfterUpload: req.timeAfterUpload(l.clock.now).Duration(),
 		Observer:        l,
 		LoopDone:        l.ctx.Done(),
@@ -47,12 +47,13 @@
 	return attempt
 }
 
-// cancelAttempt cancels an attempt because the balancer has decided so: its request has its response from another attempt, or
-// its endpoint is taken for unresponsive and another attempt is made. It cancels none of a request that has been released, and
-// none whose response is on its way to the client, as that would break off.
+// cancelAttempt cancels an attempt at the balancer's request: either the request has its response from another attempt,
+// or the endpoint is considered unresponsive and another attempt is made. It does nothing if the request has been
+// released, or if the attempt's response is being streamed to the client, because cancelling would truncate that
+// response.
 //
-// An attempt is cancelled in three other cases: the client side cancels it (Download.Cancel) when the client of a long response
-// has disconnected, all are cancelled when the loop ends, and endAttempt releases the context of one that has ended.
+// An attempt's context is also cancelled when the client of a streamed response disconnects (Download.Cancel), when the
+// loop ends, and in endAttempt, to release the resources of the context.
 func (l *Loop) cancelAttempt(id balance.RequestID, number int) {
 	req := l.requests.byID[id]
 	if req == nil {
--- a/internal/eventloop/events_upstream.go
+++ b/internal/eventloop/events_upstream.go
@@ -8,69 +8,69 @@
 	"cindersaddle/internal/upstream"
 )
 
-// The loop receives the progress of attempts.
+// Loop receives the progress of attempts from package upstream.
 var _ upstream.Observer = (*Loop)(nil)
 
-// uploadSent is the moment when the last byte of a long body was sent to the endpoint.
+// uploadSent reports that the last byte of a long request body was sent to the endpoint.
 type uploadSent struct{ attempt *upstream.Attempt }
 
 func (ev uploadSent) apply(l *Loop) { l.finishUpload(ev.attempt) }
 
-// UploadSent posts that the last byte of a long body was sent to the endpoint.
+// UploadSent tells the loop that the last byte of a long request body was sent to the endpoint.
 func (l *Loop) UploadSent(attempt *upstream.Attempt) {
 	l.inbox.post(uploadSent{attempt: attempt})
 }
 
-// responseStart is the moment when the first part of a good response arrived.
-type responseStart struct {
+// responseStarted reports that the head of a successful response arrived.
+type responseStarted struct {
 	attempt   *upstream.Attempt
 	startedAt time.Time
 }
 
-func (ev responseStart) apply(l *Loop) {
+func (ev responseStarted) apply(l *Loop) {
 	l.notifyBalancer(balance.ResponseStarted{
 		Request: ev.attempt.RequestID,
 		Attempt: ev.attempt.Number,
-		Latency: l.clock.milliseconds(ev.startedAt) - ev.attempt.SentAt,
+		Latency: l.clock.toMilliseconds(ev.startedAt) - ev.attempt.SentAt,
 	})
 }
 
-// ResponseStarted posts that the first part of a good response arrived.
+// ResponseStarted tells the loop that the head of a successful response arrived.
 func (l *Loop) ResponseStarted(attempt *upstream.Attempt, startedAt time.Time) {
-	l.inbox.post(responseStart{attempt: attempt, startedAt: startedAt})
+	l.inbox.post(responseStarted{attempt: attempt, startedAt: startedAt})
 }
 
-// streamStart is a long response whose first bytes are ready for the client.
-type streamStart struct {
+// streamStarted reports a long response whose first bytes are ready for the client.
+type streamStarted struct {
 	attempt   *upstream.Attempt
 	response  *exchange.Response
 	startedAt time.Time
 }
 
-func (ev streamStart) apply(l *Loop) { l.startStream(ev) }
+func (ev streamStarted) apply(l *Loop) { l.startStream(ev) }
 
-// StreamStarted posts a long response, whose Download is read while it arrives.
+// StreamStarted passes a long response to the loop. Its Download is read while the response arrives.
 func (l *Loop) StreamStarted(attempt *upstream.Attempt, response *exchange.Response, startedAt time.Time) {
-	l.inbox.post(streamStart{attempt: attempt, response: response, startedAt: startedAt})
+	l.inbox.post(streamStarted{attempt: attempt, response: response, startedAt: startedAt})
 }
 
-// attemptEnd is the end of an attempt.
-type attemptEnd struct {
+// attemptEnded reports the end of an attempt.
+type attemptEnded struct {
 	attempt *upstream.Attempt
 	ending  upstream.Ending
-	endedAt time.Time // zero for an attempt that was not made
+	endedAt time.Time // zero if nothing was sent
 }
 
-func (ev attemptEnd) apply(l *Loop) { l.endAttempt(ev) }
+func (ev attemptEnded) apply(l *Loop) { l.endAttempt(ev) }
 
-// healthCheckEnd is the end of a health check.
-type healthCheckEnd struct {
+// healthCheckEnded reports the end of a health check.
+type healthCheckEnded struct {
 	endpoint *upstream.Endpoint
 	ending   upstream.Ending
 	duration balance.Milliseconds
 }
 
-func (ev healthCheckEnd) apply(l *Loop) {
+func (ev healthCheckEnded) apply(l *Loop) {
 	l.notifyBalancer(balance.HealthCheckResult{
 		Endpoint:   ev.endpoint.ID,
 		Result:     ev.ending.Result,
--- a/internal/eventloop/failingdiscovery_test.go
+++ b/internal/eventloop/failingdiscovery_test.go
@@ -16,17 +16,18 @@
 	"cindersaddle/internal/timing"
 )
 
-// failureMode is how discovery fails while it is down.
+// failureMode is how discovery fails during an outage.
 type failureMode string
 
-// The failure modes. A call that discovery received before or during the outage and did not respond to gets no response.
+// The failure modes. A call that has no response when the outage begins, or is made during the outage, is handled
+// according to the mode: it gets no other response after the outage.
 const (
-	noResponse        failureMode = "no response"        // accepts calls and stays silent
+	noResponse        failureMode = "no response"        // accepts calls and does not respond
 	unreachable       failureMode = "unreachable"        // connections are neither accepted nor refused
 	connRefused       failureMode = "connection refused" // by the operating system
-	unavailableStatus failureMode = "status 503"         // to every call
+	unavailableStatus failureMode = "status 503"         // in response to every call
 	connClosed        failureMode = "connection closed"  // after each call
-	truncatedResponse failureMode = "truncated response" // starts a response and stays silent
+	truncatedResponse failureMode = "truncated response" // starts a response and sends nothing more
 	lateResponse      failureMode = "late response"      // sends the old list after ten seconds
 )
 
@@ -34,12 +35,13 @@
 	noResponse, unreachable, connRefused, unavailableStatus, connClosed, truncatedResponse, lateResponse,
 }
 
-// failingDiscovery serves the list before until downAt. From upAt on it serves the list after, in which an endpoint drains.
+// failingDiscovery is a stand-in for discovery with an outage from downAt to upAt. It serves listBefore before the
+// outage and listAfter after it; an endpoint is draining in listAfter.
 type failingDiscovery struct {
-	downAt, upAt  time.Time
-	mode          failureMode
-	before, after membership.EndpointList
-	ctx           context.Context
+	downAt, upAt          time.Time
+	mode                  failureMode
+	listBefore, listAfter membership.EndpointList
+	ctx                   context.Context
 }
 
 func (d *failingDiscovery) isDown() bool {
@@ -47,7 +49,7 @@
 	return !now.Before(d.downAt) && now.Before(d.upAt)
 }
 
-// dial returns a connection to the discovery, as the failure mode has it.
+// dial opens a connection to the stand-in, or fails as its failure mode requires.
 func (d *failingDiscovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if d.isDown() && d.mode == connRefused {
 		return nil, syscall.ECONNREFUSED
@@ -56,9 +58,9 @@
 		dialer := &sidecartest.LossyDialer{ReachableAt: d.upAt, Accept: d.serve}
 		return dialer.Dial(ctx, network, addr)
 	}
-	near, far := net.Pipe()
-	go d.serve(far)
-	return near, nil
+	clientConn, serverConn := net.Pipe()
+	go d.serve(serverConn)
+	return clientConn, nil
 }
 
 // serve handles the calls on one connection.
@@ -78,23 +80,23 @@
 	if time.Now().Before(d.downAt) {
 		query := req.URL.Query()
 		if !query.Has("from") {
-			return writeList(conn, d.before)
+			return writeList(conn, d.listBefore)
 		}
 		hold, _ := time.ParseDuration(query.Get("hold_ms") + "ms")
 		if time.Now().Add(hold).Before(d.downAt) {
 			timing.Sleep(d.ctx, hold)
-			return writeList(conn, membership.EndpointList{Revision: d.before.Revision})
+			return writeList(conn, membership.EndpointList{Revision: d.listBefore.Revision})
 		}
 		timing.Sleep(d.ctx, time.Until(d.downAt))
 	}
 	if d.isDown() {
 		return d.fail(conn)
 	}
-	if req.URL.Query().Get("from") == fmt.Sprint(d.after.Revision) {
+	if req.URL.Query().Get("from") == fmt.Sprint(d.listAfter.Revision) {
 		<-d.ctx.Done()
 		return false
 	}
-	return writeList(conn, d.after)
+	return writeList(conn, d.listAfter)
 }
 
 // fail handles a call during the outage, and reports whether the connection stays open.
@@ -109,7 +111,7 @@
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{")
 	case lateResponse:
 		timing.Sleep(d.ctx, 10*time.Second)
-		return writeList(conn, d.before)
+		return writeList(conn, d.listBefore)
 	}
 	<-d.ctx.Done()
 	return false
--- a/internal/eventloop/healthchecks.go
+++ b/internal/eventloop/healthchecks.go
@@ -6,16 +6,16 @@
 	"cindersaddle/balance"
 )
 
-// startHealthCheck checks an endpoint in a goroutine of its own, unless the endpoint is draining or gone.
+// startHealthCheck checks an endpoint in a separate goroutine, unless the endpoint is draining or gone.
 func (l *Loop) startHealthCheck(id balance.EndpointID) {
 	endpoint := l.endpoints.byID[id]
 	if endpoint == nil || endpoint.Closed.Load() {
 		return
 	}
 	sentAt := l.clock.now
-	l.running.Go(func() {
+	l.goroutines.Go(func() {
 		ending := l.upstreamClient.CheckHealth(l.ctx, endpoint)
-		duration := l.clock.milliseconds(time.Now()) - sentAt
-		l.inbox.post(healthCheckEnd{endpoint: endpoint, ending: ending, duration: duration})
+		duration := l.clock.toMilliseconds(time.Now()) - sentAt
+		l.inbox.post(healthCheckEnded{endpoint: endpoint, ending: ending, duration: duration})
 	})
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -15,60 +15,62 @@
 	"cindersaddle/internal/upstream"
 )
 
-// Loop composes the state of the event loop. Its exported methods may be called from any goroutine, but for Attach and
-// TakeOverFrom, which come before Run.
+// Loop is the event loop. Attach and SetPredecessorState must be called before Run; all other exported methods may be
+// called from any goroutine.
 type Loop struct {
 	// The fields of this group do not change after New and Attach.
 
-	ctx            context.Context // ends Run and all attempts
+	ctx            context.Context // its end stops Run and cancels all attempts
 	upstreamClient *upstream.Client
 	watcher        *discovery.Watcher
-	service        *exchange.ServiceState // shared with the other packages
+	serviceState   *exchange.ServiceState // shared with the other packages
 	metrics        *metrics.Metrics       // shared with the other packages
 	log            *slog.Logger
 
-	inbox   inbox
-	running sync.WaitGroup // goroutines of attempts and health checks; only the loop adds to it
+	inbox      inbox
+	goroutines sync.WaitGroup // of attempts and health checks; only the loop adds to it
 
-	// The fields below belong to the goroutine of Run.
+	// Only the goroutine of Run uses the fields below.
 
-	balancer    *balance.Balancer
-	cfg         *config.Config     // in force; replaced by applyConfig only
-	settings    *exchange.Settings // those of cfg, for new requests
-	predecessor *upgrade.State     // learned by the predecessor in an upgrade; nil: there is none, or Run has imported it
+	balancer         *balance.Balancer
+	cfg              *config.Config     // the configuration in force; only applyConfig replaces it
+	settings         *exchange.Settings // derived from cfg, for new requests
+	predecessorState *upgrade.State     // from the predecessor in an upgrade; nil if there is none or after its import
 
-	clock      clock
-	timers     timerQueue
-	requests   requestIndex
-	endpoints  endpointTable
-	list       listVersion
-	clockSteps clockSteps
-	failureLog logLimiter // of failed calls to discovery
+	clock               clock
+	timers              timerQueue
+	requests            requestIndex
+	endpoints           endpointTable
+	listVersion         listVersion
+	clockOffsets        clockOffsets
+	discoveryFailureLog logLimiter
 }
 
 // New returns a loop that runs until ctx is done. Attach must be called before Run.
 func New(
-	ctx context.Context, cfg *config.Config, service *exchange.ServiceState, registry *metrics.Metrics, log *slog.Logger,
+	ctx context.Context, cfg *config.Config, serviceState *exchange.ServiceState, registry *metrics.Metrics,
+	log *slog.Logger,
 ) *Loop {
 	l := &Loop{
-		ctx:        ctx,
-		service:    service,
-		metrics:    registry,
-		log:        log,
-		inbox:      newInbox(ctx.Done()),
-		balancer:   balance.New(cfg.Balance),
-		cfg:        cfg,
-		settings:   exchange.NewSettings(cfg, registry),
-		clock:      newClock(time.Now()),
-		requests:   newRequestIndex(),
-		endpoints:  newEndpointTable(),
-		failureLog: logLimiter{interval: failureLogInterval},
+		ctx:                 ctx,
+		serviceState:        serviceState,
+		metrics:             registry,
+		log:                 log,
+		inbox:               newInbox(ctx.Done()),
+		balancer:            balance.New(cfg.Balance),
+		cfg:                 cfg,
+		settings:            exchange.NewSettings(cfg, registry),
+		clock:               newClock(time.Now()),
+		requests:            newRequestIndex(),
+		endpoints:           newEndpointTable(),
+		discoveryFailureLog: logLimiter{interval: discoveryFailureLogInterval},
 	}
-	l.service.Settings.Store(l.settings)
+	l.serviceState.Settings.Store(l.settings)
 	return l
 }
 
-// Attach sets the client that sends attempts to endpoints and the watcher of the endpoint list. It comes before Run.
+// Attach sets the client that sends attempts to endpoints and the watcher of the endpoint list. It must be called
+// before Run.
 func (l *Loop) Attach(client *upstream.Client, watcher *discovery.Watcher) {
 	l.upstreamClient = client
 	l.watcher = watcher
