--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -4,8 +4,8 @@
 
 // Timer tokens. The timer of a request has the request's ID, which is below 2^52, as its token.
 const (
-	pollTimerToken = 1 << 60 // timer of the next poll of the endpoint list
-	zoneTimerToken = 1 << 61 // timer of the next check of an unreachable zone: this plus the zone's number
+	pollTimerToken     = 1 << 60 // timer of the next poll of the endpoint list
+	zoneTimerTokenBase = 1 << 61 // timer of the next check of an unreachable zone: this plus the zone's number
 )
 
 // timerTolerance is how much earlier than requested a timer may fire.
@@ -23,7 +23,7 @@
 	requests  map[RequestID]*request // open requests
 	endpoints endpointSet
 	rotation  rotation
-	polling   pollBackoff
+	polling   pollScheduler
 
 	classes []*classStats     // by class
 	tenants []*requestCounter // by tenant; the last is for requests without a tenant
@@ -100,8 +100,8 @@
 	switch {
 	case ev.Token == pollTimerToken:
 		b.emit(Action{Kind: WatchEndpoints})
-	case ev.Token >= zoneTimerToken:
-		b.onZoneTimer(int(ev.Token - zoneTimerToken))
+	case ev.Token >= zoneTimerTokenBase:
+		b.onZoneTimer(int(ev.Token - zoneTimerTokenBase))
 	default:
 		b.onRequestTimer(RequestID(ev.Token))
 	}
--- a/balance/classhealth.go
+++ b/balance/classhealth.go
@@ -24,9 +24,9 @@
 // results, 1 (served) or 0 (failed). The health multiplier does not show an endpoint that fails only one
 // class, because the successes of the other classes keep it at 1.
 type classScore struct {
-	value         float64
-	updatedAt     Milliseconds
-	rotationValue float64 // rotation credit for the class, used while the class fails
+	value          float64
+	updatedAt      Milliseconds
+	rotationCredit float64 // rotation credit for the class, used while the class fails
 }
 
 // newClassScores returns the scores of an endpoint without history: one per class, and one for requests of
@@ -121,6 +121,6 @@
 		return
 	}
 	for _, ep := range b.endpoints.list {
-		ep.scoreFor(req).rotationValue = ep.rotation.value
+		ep.scoreFor(req).rotationCredit = ep.rotation.value
 	}
 }
--- a/balance/classstats.go
+++ b/balance/classstats.go
@@ -13,7 +13,7 @@
 type classStats struct {
 	requestCounter
 	index            int     // index in endpoint.classScores; -1: the class is no longer configured
-	samples          float64 // samples of meanLatency, up to maxLatencySamples
+	latencySamples   float64 // samples of meanLatency, up to maxLatencySamples
 	meanLatency      Milliseconds
 	latencyDeviation Milliseconds // mean absolute deviation
 	longestTimeout   Milliseconds // longest Request.Remaining seen
@@ -42,8 +42,8 @@
 // recordLatency adds a sample to the mean latency and its deviation. The weight of the sample is gain, but at
 // least 1/latencySamples, so that the first samples have equal weights.
 func (c *classStats) recordLatency(latency Milliseconds, gain float64) {
-	c.samples = min(c.samples+1, maxLatencySamples)
-	gain = max(gain, 1/c.samples)
+	c.latencySamples = min(c.latencySamples+1, maxLatencySamples)
+	gain = max(gain, 1/c.latencySamples)
 	c.meanLatency += (latency - c.meanLatency).scaled(gain)
 	c.latencyDeviation += ((latency - c.meanLatency).abs() - c.latencyDeviation).scaled(gain)
 }
--- a/balance/endpointload.go
+++ b/balance/endpointload.go
@@ -56,7 +56,7 @@
 func (b *Balancer) inFlightLoad() float64 {
 	load := 0.0
 	for _, ep := range b.endpoints.list {
-		if !ep.outlier.unproven() && !ep.zone.outage {
+		if !ep.outlier.ejectedSinceLastSuccess() && !ep.zone.inOutage {
 			load += ep.load.perObjective
 		}
 	}
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -112,7 +112,7 @@
 func (b *Balancer) UnavailableCount(now Milliseconds) int {
 	count := 0
 	for _, ep := range b.endpoints.list {
-		if ep.State != Ready || ep.outlier.ejected(now) || ep.zone.outage || ep.outlier.checkFailed {
+		if ep.State != Ready || ep.outlier.ejected(now) || ep.zone.inOutage || ep.outlier.healthCheckFailed {
 			count++
 		}
 	}
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -149,13 +149,13 @@
 // writeState hashes the exported state of a balancer.
 func (d *digest) writeState(state *balance.LearnedState) {
 	d.writeTimes(state.StartedAt, state.LastResponseAt, state.ResponsesCountedAt, state.LastRequestAt)
-	d.writeFloats(state.MinLatencyRatio, state.LatencyRatio, state.LatencyRatioSamples, state.LateFraction)
-	d.writeFloats(state.ResponseCount, state.LatestResponseCount, state.ConnectFailureFraction)
+	d.writeFloats(state.MinLatencyRatio, state.MeanLatencyRatio, state.LatencyRatioSamples, state.LateFraction)
+	d.writeFloats(state.LongTermResponseCount, state.ShortTermResponseCount, state.ConnectFailureFraction)
 	d.writeTimes(state.TimePerInFlight)
 	d.writeFloats(state.TimePerInFlightSamples, state.BusyFraction)
-	d.writeFloats(state.CapacityUpdates, state.CapacityDrift, state.SteadyShed)
-	d.writeMap(state.MachineTypes)
-	d.writeMap(state.Zones)
+	d.writeFloats(state.CapacityUpdates, state.MeanCapacityStep, state.SteadyShedFraction)
+	d.writeMap(state.MachineTypeCapacityLogs)
+	d.writeMap(state.ZoneCapacityLogs)
 	d.writeInt(len(state.Classes))
 	for _, class := range state.Classes {
 		d.writeFloats(class.Requests, class.LatencySamples)
@@ -174,9 +174,9 @@
 	d.writeFloats(endpoint.CapacityLog)
 	d.writeTimes(endpoint.LastErrorAt, endpoint.EjectedUntil)
 	d.writeInt(endpoint.ConsecutiveErrors)
-	d.writeInt(endpoint.Ejections)
+	d.writeInt(endpoint.ConsecutiveEjections)
 	d.writeInt(endpoint.ConnectErrors)
-	d.writeTimes(endpoint.WarmUpSince)
+	d.writeTimes(endpoint.SlowStartSince)
 	d.writeFloats(endpoint.SlowStartTokens)
 	d.writeTimes(endpoint.TokensUpdatedAt, endpoint.LastResponseAt, endpoint.SlowUntil)
 	d.writeInt(len(endpoint.ClassScores))
@@ -367,9 +367,9 @@
 	s.random.IntN(2)
 	c.InstanceIndex = s.random.IntN(c.InstanceCount)
 	c.HealthChecks = c.LoadReports == balance.LoadReportsPolled && s.chance(0.8) || s.chance(0.6)
-	c.DrainGrace, c.WarmUpInitialFraction = s.duration(500, 5000), s.uniform(0.05, 0.5)
-	c.WarmUpDuration = s.duration(0, 20000)
-	c.OverloadFactor, c.OverloadWindow = s.uniform(1, 4), s.duration(300, 3000)
+	c.DrainGrace, c.SlowStartInitialFraction = s.duration(500, 5000), s.uniform(0.05, 0.5)
+	c.SlowStartDuration = s.duration(0, 20000)
+	c.SlowStartOverloadFactor, c.SlowStartOverloadWindow = s.uniform(1, 4), s.duration(300, 3000)
 	c.MaxPollInterval = balance.Milliseconds(s.random.IntN(3)) * 6000
 	s.skipDraws(1)
 	if !s.chance(0.4) { // weights of the score, which have been removed
@@ -945,8 +945,8 @@
 	state := s.balancer.ExportState(s.now)
 	s.digest.writeState(&state)
 	if s.number%8 == 2 {
-		state.MinLatencyRatio, state.CapacityDrift, state.SteadyShed = math.NaN(), 5, -1
-		state.StartedAt, state.ResponseCount = s.now+1000, math.Inf(1)
+		state.MinLatencyRatio, state.MeanCapacityStep, state.SteadyShedFraction = math.NaN(), 5, -1
+		state.StartedAt, state.LongTermResponseCount = s.now+1000, math.Inf(1)
 	}
 	s.pending, s.recentRequests = nil, nil
 	for _, endpoint := range s.endpoints {
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -99,7 +99,7 @@
 	switch {
 	case ev.Result == OK:
 		b.recordLoadReport(ep, ev.LoadReport)
-		if ep.outlier.checkFailed {
+		if ep.outlier.healthCheckFailed {
 			ep.outlier.clear()
 		}
 		b.recordResponse(ep)
@@ -110,7 +110,7 @@
 			return
 		}
 	default: // nothing reaches it from here, or it reports that it is not healthy
-		ep.outlier.failHealthCheck(b.now, b.longestObjective)
+		ep.outlier.recordFailedHealthCheck(b.now, b.longestObjective)
 	}
 	ep.healthCheck.pending = false
 	b.resumeAwaitingChecks()
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -15,8 +15,8 @@
 func baseConfig() Config {
 	return Config{
 		Seed: 1, InstanceCount: 3, MaxAttempts: 4, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1000,
-		MinBatchInterval: 4, WarmUpInitialFraction: 0.2, WarmUpDuration: 20000,
-		OverloadFactor: 2.5, OverloadWindow: 1000,
+		MinBatchInterval: 4, SlowStartInitialFraction: 0.2, SlowStartDuration: 20000,
+		SlowStartOverloadFactor: 2.5, SlowStartOverloadWindow: 1000,
 		MaxPollInterval: 10000, DrainGrace: 2000,
 		Classes: []Class{
 			{Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1},
@@ -166,7 +166,7 @@
 			h.t.Fatalf("got %+v, want an attempt", actions)
 		}
 		ids = append(ids, target)
-		h.b.requests[id].stats.samples = 0 // so that no capacity is learned from the response
+		h.b.requests[id].stats.latencySamples = 0 // so that no capacity is learned from the response
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	return ids
@@ -176,7 +176,7 @@
 func largeFleetConfig(index, count int) Config {
 	cfg := baseConfig()
 	cfg.Seed, cfg.InstanceIndex, cfg.InstanceCount, cfg.KeyCaching = uint64(1000+index), index, count, true
-	cfg.OverloadFactor = 4
+	cfg.SlowStartOverloadFactor = 4
 	return cfg
 }
 
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -22,7 +22,7 @@
 
 // latencyStats holds statistics of the latencies of all classes, relative to their latency objectives.
 type latencyStats struct {
-	ratio          float64      // recent mean of latency / objective
+	meanRatio      float64      // recent mean of latency / objective
 	ratioSamples   float64      // samples of meanRatio, up to averagingSamples
 	minRatio       float64      // lowest value of meanRatio: the latency without queueing
 	lateFraction   float64      // recent fraction of attempts that ended after their latency objective
@@ -31,7 +31,7 @@
 
 // newLatencyStats returns statistics without samples, which assume initialLatencyRatio.
 func newLatencyStats() latencyStats {
-	return latencyStats{ratio: initialLatencyRatio, minRatio: initialLatencyRatio}
+	return latencyStats{meanRatio: initialLatencyRatio, minRatio: initialLatencyRatio}
 }
 
 // recordResponse adds the latency of a response. gain is its weight in the means.
@@ -39,16 +39,16 @@
 	s.lastResponseAt = now
 	s.recordLateness(latency > objective, gain)
 	s.ratioSamples = min(s.ratioSamples+1, averagingSamples)
-	s.ratio += (min(ratio(latency, objective), maxLatencyRatio) - s.ratio) * gain
+	s.meanRatio += (min(ratio(latency, objective), maxLatencyRatio) - s.meanRatio) * gain
 	if s.ratioSamples == averagingSamples {
-		s.minRatio = min(s.minRatio, s.ratio)
+		s.minRatio = min(s.minRatio, s.meanRatio)
 	}
 }
 
 // recordRejection adds an attempt that its endpoint rejected. A rejection indicates overload, so it counts
 // like a response with maxLatencyRatio.
 func (s *latencyStats) recordRejection(gain float64) {
-	s.ratio += (maxLatencyRatio - s.ratio) * gain
+	s.meanRatio += (maxLatencyRatio - s.meanRatio) * gain
 }
 
 // recordLateness adds an attempt that ended to the fraction of late attempts. gain is its weight.
@@ -75,7 +75,7 @@
 // recentRatio returns the mean ratio of latency to objective, which moves to the lowest one as recency, the
 // weight of the statistics, decays.
 func (s *latencyStats) recentRatio(recency float64) float64 {
-	return s.minRatio + (s.ratio-s.minRatio)*recency
+	return s.minRatio + (s.meanRatio-s.minRatio)*recency
 }
 
 // averagingGain returns the weight of one response in a mean with time constant averagingTimeConstant, within
--- a/balance/learnedstate.go
+++ b/balance/learnedstate.go
@@ -8,23 +8,23 @@
 	LastResponseAt     Milliseconds // when the last response arrived
 	ResponsesCountedAt Milliseconds // time to which the two response counts have decayed
 
-	ResponseCount       float64 // responses; time constant: a multiple of the longest objective
-	LatestResponseCount float64 // responses; time constant: the longest latency objective
-	MinLatencyRatio     float64 // lowest value of MeanLatencyRatio: without queueing
-	LatencyRatio        float64 // recent mean of latency / objective
-	LatencyRatioSamples float64 // samples of MeanLatencyRatio
-	LateFraction        float64 // recent fraction of attempts that ended after their latency objective
-	SteadyShed          float64 // steady fraction of the load that is shed
+	LongTermResponseCount  float64 // responses; time constant: a multiple of the longest objective
+	ShortTermResponseCount float64 // responses; time constant: the longest latency objective
+	MinLatencyRatio        float64 // lowest value of MeanLatencyRatio: without queueing
+	MeanLatencyRatio       float64 // recent mean of latency / objective
+	LatencyRatioSamples    float64 // samples of MeanLatencyRatio
+	LateFraction           float64 // recent fraction of attempts that ended after their latency objective
+	SteadyShedFraction     float64 // steady fraction of the load that is shed
 
 	ConnectFailureFraction float64      // recent fraction of attempts that could not connect
 	TimePerInFlight        Milliseconds // mean of latency / requests in flight at the endpoint
 	TimePerInFlightSamples float64      // samples of TimePerInFlight
 	BusyFraction           float64      // recent fraction of checked endpoints that had requests in flight
 
-	CapacityUpdates float64         // number of updates of learned capacities
-	CapacityDrift   float64         // mean step of the logarithm in these updates
-	MachineTypes    map[int]float64 // logarithm of the capacity factor by machine type
-	Zones           map[int]float64 // logarithm of the capacity factor by zone
+	CapacityUpdates         float64         // number of updates of learned capacities
+	MeanCapacityStep        float64         // mean step of the logarithm in these updates
+	MachineTypeCapacityLogs map[int]float64 // logarithm of the capacity factor by machine type
+	ZoneCapacityLogs        map[int]float64 // logarithm of the capacity factor by zone
 
 	Classes        []LearnedClass
 	TenantRequests []float64 // number of requests by tenant
@@ -44,19 +44,19 @@
 
 // LearnedEndpoint is what a balancer has learned about an endpoint.
 type LearnedEndpoint struct {
-	ID                EndpointID
-	CapacityLog       float64 // logarithm of the capacity factor
-	LastErrorAt       Milliseconds
-	LastResponseAt    Milliseconds
-	ConsecutiveErrors int
-	ConnectErrors     int          // failed connections among the consecutive errors
-	Ejections         int          // consecutive ejections
-	EjectedUntil      Milliseconds // end of the last ejection; 0: not ejected
-	SlowUntil         Milliseconds // until then avoided for sticky keys, because it was slow
-	WarmUpSince       Milliseconds // start of the last slow start
-	SlowStartTokens   float64      // attempts that the slow start currently allows
-	TokensUpdatedAt   Milliseconds
-	ClassScores       []LearnedClassScore // by class
+	ID                   EndpointID
+	CapacityLog          float64 // logarithm of the capacity factor
+	LastErrorAt          Milliseconds
+	LastResponseAt       Milliseconds
+	ConsecutiveErrors    int
+	ConnectErrors        int          // failed connections among the consecutive errors
+	ConsecutiveEjections int          // consecutive ejections
+	EjectedUntil         Milliseconds // end of the last ejection; 0: not ejected
+	SlowUntil            Milliseconds // until then avoided for sticky keys, because it was slow
+	SlowStartSince       Milliseconds // start of the last slow start
+	SlowStartTokens      float64      // attempts that the slow start currently allows
+	TokensUpdatedAt      Milliseconds
+	ClassScores          []LearnedClassScore // by class
 }
 
 // LearnedClassScore is the recent success rate of a class at an endpoint.
@@ -84,7 +84,7 @@
 	times := []*Milliseconds{
 		&ep.LastErrorAt, &ep.LastResponseAt,
 		&ep.EjectedUntil, &ep.SlowUntil,
-		&ep.WarmUpSince, &ep.TokensUpdatedAt,
+		&ep.SlowStartSince, &ep.TokensUpdatedAt,
 	}
 	for _, t := range times {
 		*t += offset
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -23,7 +23,7 @@
 	ep := attempt.endpoint
 	ep.activity.recordResponseTo(attempt.sentAt)
 	b.recordResponse(ep)
-	if ep.outlier.wasStopped(b.now) && !b.warmingUp(ep) {
+	if ep.outlier.likelyRestarted(b.now) && !b.warmingUp(ep) {
 		b.startWarmUp(ep, b.now)
 	}
 	ep.outlier.clear()
@@ -40,7 +40,7 @@
 	b.latency.recordResponse(b.now, latency, objective, b.averagingGain())
 	slow := latency > objective.scaled(b.latency.shedThreshold())
 	ep.sticky.recordLatency(slow, b.now+slowDurationObjectives*b.longestObjective)
-	if req.stats.samples > 0 {
+	if req.stats.latencySamples > 0 {
 		b.learnCapacity(ep, ratio(latency, req.stats.meanLatency))
 	}
 	req.stats.recordLatency(latency, b.averagingGain()*classLatencyGain)
@@ -57,7 +57,7 @@
 	}
 	if result == ConnectFailed {
 		b.recordError(attempt.endpoint, connectError)
-		b.recordSilence(attempt.endpoint, attempt.sentAt)
+		b.recordUnresponsive(attempt.endpoint, attempt.sentAt)
 		return
 	}
 	if !attempt.overdue { // otherwise, markOverdue has counted the error already
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -44,7 +44,7 @@
 	lastErrorAt          Milliseconds
 	consecutiveEjections int
 	ejectedUntil         Milliseconds // end of the last ejection; 0: not ejected since the last clear
-	checkFailed          bool         // the last health check failed; a success then clears all errors
+	healthCheckFailed    bool         // the last health check failed; a success then clears all errors
 }
 
 // clear resets the errors and ejections, but keeps the time of the last error.
@@ -53,7 +53,7 @@
 	s.connectErrors = 0
 	s.consecutiveEjections = 0
 	s.ejectedUntil = 0
-	s.checkFailed = false
+	s.healthCheckFailed = false
 }
 
 // record counts an error of the given kind.
@@ -79,14 +79,14 @@
 }
 
 // recordFailedHealthCheck ejects the endpoint after a failed health check.
-func (s *outlierState) failHealthCheck(now, firstEjection Milliseconds) {
+func (s *outlierState) recordFailedHealthCheck(now, firstEjection Milliseconds) {
 	s.eject(now, firstEjection)
-	s.checkFailed = true
+	s.healthCheckFailed = true
 }
 
 // ejectedSinceLastSuccess reports whether the endpoint was ejected and its errors have not been cleared
 // since, even if the ejection is over.
-func (s *outlierState) unproven() bool { return s.ejectedUntil != 0 }
+func (s *outlierState) ejectedSinceLastSuccess() bool { return s.ejectedUntil != 0 }
 
 // ejected reports whether the endpoint is ejected at the given time.
 func (s *outlierState) ejected(now Milliseconds) bool { return now < s.ejectedUntil }
@@ -97,13 +97,13 @@
 	if s.consecutiveErrors == 0 {
 		return 1
 	}
-	effectiveErrors := float64(s.consecutiveErrors) * halved(now-s.lastErrorAt, errorHalfLife)
+	effectiveErrors := float64(s.consecutiveErrors) * halfLifeDecay(now-s.lastErrorAt, errorHalfLife)
 	return clamp(1-healthPenaltyPerError*effectiveErrors, minHealth, 1)
 }
 
 // likelyRestarted reports whether an endpoint that responds again has probably restarted, judging by its
 // failed connections. Discovery may not have reported the restart yet.
-func (s *outlierState) wasStopped(now Milliseconds) bool {
+func (s *outlierState) likelyRestarted(now Milliseconds) bool {
 	if s.connectErrors >= connectErrorsToEject {
 		return true
 	}
@@ -125,4 +125,4 @@
 func (b *Balancer) eject(ep *endpoint) { ep.outlier.eject(b.now, b.longestObjective) }
 
 // ejected reports whether an endpoint is ejected, either individually or because its zone is in an outage.
-func (b *Balancer) ejected(ep *endpoint) bool { return ep.outlier.ejected(b.now) || ep.zone.outage }
+func (b *Balancer) ejected(ep *endpoint) bool { return ep.outlier.ejected(b.now) || ep.zone.inOutage }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -57,15 +57,15 @@
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	ep := h.b.endpoints.list[0]
 	h.dispatch(HealthCheckResult{Endpoint: ep.ID, Result: TimedOut})
-	if !ep.outlier.checkFailed || !h.b.ejected(ep) {
+	if !ep.outlier.healthCheckFailed || !h.b.ejected(ep) {
 		t.Fatal("a health check that timed out does not eject the endpoint")
 	}
 	entry := ep.Endpoint
 	entry.StartedAt = h.now
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
-	if ep.outlier.checkFailed || ep.outlier.consecutiveEjections != 0 || h.b.ejected(ep) {
+	if ep.outlier.healthCheckFailed || ep.outlier.consecutiveEjections != 0 || h.b.ejected(ep) {
 		t.Fatalf("after the restart: health check failed: %v, %d ejections, ejected: %v; want false, 0, false",
-			ep.outlier.checkFailed, ep.outlier.consecutiveEjections, h.b.ejected(ep))
+			ep.outlier.healthCheckFailed, ep.outlier.consecutiveEjections, h.b.ejected(ep))
 	}
 }
 
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -195,7 +195,7 @@
 func TestLateFractionDecaysOverTime(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
 	h.b.shedder.steadyFraction = 0.95
-	h.b.latency.lateFraction, h.b.latency.ratio, h.b.latency.lastResponseAt = 0.6, 0.55, h.now
+	h.b.latency.lateFraction, h.b.latency.meanRatio, h.b.latency.lastResponseAt = 0.6, 0.55, h.now
 	rejected := 0
 	for range 20 {
 		h.now += 1000
--- a/balance/polling.go
+++ b/balance/polling.go
@@ -29,17 +29,17 @@
 
 // pollScheduler decides when the endpoint list is polled, so that one discovery service can serve all
 // sidecars.
-type pollBackoff struct {
+type pollScheduler struct {
 	failures int // consecutive failed polls
 }
 
 // reset resets the backoff after a successful poll.
-func (p *pollBackoff) reset() { p.failures = 0 }
+func (p *pollScheduler) reset() { p.failures = 0 }
 
 // firstDelay returns the delay of the first poll, which spreads the first polls of all sidecars over time.
 // Otherwise, sidecars that start together would overload discovery: most polls would time out, and their
 // repetitions would find discovery still busy.
-func (p *pollBackoff) firstDelay(cfg *Config) Milliseconds {
+func (p *pollScheduler) firstDelay(cfg *Config) Milliseconds {
 	spread := min(pollRoundTime(cfg), propagationLimit-uncontendedPollTime)
 	if cfg.MaxPollInterval > 0 {
 		spread = min(spread, cfg.MaxPollInterval*startSpreadFraction)
@@ -52,7 +52,7 @@
 // retryDelay counts a failed poll and returns the delay before the next one: an exponential backoff with
 // jitter, limited by maxPollBackoff and MaxPollInterval. If discovery cannot serve all sidecars within that
 // limit, each sidecar waits for its turn in a round of all sidecars instead.
-func (p *pollBackoff) retryDelay(cfg *Config, now Milliseconds, random *randomSource) Milliseconds {
+func (p *pollScheduler) retryDelay(cfg *Config, now Milliseconds, random *randomSource) Milliseconds {
 	maxDelay := maxPollBackoff
 	if cfg.MaxPollInterval > 0 {
 		maxDelay = min(maxDelay, cfg.MaxPollInterval/minPollsPerInterval)
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -47,7 +47,7 @@
 		}
 		b.load.markOverdue(req, a)
 		b.recordError(a.endpoint, attemptError)
-		b.recordSilence(a.endpoint, a.sentAt)
+		b.recordUnresponsive(a.endpoint, a.sentAt)
 		if a.presumedLost() {
 			b.recordClassResult(req, a.endpoint, TimedOut)
 		}
@@ -62,7 +62,7 @@
 		if !a.inFlight || !a.overdue || a.cancelledAsLost {
 			continue
 		}
-		if (a.presumedLost() || a.endpoint.zone.outage) && b.canRetryInTime(req) {
+		if (a.presumedLost() || a.endpoint.zone.inOutage) && b.canRetryInTime(req) {
 			a.cancelledAsLost = true
 			b.emit(Action{Kind: CancelAttempt, Request: req.ID, Attempt: i})
 		}
@@ -72,7 +72,7 @@
 // overdueAfter returns how long after it was sent an attempt is overdue. The limit follows the current
 // latencies of the class, because in an overloaded fleet all attempts are slow.
 func (b *Balancer) overdueAfter(req *request) Milliseconds {
-	if req.stats.samples < minOverdueSamples {
+	if req.stats.latencySamples < minOverdueSamples {
 		return req.class.LatencyObjective * defaultOverdueObjectives
 	}
 	return req.stats.meanLatency + overdueDeviations*req.stats.latencyDeviation
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -113,10 +113,10 @@
 	}
 	cfg.OverQuotaWeight, cfg.MinBatchInterval = random.Float64(), 1+Milliseconds(6*random.Float64())
 	cfg.Zone, cfg.ConnIdleTimeout = random.Intn(2), Milliseconds(20000*random.Float64())
-	cfg.WarmUpInitialFraction = 0.1 + 0.4*random.Float64()
-	cfg.WarmUpDuration = 3000 + Milliseconds(20000*random.Float64())
-	cfg.OverloadFactor = 2 + 2*random.Float64()
-	cfg.OverloadWindow = 500 + Milliseconds(2000*random.Float64())
+	cfg.SlowStartInitialFraction = 0.1 + 0.4*random.Float64()
+	cfg.SlowStartDuration = 3000 + Milliseconds(20000*random.Float64())
+	cfg.SlowStartOverloadFactor = 2 + 2*random.Float64()
+	cfg.SlowStartOverloadWindow = 500 + Milliseconds(2000*random.Float64())
 	cfg.Costs = Costs{CrossZone: 0.1 * random.Float64(), NewConnection: 0.05 * random.Float64(),
 		HealthCheck: 0.02 * random.Float64()}
 	return cfg
@@ -274,7 +274,7 @@
 func (checker *invariantChecker) checkSlowStart(target Endpoint) {
 	kept, targetSends := checker.recentSends[:0], 1
 	for _, send := range checker.recentSends {
-		if send.sentAt > checker.now-checker.cfg.OverloadWindow {
+		if send.sentAt > checker.now-checker.cfg.SlowStartOverloadWindow {
 			kept = append(kept, send)
 			// Earlier attempts went to a previous incarnation.
 			if send.endpoint == target.ID && send.sentAt >= target.StartedAt {
@@ -289,12 +289,12 @@
 			ready++
 		}
 	}
-	inSlowStart := target.StartedAt > 0 && checker.now < target.StartedAt+checker.cfg.WarmUpDuration
-	maxSends := checker.cfg.OverloadFactor * float64(len(checker.recentSends)) / float64(max(ready, 1))
+	inSlowStart := target.StartedAt > 0 && checker.now < target.StartedAt+checker.cfg.SlowStartDuration
+	maxSends := checker.cfg.SlowStartOverloadFactor * float64(len(checker.recentSends)) / float64(max(ready, 1))
 	maxSends += 2 + 2*math.Sqrt(maxSends) // two attempts and two standard deviations of random variation
 	if inSlowStart && ready > 2 && float64(targetSends) > maxSends {
 		checker.t.Fatalf("endpoint %d in slow start: got %d of %d attempts within %.0f ms, want %.1f at most",
-			target.ID, targetSends, len(checker.recentSends), checker.cfg.OverloadWindow, maxSends)
+			target.ID, targetSends, len(checker.recentSends), checker.cfg.SlowStartOverloadWindow, maxSends)
 	}
 }
 
@@ -361,7 +361,7 @@
 	"streams":         func(c *Config, _ *int) { c.Classes[idempotentClass].Streaming = true },
 	"tenants":         func(c *Config, _ *int) { c.Tenants = []Tenant{{QuotaShare: 0.9}, {QuotaShare: 0.1}, {}} },
 	"no slow start": func(c *Config, _ *int) {
-		c.WarmUpDuration, c.OverloadWindow, c.OverloadFactor, c.WarmUpInitialFraction = 0, 0, 0, 0
+		c.SlowStartDuration, c.SlowStartOverloadWindow, c.SlowStartOverloadFactor, c.SlowStartInitialFraction = 0, 0, 0, 0
 	},
 	"health checks, free": func(c *Config, _ *int) {
 		c.HealthChecks, c.LoadReports, c.LoadReportFields = true, LoadReportsPolled, []LoadField{LoadFieldInFlight}
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -136,11 +136,11 @@
 	}
 }
 
-// rotationValue returns the running value of an endpoint. A failing class has its own: the endpoints that
+// rotationCredit returns the running value of an endpoint. A failing class has its own: the endpoints that
 // fail it would get its requests by the turns that the weights of other classes give them.
 func (b *Balancer) rotationValue(req *request, ep *endpoint) *float64 {
 	if b.classFailing(req) {
-		return &ep.scoreFor(req).rotationValue
+		return &ep.scoreFor(req).rotationCredit
 	}
 	return &ep.rotation.value
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -62,14 +62,14 @@
 
 // warmingUp reports whether an endpoint is in its warm-up.
 func (b *Balancer) warmingUp(ep *endpoint) bool {
-	return b.now < ep.slowStart.warmUpSince+b.cfg.WarmUpDuration
+	return b.now < ep.slowStart.warmUpSince+b.cfg.SlowStartDuration
 }
 
 // warmUpFraction returns the least fraction of its capacity that an endpoint has; 1 after the warm-up.
 func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
 	elapsed := max(0, b.now-ep.slowStart.warmUpSince)
-	progress := ratio(elapsed, max(b.cfg.WarmUpDuration, 1))
-	return b.cfg.WarmUpInitialFraction + (1-b.cfg.WarmUpInitialFraction)*min(1, progress)
+	progress := ratio(elapsed, max(b.cfg.SlowStartDuration, 1))
+	return b.cfg.SlowStartInitialFraction + (1-b.cfg.SlowStartInitialFraction)*min(1, progress)
 }
 
 // startWarmUp starts the warm-up of an endpoint, which enters the rotation anew.
@@ -85,15 +85,15 @@
 func (b *Balancer) refillSlowStart(ep *endpoint) {
 	b.advanceResponseRate()
 	pool := max(b.rotation.poolCapacity, ep.candidate.capacity)
-	loadFactor := max(1, b.cfg.OverloadFactor*slowStartLoadFraction)
+	loadFactor := max(1, b.cfg.SlowStartOverloadFactor*slowStartLoadFraction)
 	rate := b.responsesPerMillisecond(1) * ep.candidate.capacity / pool * loadFactor
-	ep.slowStart.refill(b.now, rate, b.cfg.OverloadWindow)
+	ep.slowStart.refill(b.now, rate, b.cfg.SlowStartOverloadWindow)
 }
 
 // slowStartAllows reports whether the warm-up of a candidate allows an attempt now. prepareCandidates comes
 // before it.
 func (b *Balancer) slowStartAllows(ep *endpoint, policy tokenPolicy) bool {
-	return !ep.candidate.warmingUp || ep.slowStart.allows(policy, b.cfg.OverloadWindow)
+	return !ep.candidate.warmingUp || ep.slowStart.allows(policy, b.cfg.SlowStartOverloadWindow)
 }
 
 // slowStartPolicy returns which tokens count for a request. Where warm endpoints fail a class, all sidecars
--- a/balance/slowstart_simulation_test.go
+++ b/balance/slowstart_simulation_test.go
@@ -67,7 +67,7 @@
 // config returns the settings of one instance.
 func (run *slowStartRun) config(number int) Config {
 	cfg := largeFleetConfig(number, run.instances)
-	cfg.OverloadFactor, cfg.WarmUpInitialFraction = run.overloadFactor, run.initialFraction
+	cfg.SlowStartOverloadFactor, cfg.SlowStartInitialFraction = run.overloadFactor, run.initialFraction
 	cfg.Seed = run.seed<<20 + uint64(number)
 	return cfg
 }
@@ -156,7 +156,7 @@
 // requestsPerEndpoint returns the requests of a warm endpoint in a millisecond, when all get the share of
 // their capacity.
 func (run *slowStartRun) requestsPerEndpoint() float64 {
-	warmUp := run.config(0).WarmUpDuration
+	warmUp := run.config(0).SlowStartDuration
 	able := float64(run.endpoints-run.warmingUp) +
 		float64(run.warmingUp)*(run.initialFraction+(1-run.initialFraction)*ratio(timeAfterStart/2, warmUp))
 	return run.rate * float64(run.instances) / able / 1000
@@ -170,12 +170,12 @@
 		slices.Sort(sends)
 		for i := range sends {
 			inWindow := 0.0
-			for j := i; j < len(sends) && sends[j] < sends[i]+cfg.OverloadWindow; j++ {
+			for j := i; j < len(sends) && sends[j] < sends[i]+cfg.SlowStartOverloadWindow; j++ {
 				inWindow++
 			}
-			warmth := min(1, ratio(sends[i]-restartTime, cfg.WarmUpDuration))
-			able := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*warmth
-			budget := cfg.OverloadFactor * able * perEndpoint * float64(cfg.OverloadWindow)
+			warmth := min(1, ratio(sends[i]-restartTime, cfg.SlowStartDuration))
+			able := cfg.SlowStartInitialFraction + (1-cfg.SlowStartInitialFraction)*warmth
+			budget := cfg.SlowStartOverloadFactor * able * perEndpoint * float64(cfg.SlowStartOverloadWindow)
 			worst = max(worst, inWindow/(budget+2*math.Sqrt(budget)+2))
 		}
 	}
@@ -188,7 +188,7 @@
 	got, could := 0.0, 0.0
 	for _, sends := range run.sends {
 		got += float64(len(sends))
-		able := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*ratio(timeAfterStart/2, cfg.WarmUpDuration)
+		able := cfg.SlowStartInitialFraction + (1-cfg.SlowStartInitialFraction)*ratio(timeAfterStart/2, cfg.SlowStartDuration)
 		could += perEndpoint * float64(timeAfterStart) * able
 	}
 	return got / could
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -78,9 +78,9 @@
 			h.now += 1000 / perSecond
 		}
 	}
-	// A warm endpoint gets a fifth of the traffic; one that warms up can do WarmUpInitialFraction of
-	// that and a little more, and is overloaded at OverloadFactor times its capacity.
-	limit := float64(instances*perSecond) / 5 * cfg.OverloadFactor * (cfg.WarmUpInitialFraction + 0.05)
+	// A warm endpoint gets a fifth of the traffic; one that warms up can do SlowStartInitialFraction of
+	// that and a little more, and is overloaded at SlowStartOverloadFactor times its capacity.
+	limit := float64(instances*perSecond) / 5 * cfg.SlowStartOverloadFactor * (cfg.SlowStartInitialFraction + 0.05)
 	if toWarmingUp == 0 || float64(toWarmingUp) > limit {
 		t.Fatalf("%d sends to the restarted endpoint in its first second, want 1 to %.0f", toWarmingUp, limit)
 	}
@@ -124,9 +124,9 @@
 	perEndpoint := total / seconds / 30
 	sent := 0.0
 	for at := 4; at < seconds; at++ {
-		least := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*ratio(Milliseconds(at-4)*1000, cfg.WarmUpDuration)
+		least := cfg.SlowStartInitialFraction + (1-cfg.SlowStartInitialFraction)*ratio(Milliseconds(at-4)*1000, cfg.SlowStartDuration)
 		// perEndpoint is what a warm endpoint is sent; with a margin for chance
-		if limit := cfg.OverloadFactor*least*perEndpoint + 2*math.Sqrt(perEndpoint); toRestarted[at] > limit {
+		if limit := cfg.SlowStartOverloadFactor*least*perEndpoint + 2*math.Sqrt(perEndpoint); toRestarted[at] > limit {
 			t.Errorf("second %d: %.0f sends to the restarted endpoint, limit %.0f (a warm one gets %.0f)",
 				at, toRestarted[at], limit, perEndpoint)
 		}
@@ -227,11 +227,11 @@
 		h.randomizeRotation()
 		endpoints[0].StartedAt = h.now
 		h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: endpoints[:1]})
-		for h.now < endpoints[0].StartedAt+cfg.WarmUpDuration-1000 { // hardly any budget while it warms up
+		for h.now < endpoints[0].StartedAt+cfg.SlowStartDuration-1000 { // hardly any budget while it warms up
 			sendSequence(h, 1)
 			h.now += 1000
 		}
-		h.now = endpoints[0].StartedAt + cfg.WarmUpDuration
+		h.now = endpoints[0].StartedAt + cfg.SlowStartDuration
 		if sendSequence(h, 1)[0] == 1 {
 			first++
 		}
--- a/balance/time.go
+++ b/balance/time.go
@@ -46,7 +46,7 @@
 }
 
 // halfLifeDecay returns the remaining weight of a value after the elapsed time: 1/2 after one half-life.
-func halved(elapsed, halfLife Milliseconds) float64 {
+func halfLifeDecay(elapsed, halfLife Milliseconds) float64 {
 	return math.Exp(-math.Ln2 * float64(elapsed) / float64(halfLife))
 }
 
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -23,19 +23,19 @@
 		LastRequestAt:          b.shedder.lastRequestAt,
 		LastResponseAt:         b.latency.lastResponseAt,
 		ResponsesCountedAt:     b.responses.countedAt,
-		ResponseCount:          b.responses.longTermCount,
-		LatestResponseCount:    b.responses.shortTermCount,
+		LongTermResponseCount:  b.responses.longTermCount,
+		ShortTermResponseCount: b.responses.shortTermCount,
 		MinLatencyRatio:        b.latency.minRatio,
-		LatencyRatio:           b.latency.ratio,
+		MeanLatencyRatio:       b.latency.meanRatio,
 		LatencyRatioSamples:    b.latency.ratioSamples,
 		LateFraction:           b.latency.lateFraction,
-		SteadyShed:             b.shedder.steadyFraction,
+		SteadyShedFraction:     b.shedder.steadyFraction,
 		ConnectFailureFraction: b.connectFailures.fraction,
 		TimePerInFlight:        b.timePerInFlight.mean,
 		TimePerInFlightSamples: b.timePerInFlight.samples,
 		BusyFraction:           b.checks.busyFraction,
 		CapacityUpdates:        b.capacity.updates,
-		CapacityDrift:          b.capacity.drift,
+		MeanCapacityStep:       b.capacity.drift,
 	}
 	b.responses.halve()
 	b.exportCollections(&state)
@@ -45,13 +45,13 @@
 // exportCollections adds what was learned about machine types, zones, classes, tenants and endpoints to
 // state. It halves the slow-start tokens of the endpoints before it exports them.
 func (b *Balancer) exportCollections(state *LearnedState) {
-	state.MachineTypes = map[int]float64{}
+	state.MachineTypeCapacityLogs = map[int]float64{}
 	for number, factor := range b.endpoints.machineTypes {
-		state.MachineTypes[number] = factor.logarithm
+		state.MachineTypeCapacityLogs[number] = factor.logarithm
 	}
-	state.Zones = map[int]float64{}
+	state.ZoneCapacityLogs = map[int]float64{}
 	for number, zone := range b.endpoints.zones {
-		state.Zones[number] = zone.capacity.logarithm
+		state.ZoneCapacityLogs[number] = zone.capacity.logarithm
 	}
 	for _, class := range b.classes {
 		state.Classes = append(state.Classes, class.export())
@@ -68,7 +68,7 @@
 func (c *classStats) export() LearnedClass {
 	return LearnedClass{
 		Requests:         c.count,
-		LatencySamples:   c.samples,
+		LatencySamples:   c.latencySamples,
 		MeanLatency:      c.meanLatency,
 		LatencyDeviation: c.latencyDeviation,
 		LongestTimeout:   c.longestTimeout,
@@ -79,18 +79,18 @@
 
 func (ep *endpoint) export(classCount int) LearnedEndpoint {
 	state := LearnedEndpoint{
-		ID:                ep.ID,
-		CapacityLog:       ep.ownCapacity.logarithm,
-		LastErrorAt:       ep.outlier.lastErrorAt,
-		LastResponseAt:    ep.activity.lastResponseAt,
-		ConsecutiveErrors: ep.outlier.consecutiveErrors,
-		ConnectErrors:     ep.outlier.connectErrors,
-		Ejections:         ep.outlier.consecutiveEjections,
-		EjectedUntil:      ep.outlier.ejectedUntil,
-		SlowUntil:         ep.sticky.slowUntil,
-		WarmUpSince:       ep.slowStart.warmUpSince,
-		SlowStartTokens:   ep.slowStart.tokens,
-		TokensUpdatedAt:   ep.slowStart.updatedAt,
+		ID:                   ep.ID,
+		CapacityLog:          ep.ownCapacity.logarithm,
+		LastErrorAt:          ep.outlier.lastErrorAt,
+		LastResponseAt:       ep.activity.lastResponseAt,
+		ConsecutiveErrors:    ep.outlier.consecutiveErrors,
+		ConnectErrors:        ep.outlier.connectErrors,
+		ConsecutiveEjections: ep.outlier.consecutiveEjections,
+		EjectedUntil:         ep.outlier.ejectedUntil,
+		SlowUntil:            ep.sticky.slowUntil,
+		SlowStartSince:       ep.slowStart.warmUpSince,
+		SlowStartTokens:      ep.slowStart.tokens,
+		TokensUpdatedAt:      ep.slowStart.updatedAt,
 	}
 	for _, score := range ep.classScores[:classCount] {
 		learned := LearnedClassScore{Value: score.value, UpdatedAt: score.updatedAt}
@@ -132,10 +132,10 @@
 }
 
 func (b *Balancer) importStatistics(state *LearnedState) {
-	b.responses.longTermCount = validOr(state.ResponseCount, 0, maxImportedRecentCount)
-	b.responses.shortTermCount = validOr(state.LatestResponseCount, 0, maxImportedRecentCount)
+	b.responses.longTermCount = validOr(state.LongTermResponseCount, 0, maxImportedRecentCount)
+	b.responses.shortTermCount = validOr(state.ShortTermResponseCount, 0, maxImportedRecentCount)
 	b.latency.minRatio = validOr(state.MinLatencyRatio, b.latency.minRatio, maxImportedRatio)
-	b.latency.ratio = validOr(state.LatencyRatio, b.latency.ratio, maxImportedRatio)
+	b.latency.meanRatio = validOr(state.MeanLatencyRatio, b.latency.meanRatio, maxImportedRatio)
 	b.latency.ratioSamples = validOr(state.LatencyRatioSamples, 0, averagingSamples)
 	b.latency.lateFraction = validOr(state.LateFraction, 0, 1)
 	b.shedder.restore(state, b.now)
@@ -147,20 +147,20 @@
 
 func (b *Balancer) importCapacities(state *LearnedState) {
 	b.capacity.updates = validOr(state.CapacityUpdates, 0, maxImportedCount)
-	if math.Abs(state.CapacityDrift) <= maxImportedMeanStep {
-		b.capacity.drift = state.CapacityDrift
+	if math.Abs(state.MeanCapacityStep) <= maxImportedMeanStep {
+		b.capacity.drift = state.MeanCapacityStep
 	}
-	for number, logarithm := range state.MachineTypes {
+	for number, logarithm := range state.MachineTypeCapacityLogs {
 		b.endpoints.ensureMachineType(number).restore(logarithm)
 	}
-	for number, logarithm := range state.Zones {
+	for number, logarithm := range state.ZoneCapacityLogs {
 		b.endpoints.ensureZone(number).capacity.restore(logarithm)
 	}
 }
 
 func (c *classStats) restore(state *LearnedClass, now Milliseconds) {
 	c.count = max(1, validOr(state.Requests, 1, maxImportedCount))
-	c.samples = validOr(state.LatencySamples, 0, maxLatencySamples)
+	c.latencySamples = validOr(state.LatencySamples, 0, maxLatencySamples)
 	c.meanLatency = validOr(state.MeanLatency, 0, maxImportedDuration)
 	c.latencyDeviation = validOr(state.LatencyDeviation, 0, maxImportedDuration)
 	c.longestTimeout = validOr(state.LongestTimeout, 0, maxImportedDuration)
@@ -186,18 +186,18 @@
 	s.consecutiveErrors = max(0, state.ConsecutiveErrors)
 	s.connectErrors = max(0, state.ConnectErrors)
 	s.lastErrorAt = pastTimeOrLongAgo(state.LastErrorAt, now)
-	s.consecutiveEjections = max(0, state.Ejections)
+	s.consecutiveEjections = max(0, state.ConsecutiveEjections)
 	s.ejectedUntil = validOr(state.EjectedUntil, 0, now+maxImportedDelay)
 }
 
 func (s *loadShedder) restore(state *LearnedState, now Milliseconds) {
 	s.lastRequestAt = pastTimeOrLongAgo(state.LastRequestAt, now)
-	s.steadyFraction = validOr(state.SteadyShed, 0, maxShedFraction)
+	s.steadyFraction = validOr(state.SteadyShedFraction, 0, maxShedFraction)
 }
 
 // restore imports a slow start, unless the endpoint list shows that the endpoint started later.
 func (s *slowStart) restore(state *LearnedEndpoint, now Milliseconds) {
-	since := pastTimeOrLongAgo(state.WarmUpSince, now)
+	since := pastTimeOrLongAgo(state.SlowStartSince, now)
 	if since < s.warmUpSince {
 		return
 	}
--- a/balance/transfer_test.go
+++ b/balance/transfer_test.go
@@ -9,8 +9,8 @@
 // A successor continues with what its predecessor has learned about endpoints and classes, and the two divide the
 // slow-start tokens of an endpoint.
 func TestImportState(t *testing.T) {
-	cfg := Config{Seed: 1, MaxAttempts: 3, WarmUpInitialFraction: 0.2, WarmUpDuration: 10000,
-		OverloadFactor: 4, OverloadWindow: 1000,
+	cfg := Config{Seed: 1, MaxAttempts: 3, SlowStartInitialFraction: 0.2, SlowStartDuration: 10000,
+		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 1000,
 		Classes: []Class{{LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1},
 			{LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1}}}
 	list := EndpointUpdate{Kind: UpdateSnapshot, Endpoints: []Endpoint{
@@ -62,13 +62,13 @@
 			at := Milliseconds(v)
 			b.ImportState(1000, LearnedState{
 				StartedAt: at, LastResponseAt: at, ResponsesCountedAt: at, LastRequestAt: at,
-				MinLatencyRatio: v, LatencyRatio: v, LatencyRatioSamples: v, LateFraction: v,
-				ResponseCount: v, LatestResponseCount: v, ConnectFailureFraction: v, TimePerInFlight: at, BusyFraction: v,
-				CapacityUpdates: v, CapacityDrift: v, SteadyShed: v,
-				MachineTypes: map[int]float64{0: v}, Zones: map[int]float64{0: v}, TenantRequests: []float64{v},
+				MinLatencyRatio: v, MeanLatencyRatio: v, LatencyRatioSamples: v, LateFraction: v,
+				LongTermResponseCount: v, ShortTermResponseCount: v, ConnectFailureFraction: v, TimePerInFlight: at, BusyFraction: v,
+				CapacityUpdates: v, MeanCapacityStep: v, SteadyShedFraction: v,
+				MachineTypeCapacityLogs: map[int]float64{0: v}, ZoneCapacityLogs: map[int]float64{0: v}, TenantRequests: []float64{v},
 				Classes: []LearnedClass{{v, v, at, at, at, at, v}},
 				Endpoints: []LearnedEndpoint{{
-					ID: 1, CapacityLog: v, LastErrorAt: at, EjectedUntil: at, ConsecutiveErrors: -5, WarmUpSince: at,
+					ID: 1, CapacityLog: v, LastErrorAt: at, EjectedUntil: at, ConsecutiveErrors: -5, SlowStartSince: at,
 					SlowStartTokens: v, TokensUpdatedAt: at, LastResponseAt: at, SlowUntil: at,
 					ClassScores: []LearnedClassScore{{Value: v, UpdatedAt: at}},
 				}, {ID: 9}},
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -22,7 +22,7 @@
 	capacity              capacityFactor // learned; see capacity.go
 	lastResponseAt        Milliseconds   // last response of any endpoint of the zone
 	unresponsiveEndpoints []*endpoint    // endpoints that did not respond since then or since the last check
-	outage                bool           // the whole zone is considered unreachable
+	inOutage              bool           // the whole zone is considered unreachable
 	outageSince           Milliseconds
 	checkRounds           int          // number of times that a check was due during the outage
 	nextCheckAt           Milliseconds // when the next check is due
@@ -31,14 +31,14 @@
 // recordUnresponsive records that an endpoint did not respond to an attempt sent at sentAt, and reports
 // whether an outage begins.
 func (z *zone) recordUnresponsive(ep *endpoint, now, sentAt Milliseconds) (outageBegins bool) {
-	if z.outage || sentAt < z.lastResponseAt || slices.Contains(z.unresponsiveEndpoints, ep) {
+	if z.inOutage || sentAt < z.lastResponseAt || slices.Contains(z.unresponsiveEndpoints, ep) {
 		return false
 	}
 	z.unresponsiveEndpoints = append(z.unresponsiveEndpoints, ep)
 	if len(z.unresponsiveEndpoints) < unresponsiveEndpointsForOutage {
 		return false
 	}
-	z.outage = true
+	z.inOutage = true
 	z.outageSince = now
 	z.checkRounds = 0
 	return true
@@ -49,15 +49,15 @@
 func (z *zone) recordResponse(now Milliseconds) (outageEnds bool) {
 	z.lastResponseAt = now
 	z.unresponsiveEndpoints = z.unresponsiveEndpoints[:0]
-	outageEnds = z.outage
-	z.outage = false
+	outageEnds = z.inOutage
+	z.inOutage = false
 	return outageEnds
 }
 
 // recordUnresponsive records that an endpoint did not respond to an attempt sent at sentAt. A single endpoint
 // may hang, but several in a row indicate that their zone is unreachable. If each endpoint of the zone were
 // detected separately, every sidecar would lose requests at each of them.
-func (b *Balancer) recordSilence(ep *endpoint, sentAt Milliseconds) {
+func (b *Balancer) recordUnresponsive(ep *endpoint, sentAt Milliseconds) {
 	if b.cfg.HealthChecks && ep.zone.recordUnresponsive(ep, b.now, sentAt) {
 		b.checkZone(ep.zone)
 	}
@@ -70,7 +70,7 @@
 	chosen, readyCount := b.chooseZoneCheck(zone)
 	zone.unresponsiveEndpoints = zone.unresponsiveEndpoints[:0]
 	if readyCount == 0 {
-		zone.outage = false
+		zone.inOutage = false
 		return
 	}
 	if zone.checkRounds == roundsBeforeOutageLog {
@@ -83,13 +83,13 @@
 	delay := backoff.scaled(b.random.jitter())
 	zone.checkRounds++
 	zone.nextCheckAt = b.now + delay
-	b.emit(Action{Kind: SetTimer, Token: zoneTimerToken + uint64(zone.number), Delay: delay})
+	b.emit(Action{Kind: SetTimer, Token: zoneTimerTokenBase + uint64(zone.number), Delay: delay})
 }
 
 // onZoneTimer repeats the check of a zone that is still unreachable.
 func (b *Balancer) onZoneTimer(number int) {
 	zone := b.endpoints.zones[number]
-	if zone != nil && zone.outage && b.now > zone.nextCheckAt-timerTolerance {
+	if zone != nil && zone.inOutage && b.now > zone.nextCheckAt-timerTolerance {
 		b.checkZone(zone)
 	}
 }
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -57,7 +57,7 @@
 		},
 	}
 	upload.SetFirstBytes(first)
-	upload.PauseReading(time.Now())
+	upload.MarkReadingPaused(time.Now())
 	return upload
 }
 
--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -18,13 +18,13 @@
 // for it. Later bytes are surplus: a client sends one request at a time, so they mean that the length of the request is
 // wrong or that it hides another one.
 //
-// It returns exchange.ErrNoLongerAwaited if the response has been decided already, ErrSurplus if bytes have arrived after
+// It returns exchange.ErrUploadStopped if the response has been decided already, ErrSurplus if bytes have arrived after
 // the request, and ErrClientDisconnected if the client has closed its connection. Any goroutine may call it.
 func (c *Conn) MarkAwaitingResponse(number int64) error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	if c.responsesDecided >= number {
-		return exchange.ErrNoLongerAwaited
+		return exchange.ErrUploadStopped
 	}
 	state := socket.Peek(c.TCPConn)
 	if c.surplusAfter(number) || state == socket.Readable {
--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -24,7 +24,7 @@
 
 // finishAfterAttempt finishes a request if an attempt succeeded, or failed because of the client. In all other cases
 // the balancer decides whether to retry the request.
-func (l *Loop) finishAfterAttempt(req *request, ending *upstream.Ending) {
+func (l *Loop) finishAfterAttempt(req *request, ending *upstream.Outcome) {
 	if ending.Result == balance.OK {
 		l.finish(req, ending.Response)
 	}
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -18,7 +18,7 @@
 	attempt := l.newAttempt(req, action)
 	req.attempts.add(attempt)
 	if !req.isOpen() || attempt.Endpoint == nil || req.attempts.overLimit() {
-		l.inbox.postLocal(attemptEnded{attempt: attempt, ending: upstream.Ending{Result: balance.NotAttempted}})
+		l.inbox.postLocal(attemptEnded{attempt: attempt, ending: upstream.Outcome{Result: balance.NotAttempted}})
 		return
 	}
 	l.goroutines.Go(func() {
@@ -30,18 +30,18 @@
 // newAttempt returns the next attempt of a request. Its Endpoint is nil if the endpoint has been removed.
 func (l *Loop) newAttempt(req *request, action *balance.Action) *upstream.Attempt {
 	if upload := req.exchange.Message.Upload; upload != nil {
-		upload.ResumeReading()
+		upload.CountReadingPause()
 	}
 	attempt := &upstream.Attempt{
-		RequestID:       req.id,
-		Number:          len(req.attempts.byNumber),
-		Endpoint:        l.endpoints.byID[action.Endpoint],
-		Message:         req.exchange.Message,
-		SentAt:          l.clock.now,
-		Deadline:        l.clock.toTime(req.attemptDeadline(l.clock.now, action.Deadline)),
-		TimeAfterUpload: req.timeAfterUpload(l.clock.now).Duration(),
-		Observer:        l,
-		LoopDone:        l.ctx.Done(),
+		RequestID:         req.id,
+		Number:            len(req.attempts.byNumber),
+		Endpoint:          l.endpoints.byID[action.Endpoint],
+		Message:           req.exchange.Message,
+		SentAt:            l.clock.now,
+		Deadline:          l.clock.toTime(req.attemptDeadline(l.clock.now, action.Deadline)),
+		PostUploadTimeout: req.timeAfterUpload(l.clock.now).Duration(),
+		Observer:          l,
+		LoopDone:          l.ctx.Done(),
 	}
 	attempt.Context, attempt.Cancel = context.WithCancel(l.ctx) // endAttempt calls Cancel
 	return attempt
--- a/internal/eventloop/clockoffsets_faults_test.go
+++ b/internal/eventloop/clockoffsets_faults_test.go
@@ -22,12 +22,12 @@
 	successor := newTestLoop(t)
 	successor.upstreamClient = newTestUpstream(t)
 	successor.clock.update()
-	successor.TakeOverFrom(state)
+	successor.SetPredecessorState(state)
 	successor.cfg.KnownEndpoints = state.List
 	successor.applyEndpointList(endpointListUpdate{list: &successor.cfg.KnownEndpoints}, balance.UpdateCachedSnapshot)
 	successor.importState()
 	learned := successor.balancer.ExportState(successor.clock.now)
-	if age := successor.clock.now - learned.Endpoints[0].WarmUpSince; age < 0 || age > maxAge {
+	if age := successor.clock.now - learned.Endpoints[0].SlowStartSince; age < 0 || age > maxAge {
 		t.Errorf("got an endpoint started %v ms ago, want about 1000, at most %v", age, maxAge)
 	}
 }
--- a/internal/eventloop/endpointconversion.go
+++ b/internal/eventloop/endpointconversion.go
@@ -11,7 +11,7 @@
 func (l *Loop) resendEndpoints() {
 	update := balance.EndpointUpdate{Kind: balance.UpdateDelta}
 	for _, endpoint := range l.endpoints.sorted() {
-		update.Endpoints = append(update.Endpoints, l.toBalancerEndpoint(endpoint, &endpoint.Listed))
+		update.Endpoints = append(update.Endpoints, l.toBalancerEndpoint(endpoint, &endpoint.ListEntry))
 	}
 	l.notifyBalancer(update)
 }
--- a/internal/eventloop/endpointlist.go
+++ b/internal/eventloop/endpointlist.go
@@ -69,7 +69,7 @@
 		endpoint.Address.Store(&newAddress)
 		l.upstreamClient.CloseIdle(endpoint) // idle connections lead to the previous incarnation or address
 	}
-	endpoint.Listed = entry.Clone()
+	endpoint.ListEntry = entry.Clone()
 	endpoint.Closed.Store(entry.State() != balance.Ready)
 	return endpoint
 }
@@ -77,7 +77,7 @@
 // hasRestarted reports whether a list entry describes another incarnation than the previous entry of the endpoint. The
 // new start time may be earlier than the previous one, if the wall clock was set back in between.
 func hasRestarted(endpoint *upstream.Endpoint, entry *membership.Endpoint) bool {
-	return entry.StartedAt > 0 && entry.StartedAt != endpoint.Listed.StartedAt
+	return entry.StartedAt > 0 && entry.StartedAt != endpoint.ListEntry.StartedAt
 }
 
 // stopSending stops sending to an endpoint that is draining or gone. Attempts in flight at the endpoint continue.
--- a/internal/eventloop/events_upstream.go
+++ b/internal/eventloop/events_upstream.go
@@ -57,7 +57,7 @@
 // attemptEnded reports the end of an attempt.
 type attemptEnded struct {
 	attempt *upstream.Attempt
-	ending  upstream.Ending
+	ending  upstream.Outcome
 	endedAt time.Time // zero if nothing was sent
 }
 
@@ -66,7 +66,7 @@
 // healthCheckEnded reports the end of a health check.
 type healthCheckEnded struct {
 	endpoint *upstream.Endpoint
-	ending   upstream.Ending
+	ending   upstream.Outcome
 	duration balance.Milliseconds
 }
 
--- a/internal/eventloop/finish_test.go
+++ b/internal/eventloop/finish_test.go
@@ -64,7 +64,7 @@
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
 	responses := req.exchange.Responses
-	l.finishAfterAttempt(req, &upstream.Ending{Result: balance.NotAttempted, ClientDisconnected: true})
+	l.finishAfterAttempt(req, &upstream.Outcome{Result: balance.NotAttempted, ClientDisconnected: true})
 	select {
 	case response := <-responses:
 		if !response.Abort {
--- a/internal/eventloop/handover.go
+++ b/internal/eventloop/handover.go
@@ -12,7 +12,7 @@
 
 // SetPredecessorState sets the state that the predecessor handed over in an upgrade; nil means that there is none. It
 // must be called before Run.
-func (l *Loop) TakeOverFrom(state *upgrade.State) { l.predecessorState = state }
+func (l *Loop) SetPredecessorState(state *upgrade.State) { l.predecessorState = state }
 
 // stateRequested asks for the learned state, for the successor in an upgrade.
 type stateRequested struct{ reply chan<- *upgrade.State }
@@ -54,7 +54,7 @@
 		WallAhead: l.clockOffsets.wallAhead(),
 	}
 	for _, endpoint := range l.endpoints.sorted() {
-		state.List.Endpoints = append(state.List.Endpoints, endpoint.Listed)
+		state.List.Endpoints = append(state.List.Endpoints, endpoint.ListEntry)
 	}
 	return state
 }
--- a/internal/eventloop/upload_test.go
+++ b/internal/eventloop/upload_test.go
@@ -35,7 +35,7 @@
 		}
 		req := addRequest(l, ex)
 		attempt := addAttempt(l, req)
-		remaining := balance.MillisecondsOf(attempt.TimeAfterUpload)
+		remaining := balance.MillisecondsOf(attempt.PostUploadTimeout)
 		if remaining > test.want || remaining < test.want-tolerance {
 			t.Errorf("%s: got %v ms announced to the endpoint, want %v", name, remaining, test.want)
 		}
@@ -77,7 +77,7 @@
 	l.clock.update()
 	attempt := addAttempt(l, req)
 	want := timeLimit - balance.MillisecondsOf(pause) + slack
-	if announced := balance.MillisecondsOf(attempt.TimeAfterUpload); announced > want {
+	if announced := balance.MillisecondsOf(attempt.PostUploadTimeout); announced > want {
 		t.Errorf("got %v ms announced to the endpoint, want at most %v", announced, want)
 	}
 }
--- a/internal/exchange/upload.go
+++ b/internal/exchange/upload.go
@@ -21,7 +21,7 @@
 	ErrBodyDiscarded = errors.New("body bytes needed for another attempt are no longer buffered")
 	// ErrUploadStopped means that no more of a body is read or sent, because its request or attempt has ended or the
 	// response has already been decided.
-	ErrNoLongerAwaited = errors.New("request is no longer waited for")
+	ErrUploadStopped = errors.New("request is no longer waited for")
 )
 
 // ClientError reports that a client did not send its request body completely, or does not wait for the response.
@@ -73,7 +73,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.err = ErrNoLongerAwaited
+	u.err = ErrUploadStopped
 	u.discardBuffer()
 }
 
@@ -84,11 +84,11 @@
 }
 
 // MarkReadingPaused records that no attempt reads the body, starting at from.
-func (u *Upload) PauseReading(from time.Time) { u.lastByte.pause(from) }
+func (u *Upload) MarkReadingPaused(from time.Time) { u.lastByte.pause(from) }
 
 // CountReadingPause adds the time during which no attempt has read the body to the result of SinceLastByte, unless the last
 // byte was read. It is called when a new attempt is created.
-func (u *Upload) ResumeReading() {
+func (u *Upload) CountReadingPause() {
 	if !u.Received.Load() {
 		u.lastByte.addPause(time.Now())
 	}
--- a/internal/exchange/upload_test.go
+++ b/internal/exchange/upload_test.go
@@ -54,18 +54,18 @@
 func TestPausesCountAsTimeSinceLastByte(t *testing.T) {
 	const pause = time.Minute
 	upload := &Upload{}
-	upload.ResumeReading()
+	upload.CountReadingPause()
 	if got := upload.SinceLastByte(); got != 0 {
 		t.Errorf("without a pause: got %v since the last byte, want 0", got)
 	}
-	upload.PauseReading(time.Now().Add(-pause))
-	upload.ResumeReading()
+	upload.MarkReadingPaused(time.Now().Add(-pause))
+	upload.CountReadingPause()
 	if got := upload.SinceLastByte(); got < pause {
 		t.Errorf("got %v since the last byte, want at least the pause of %v", got, pause)
 	}
 	upload.MarkReceived(time.Now().Add(-pause))
-	upload.PauseReading(time.Now().Add(-pause))
-	upload.ResumeReading() // the body was read completely, so this pause does not count
+	upload.MarkReadingPaused(time.Now().Add(-pause))
+	upload.CountReadingPause() // the body was read completely, so this pause does not count
 	if got := upload.SinceLastByte(); got < 2*pause || got >= 3*pause {
 		t.Errorf("got %v since the last byte, want the pause plus the time since the byte was read, %v to %v",
 			got, 2*pause, 3*pause)
--- a/internal/exchange/uploadreader.go
+++ b/internal/exchange/uploadreader.go
@@ -21,7 +21,7 @@
 	defer u.mu.Unlock()
 	switch {
 	case r.Stopped.Load():
-		return 0, ErrNoLongerAwaited
+		return 0, ErrUploadStopped
 	case r.offset == u.bytesRead:
 		n, err = u.readSource(p)
 	case u.Discarded.Load():
@@ -31,7 +31,7 @@
 	}
 	r.offset += int64(n)
 	if r.Stopped.Load() { // the attempt ended during the read; another attempt may read these bytes
-		return 0, ErrNoLongerAwaited
+		return 0, ErrUploadStopped
 	}
 	return n, err
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -119,11 +119,11 @@
 // apply sets the rules of timing, warm-up and overload.
 func (r *rulesDocument) apply(cfg *balance.Config) {
 	cfg.MaxPollInterval = r.MaxPollInterval
-	cfg.WarmUpInitialFraction = valueOr(r.WarmUpFraction, defaultWarmUpFraction)
-	cfg.WarmUpDuration = r.WarmUpDuration
+	cfg.SlowStartInitialFraction = valueOr(r.WarmUpFraction, defaultWarmUpFraction)
+	cfg.SlowStartDuration = r.WarmUpDuration
 	cfg.DrainGrace = r.DrainGrace
-	cfg.OverloadWindow = r.OverloadWindow
-	cfg.OverloadFactor = r.OverloadFactor
+	cfg.SlowStartOverloadWindow = r.OverloadWindow
+	cfg.SlowStartOverloadFactor = r.OverloadFactor
 }
 
 // translate returns the costs of what a sidecar does.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,7 +36,7 @@
 		"tenants": [{"share": 0.4, "allowance_per_s": 10}]}`)
 	if cfg.Seed != 9 || !cfg.PolledDiscovery || cfg.InstanceIndex != 2 || cfg.InstanceCount != 5 ||
 		!read.Limits.Hedging || !cfg.HealthChecks ||
-		cfg.Cancellation || cfg.MaxAttempts != 4 || cfg.WarmUpInitialFraction != 0.2 || cfg.Tenants[0].QuotaShare != 0.4 {
+		cfg.Cancellation || cfg.MaxAttempts != 4 || cfg.SlowStartInitialFraction != 0.2 || cfg.Tenants[0].QuotaShare != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
 	if want := (scoreDocument{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); read.ScoreWeights != want {
@@ -84,7 +84,7 @@
 		read.Limits.MaxOpenRequests != 77 || *read.Limits.StreamsPerConn != 8 {
 		t.Errorf("%+v of %+v", cfg, read)
 	}
-	if read.ScoreWeights.Nines != 0.3 || read.Costs.OpenConnection != 0.02 || cfg.MaxPollInterval != 7000 || cfg.OverloadFactor != 2 {
+	if read.ScoreWeights.Nines != 0.3 || read.Costs.OpenConnection != 0.02 || cfg.MaxPollInterval != 7000 || cfg.SlowStartOverloadFactor != 2 {
 		t.Errorf("%+v", cfg)
 	}
 }
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -57,7 +57,7 @@
 	}
 	s.pool = newPool(cfg, shortenIdleTimeout(cfg))
 	s.loop = eventloop.New(ctx, cfg, s.state, s.counters, log)
-	s.loop.TakeOverFrom(env.predecessor)
+	s.loop.SetPredecessorState(env.predecessor)
 	s.watcher = discovery.NewWatcher(cfg, s.loop)
 	client := upstream.NewClient(s.pool, cfg.LoadReportFields, checkPath(cfg), s.counters)
 	s.loop.Attach(client, s.watcher)
--- a/internal/upgrade/codec.go
+++ b/internal/upgrade/codec.go
@@ -50,21 +50,21 @@
 	Admitted   balance.Milliseconds // LastRequestAt
 
 	Quickest    float64 // MinLatencyRatio
-	Slowness    float64 // LatencyRatio
+	Slowness    float64 // MeanLatencyRatio
 	SlowN       float64 // LatencyRatioSamples
 	LateShare   float64 // LateFraction
-	Answers     float64 // ResponseCount
-	Latest      float64 // LatestResponseCount
+	Answers     float64 // LongTermResponseCount
+	Latest      float64 // ShortTermResponseCount
 	Unconnected float64 // ConnectFailureFraction
 
 	PerHeld balance.Milliseconds // TimePerInFlight
 	HeldN   float64              // TimePerInFlightSamples
 	Busy    float64              // BusyFraction
 	Learned float64              // CapacityUpdates
-	Drift   float64              // CapacityDrift
-	Steady  float64              // SteadyShed
+	Drift   float64              // MeanCapacityStep
+	Steady  float64              // SteadyShedFraction
 
-	Kinds   map[int]float64 // MachineTypes
+	Kinds   map[int]float64 // MachineTypeCapacityLogs
 	Zones   map[int]float64
 	Classes []encodedClass
 	Tenants []float64         // TenantRequests
@@ -87,9 +87,9 @@
 	LastErr   balance.Milliseconds
 	RestUntil balance.Milliseconds // EjectedUntil
 	Errs      int                  // ConsecutiveErrors
-	Rests     int                  // Ejections
+	Rests     int                  // ConsecutiveEjections
 	Downs     int                  // ConnectErrors
-	ColdSince balance.Milliseconds // WarmUpSince
+	ColdSince balance.Milliseconds // SlowStartSince
 	Tokens    float64              // SlowStartTokens
 	TokensAt  balance.Milliseconds // TokensUpdatedAt
 	HeardAt   balance.Milliseconds // LastResponseAt
@@ -179,20 +179,20 @@
 		AnswersAt:   learned.ResponsesCountedAt,
 		Admitted:    learned.LastRequestAt,
 		Quickest:    learned.MinLatencyRatio,
-		Slowness:    learned.LatencyRatio,
+		Slowness:    learned.MeanLatencyRatio,
 		SlowN:       learned.LatencyRatioSamples,
 		LateShare:   learned.LateFraction,
-		Answers:     learned.ResponseCount,
-		Latest:      learned.LatestResponseCount,
+		Answers:     learned.LongTermResponseCount,
+		Latest:      learned.ShortTermResponseCount,
 		Unconnected: learned.ConnectFailureFraction,
 		PerHeld:     learned.TimePerInFlight,
 		HeldN:       learned.TimePerInFlightSamples,
 		Busy:        learned.BusyFraction,
 		Learned:     learned.CapacityUpdates,
-		Drift:       learned.CapacityDrift,
-		Steady:      learned.SteadyShed,
-		Kinds:       learned.MachineTypes,
-		Zones:       learned.Zones,
+		Drift:       learned.MeanCapacityStep,
+		Steady:      learned.SteadyShedFraction,
+		Kinds:       learned.MachineTypeCapacityLogs,
+		Zones:       learned.ZoneCapacityLogs,
 		Tenants:     learned.TenantRequests,
 	}
 	for i := range learned.Classes {
@@ -206,26 +206,26 @@
 
 func (s *encodedLearnedState) decode() balance.LearnedState {
 	learned := balance.LearnedState{
-		StartedAt:              s.Started,
-		LastResponseAt:         s.AnsweredAt,
-		ResponsesCountedAt:     s.AnswersAt,
-		LastRequestAt:          s.Admitted,
-		MinLatencyRatio:        s.Quickest,
-		LatencyRatio:           s.Slowness,
-		LatencyRatioSamples:    s.SlowN,
-		LateFraction:           s.LateShare,
-		ResponseCount:          s.Answers,
-		LatestResponseCount:    s.Latest,
-		ConnectFailureFraction: s.Unconnected,
-		TimePerInFlight:        s.PerHeld,
-		TimePerInFlightSamples: s.HeldN,
-		BusyFraction:           s.Busy,
-		CapacityUpdates:        s.Learned,
-		CapacityDrift:          s.Drift,
-		SteadyShed:             s.Steady,
-		MachineTypes:           s.Kinds,
-		Zones:                  s.Zones,
-		TenantRequests:         s.Tenants,
+		StartedAt:               s.Started,
+		LastResponseAt:          s.AnsweredAt,
+		ResponsesCountedAt:      s.AnswersAt,
+		LastRequestAt:           s.Admitted,
+		MinLatencyRatio:         s.Quickest,
+		MeanLatencyRatio:        s.Slowness,
+		LatencyRatioSamples:     s.SlowN,
+		LateFraction:            s.LateShare,
+		LongTermResponseCount:   s.Answers,
+		ShortTermResponseCount:  s.Latest,
+		ConnectFailureFraction:  s.Unconnected,
+		TimePerInFlight:         s.PerHeld,
+		TimePerInFlightSamples:  s.HeldN,
+		BusyFraction:            s.Busy,
+		CapacityUpdates:         s.Learned,
+		MeanCapacityStep:        s.Drift,
+		SteadyShedFraction:      s.Steady,
+		MachineTypeCapacityLogs: s.Kinds,
+		ZoneCapacityLogs:        s.Zones,
+		TenantRequests:          s.Tenants,
 	}
 	for i := range s.Classes {
 		learned.Classes = append(learned.Classes, s.Classes[i].decode())
@@ -267,9 +267,9 @@
 		LastErr:   endpoint.LastErrorAt,
 		RestUntil: endpoint.EjectedUntil,
 		Errs:      endpoint.ConsecutiveErrors,
-		Rests:     endpoint.Ejections,
+		Rests:     endpoint.ConsecutiveEjections,
 		Downs:     endpoint.ConnectErrors,
-		ColdSince: endpoint.WarmUpSince,
+		ColdSince: endpoint.SlowStartSince,
 		Tokens:    endpoint.SlowStartTokens,
 		TokensAt:  endpoint.TokensUpdatedAt,
 		HeardAt:   endpoint.LastResponseAt,
@@ -285,18 +285,18 @@
 // decode leaves out scores without a time, and times without a score: the state may be corrupt.
 func (e *encodedEndpoint) decode() balance.LearnedEndpoint {
 	endpoint := balance.LearnedEndpoint{
-		ID:                e.ID,
-		CapacityLog:       e.Size,
-		LastErrorAt:       e.LastErr,
-		EjectedUntil:      e.RestUntil,
-		ConsecutiveErrors: e.Errs,
-		Ejections:         e.Rests,
-		ConnectErrors:     e.Downs,
-		WarmUpSince:       e.ColdSince,
-		SlowStartTokens:   e.Tokens,
-		TokensUpdatedAt:   e.TokensAt,
-		LastResponseAt:    e.HeardAt,
-		SlowUntil:         e.SlowUntil,
+		ID:                   e.ID,
+		CapacityLog:          e.Size,
+		LastErrorAt:          e.LastErr,
+		EjectedUntil:         e.RestUntil,
+		ConsecutiveErrors:    e.Errs,
+		ConsecutiveEjections: e.Rests,
+		ConnectErrors:        e.Downs,
+		SlowStartSince:       e.ColdSince,
+		SlowStartTokens:      e.Tokens,
+		TokensUpdatedAt:      e.TokensAt,
+		LastResponseAt:       e.HeardAt,
+		SlowUntil:            e.SlowUntil,
 	}
 	for i := range min(len(e.Scores), len(e.ScoredAt)) {
 		score := balance.LearnedClassScore{Value: e.Scores[i], UpdatedAt: e.ScoredAt[i]}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,16 +14,16 @@
 // Attempt is one attempt of a request at an endpoint. The event loop creates it. The fields of the first group do not
 // change after Client.Do has been called, and any goroutine may read them.
 type Attempt struct {
-	RequestID       balance.RequestID
-	Number          int // index within the request, starting at 0
-	Endpoint        *Endpoint
-	Message         *exchange.Message
-	Deadline        time.Time     // when the attempt times out
-	TimeAfterUpload time.Duration // maximum time from the last byte of a streamed request body to the response
-	Context         context.Context
-	Cancel          context.CancelFunc
-	Observer        Observer
-	LoopDone        <-chan struct{} // closed when the event loop ends
+	RequestID         balance.RequestID
+	Number            int // index within the request, starting at 0
+	Endpoint          *Endpoint
+	Message           *exchange.Message
+	Deadline          time.Time     // when the attempt times out
+	PostUploadTimeout time.Duration // maximum time from the last byte of a streamed request body to the response
+	Context           context.Context
+	Cancel            context.CancelFunc
+	Observer          Observer
+	LoopDone          <-chan struct{} // closed when the event loop ends
 
 	// RequestDone is set by the event loop when the request has its final response: the attempt must send nothing more.
 	RequestDone atomic.Bool
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -35,13 +35,13 @@
 
 // Do makes an attempt and returns its outcome. Unless the response is streamed, it returns no later than the deadline
 // of the attempt, and soon after a cancellation.
-func (c *Client) Do(attempt *Attempt) Ending {
+func (c *Client) Do(attempt *Attempt) Outcome {
 	if attempt.obsolete() {
-		return Ending{Result: balance.NotAttempted}
+		return Outcome{Result: balance.NotAttempted}
 	}
 	conn, err := c.pool.get(attempt.Context, attempt.Endpoint, attempt.Deadline)
 	if err != nil {
-		return Ending{Result: attempt.connectErrorResult(err), Err: err}
+		return Outcome{Result: attempt.connectErrorResult(err), Err: err}
 	}
 	// While the connection was being opened, the client may have disconnected or the endpoint may have begun to drain.
 	// The request must not be executed then. This last check before the first byte asks the kernel about the client,
@@ -49,7 +49,7 @@
 	clientDisconnected := attempt.Message.ClientDisconnected()
 	if clientDisconnected || attempt.mustNotSend() {
 		c.pool.put(conn)
-		return Ending{Result: balance.NotAttempted, ClientDisconnected: clientDisconnected}
+		return Outcome{Result: balance.NotAttempted, ClientDisconnected: clientDisconnected}
 	}
 	result := runInterruptible(attempt.Context, conn, attempt.Deadline, func() exchangeOutcome {
 		return c.exchange(attempt, conn)
@@ -59,7 +59,7 @@
 
 // releaseConn returns a connection to the pool, or closes it if it cannot be reused. It returns the outcome of the
 // exchange.
-func (c *Client) releaseConn(conn *endpointConn, result exchangeOutcome) Ending {
+func (c *Client) releaseConn(conn *endpointConn, result exchangeOutcome) Outcome {
 	if result.connReusable {
 		c.pool.put(conn)
 	} else {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -16,7 +16,7 @@
 	// The event loop owns the next two fields.
 
 	StartedAt balance.Milliseconds // when it last started, on the event loop's clock; 0 if long ago
-	Listed    membership.Endpoint  // its entry in the latest endpoint list that contained it
+	ListEntry membership.Endpoint  // its entry in the latest endpoint list that contained it
 
 	// Address gets a new pointer when the endpoint moves to a new address and whenever it restarts. Connections that were
 	// opened with a previous pointer are stale.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,13 +11,13 @@
 
 // exchangeOutcome describes how an exchange of a request and a response ended.
 type exchangeOutcome struct {
-	outcome      Ending
+	outcome      Outcome
 	connReusable bool // the connection may carry another request
 }
 
 // failedExchange returns the outcome of an exchange without a complete response. Its connection must be closed.
 func failedExchange(result balance.Result, err error) exchangeOutcome {
-	return exchangeOutcome{outcome: Ending{Result: result, Err: err}}
+	return exchangeOutcome{outcome: Outcome{Result: result, Err: err}}
 }
 
 // runInterruptible runs an exchange that may take until the deadline. If ctx is done, it interrupts the exchange: all
@@ -64,7 +64,7 @@
 // body is complete.
 func (c *Client) exchangeUpload(attempt *Attempt, conn *endpointConn) exchangeOutcome {
 	upload := newUploadWriter(attempt.Message.Upload, conn)
-	request := attempt.Message.NewRequest(attempt.TimeAfterUpload, upload.source, upload.source.Length)
+	request := attempt.Message.NewRequest(attempt.PostUploadTimeout, upload.source, upload.source.Length)
 	go upload.run(request, func() { c.uploadSent(attempt, conn) })
 
 	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt: attempt})
@@ -90,7 +90,7 @@
 // uploadSent is called when the last byte of a streamed request body was written. It starts the time limit of the response.
 func (c *Client) uploadSent(attempt *Attempt, conn *endpointConn) {
 	c.metrics.Attempts.Add(1)
-	due := time.Now().Add(attempt.TimeAfterUpload)
+	due := time.Now().Add(attempt.PostUploadTimeout)
 	attempt.setReadDeadline(conn, earlier(attempt.Deadline, due))
 	attempt.Observer.UploadSent(attempt)
 }
@@ -98,7 +98,7 @@
 // handleResponse returns the outcome of an exchange that got a response. If the response is streamed, it returns when the
 // stream has ended.
 func (c *Client) handleResponse(attempt *Attempt, conn *endpointConn, response http1.Response) exchangeOutcome {
-	outcome := Ending{Result: statusResult(response.Head), LoadReport: loadReportFrom(response.Head, c.loadReportFields)}
+	outcome := Outcome{Result: statusResult(response.Head), LoadReport: loadReportFrom(response.Head, c.loadReportFields)}
 	if outcome.Result != balance.OK {
 		return exchangeOutcome{outcome, !response.Streaming && conn.reusableAfter(response)}
 	}
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -15,15 +15,15 @@
 
 // CheckHealth makes a health check of an endpoint and returns its outcome, which has no Response. It takes at most the
 // connect timeout plus healthCheckSlack.
-func (c *Client) CheckHealth(ctx context.Context, endpoint *Endpoint) Ending {
+func (c *Client) CheckHealth(ctx context.Context, endpoint *Endpoint) Outcome {
 	deadline := time.Now().Add(c.pool.connectTimeout + healthCheckSlack)
 	conn, err := c.pool.get(ctx, endpoint, deadline)
 	if err != nil {
-		return Ending{Result: connectErrorResult(ctx, err)}
+		return Outcome{Result: connectErrorResult(ctx, err)}
 	}
 	if endpoint.Closed.Load() { // it began to drain while the connection was being opened
 		c.pool.put(conn)
-		return Ending{Result: balance.NotAttempted}
+		return Outcome{Result: balance.NotAttempted}
 	}
 	result := runInterruptible(ctx, conn, deadline, func() exchangeOutcome { return c.sendHealthCheck(conn) })
 	return c.releaseConn(conn, result)
@@ -42,8 +42,8 @@
 }
 
 // healthCheckOutcome returns the outcome of a health check. The load report is in the header or the body of the response.
-func (c *Client) healthCheckOutcome(response http1.Response) Ending {
-	outcome := Ending{Result: balance.ServerError, LoadReport: loadReportFrom(response.Head, c.loadReportFields)}
+func (c *Client) healthCheckOutcome(response http1.Response) Outcome {
+	outcome := Outcome{Result: balance.ServerError, LoadReport: loadReportFrom(response.Head, c.loadReportFields)}
 	if outcome.LoadReport == nil {
 		outcome.LoadReport = parseLoadReport(string(response.Body), c.loadReportFields)
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -58,7 +58,7 @@
 }
 
 // expectResult makes an attempt, checks its result and returns its outcome.
-func expectResult(t *testing.T, client *Client, attempt *Attempt, want balance.Result) Ending {
+func expectResult(t *testing.T, client *Client, attempt *Attempt, want balance.Result) Outcome {
 	t.Helper()
 	outcome := client.Do(attempt)
 	attempt.Cancel()
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -17,7 +17,7 @@
 //	the event loop or the client cancelled the attempt           Cancelled       possibly
 //	any other status except 200                                  ServerError     possibly
 //	a complete response with status 200                          OK              yes
-type Ending struct {
+type Outcome struct {
 	Result             balance.Result
 	Response           *exchange.Response // set if Result is OK and the response was not streamed
 	LoadReport         []float32          // in the order of the configured fields; nil if missing or invalid
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -95,7 +95,7 @@
 func (w *uploadWriter) writeLocked(p []byte) error {
 	w.conn.SetWriteDeadline(time.Now().Add(exchange.StallTimeout))
 	if w.stopped.Load() { // checked after the deadline is set, because stop sets the flag before its past deadline
-		return exchange.ErrNoLongerAwaited
+		return exchange.ErrUploadStopped
 	}
 	_, err := w.conn.Write(p)
 	return err
@@ -113,17 +113,17 @@
 
 // incompleteOutcome returns the outcome of an attempt whose upload was stopped before the last byte was written. err is the
 // error from reading the response.
-func (w *uploadWriter) incompleteOutcome(attempt *Attempt, err error) Ending {
+func (w *uploadWriter) incompleteOutcome(attempt *Attempt, err error) Outcome {
 	if attempt.Context.Err() != nil {
-		return Ending{Result: balance.Cancelled}
+		return Outcome{Result: balance.Cancelled}
 	}
 	select {
 	case <-w.done:
 		var clientError exchange.ClientError
 		if errors.As(w.err, &clientError) {
-			return Ending{Result: balance.NotAttempted, UploadError: clientError, Err: w.err}
+			return Outcome{Result: balance.NotAttempted, UploadError: clientError, Err: w.err}
 		}
 	case <-time.After(earlyResponseGrace): // the writer still waits for the client, and ends when more of the body arrives
 	}
-	return Ending{Result: balance.ConnectFailed, Err: err}
+	return Outcome{Result: balance.ConnectFailed, Err: err}
 }
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -72,7 +72,7 @@
 		Conn: conn, reader: http1.NewResponseReader(conn), endpoint: endpoint, address: endpoint.Address.Load(),
 	})
 	attempt := newAttempt(endpoint, sidecartest.Timeout)
-	attempt.TimeAfterUpload = sidecartest.Timeout
+	attempt.PostUploadTimeout = sidecartest.Timeout
 	text := strings.Repeat("a", uploadPrefixBytes) + string(uploadLastByte)
 	attempt.Message.Body, attempt.Message.Upload = nil, &exchange.Upload{
 		Length: int64(len(text)), Source: strings.NewReader(text), SetReadTimeout: func(time.Duration) {},
@@ -123,7 +123,7 @@
 // TestUploadWithoutClientWithholdsLastByte checks that the last byte of a body is not sent if the client no longer
 // waits for the response when the body is complete, and that the outcome contains the reason.
 func TestUploadWithoutClientWithholdsLastByte(t *testing.T) {
-	for _, err := range []error{downstream.ErrClientDisconnected, downstream.ErrSurplus, exchange.ErrNoLongerAwaited} {
+	for _, err := range []error{downstream.ErrClientDisconnected, downstream.ErrSurplus, exchange.ErrUploadStopped} {
 		server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 		client := newTestClient(t, testMaxConns)
 		unwrapped := func(tcp *net.TCPConn) net.Conn { return tcp }
