--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -3,29 +3,30 @@
 import "math"
 
 const (
-	// capacityRegression pulls learned capacities towards 1, by this part of the gain: errors in one
-	// direction would otherwise add up.
+	// capacityRegression is the rate at which learned factors return to 1, relative to the gain. Without it,
+	// errors in one direction would add up.
 	capacityRegression = 0.1
 	// maxCapacityLog bounds the logarithm of each capacity factor.
 	maxCapacityLog = 2.5
-	// errorLatencyRatio is the latency, relative to the class's mean, that an error counts as.
+	// errorLatencyRatio is the latency that an error counts as, relative to the mean latency of its class.
 	errorLatencyRatio = 3
-	// minCapacityStep bounds the step that a single slow response causes.
+	// minCapacityStep limits the negative step that a single slow response causes, before the gain.
 	minCapacityStep = -2
-	// capacityDriftGain is the gain of the mean step, relative to the gain of a step.
+	// capacityDriftGain is the gain of the mean step, relative to the gain of a capacity factor.
 	capacityDriftGain = 0.5
-	// ownCapacityGain is the gain of the factors of an endpoint and of its zone, relative to that of its
-	// machine type.
+	// ownCapacityGain is the gain of the factors of an endpoint and its zone, relative to the gain of the
+	// factor of its machine type.
 	ownCapacityGain = 0.5
 )
 
-// capacityFactor is a learned factor of an endpoint's capacity. The factor is cached, as each pick reads it.
+// capacityFactor is a learned factor of an endpoint's capacity. The factor is cached, because each pick reads
+// it.
 type capacityFactor struct{ logarithm, factor float64 }
 
 // newCapacityFactor returns the factor 1.
 func newCapacityFactor() capacityFactor { return capacityFactor{factor: 1} }
 
-// adjust moves the logarithm of the factor by a step, and towards 0.
+// adjust adds a step to the logarithm of the factor, after it moves the logarithm towards 0.
 func (f *capacityFactor) adjust(step, gain float64) {
 	f.set(clamp(f.logarithm*(1-capacityRegression*gain)+step, -maxCapacityLog, maxCapacityLog))
 }
@@ -35,15 +36,15 @@
 	f.factor = math.Exp(logarithm)
 }
 
-// capacityLearner turns latencies into steps of capacity factors. What all endpoints have in common is
-// load, not capacity: the mean step is subtracted.
+// capacityLearner computes the steps of capacity factors from latencies. It subtracts the mean step, because
+// a change that all endpoints have in common is a change of load, not of capacity.
 type capacityLearner struct {
-	updates float64 // number of steps; handed over, but no decision uses it
-	drift   float64 // mean step
+	updates float64 // number of steps; part of the learned state, but no decision uses it
+	drift   float64 // recent mean step
 }
 
-// step returns the step of the capacity factors for a latency, relative to the mean of its class. gain is
-// its weight.
+// step returns the step of the capacity factors for one latency. latencyRatio is the latency relative to the
+// mean of its class, and gain is the weight of the sample.
 func (l *capacityLearner) step(latencyRatio, gain float64) float64 {
 	step := max(minCapacityStep, 1-latencyRatio)
 	l.updates++
@@ -51,9 +52,9 @@
 	return gain * (step - l.drift)
 }
 
-// learnCapacity adjusts the capacity factors of an endpoint, its machine type and its zone, so that
-// responses take equally long everywhere. latencyRatio is relative to the mean of the class. An endpoint
-// that warms up is slow for another reason, and teaches nothing.
+// learnCapacity adjusts the capacity factors of an endpoint, its machine type and its zone, so that all
+// endpoints respond equally fast. latencyRatio is the latency relative to the mean of its class. Endpoints in
+// slow start are ignored, because they are slow for another reason.
 func (b *Balancer) learnCapacity(ep *endpoint, latencyRatio float64) {
 	if b.warmingUp(ep) {
 		return
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -1,16 +1,17 @@
 package balance
 
-// endpoint is the state that this sidecar keeps for one endpoint. Each part belongs to the file of its type.
+// endpoint is the state that this sidecar keeps for one endpoint. Each part is maintained in the file that
+// declares its type.
 type endpoint struct {
-	Endpoint // as last listed
+	Endpoint // from the last endpoint list
 
 	rotation  rotationEntry
 	candidate candidateState
 	sticky    stickyState
 
-	ownCapacity capacityFactor  // of the endpoint alone
-	machineType *capacityFactor // shared by the endpoints of its machine type
-	zone        *zone           // shared by the endpoints of its zone
+	ownCapacity capacityFactor  // of this endpoint only
+	machineType *capacityFactor // shared by all endpoints of its machine type
+	zone        *zone           // shared by all endpoints of its zone
 
 	load        endpointLoad
 	activity    endpointActivity
@@ -30,7 +31,7 @@
 	}
 }
 
-// ratingOrDefault returns the rating, or 1 if it is unknown.
+// ratingOrDefault returns the rating of the endpoint, or 1 if discovery gives none.
 func (ep *endpoint) ratingOrDefault() float64 {
 	if ep.Rating > 0 {
 		return ep.Rating
@@ -38,11 +39,11 @@
 	return 1
 }
 
-// endpointActivity holds when this sidecar and an endpoint last exchanged something.
+// endpointActivity holds the times of the last exchanges between this sidecar and an endpoint.
 type endpointActivity struct {
-	lastSendAt            Milliseconds // when the last attempt was sent; never: no connection is open
-	lastResponseAt        Milliseconds // when the last response or load report arrived
-	newestRespondedSentAt Milliseconds // when the newest of the attempts with a response was sent
+	lastSendAt            Milliseconds // when the last attempt was sent; never: no attempt was sent
+	lastResponseAt        Milliseconds // when the endpoint last responded to an attempt or health check
+	newestRespondedSentAt Milliseconds // latest send time of all attempts with a successful response
 }
 
 // recordResponseTo records a successful response to an attempt that was sent at sentAt.
@@ -50,7 +51,8 @@
 	a.newestRespondedSentAt = max(a.newestRespondedSentAt, sentAt)
 }
 
-// mayBeConnected reports whether a connection to the endpoint is probably open.
+// mayBeConnected reports whether a connection to the endpoint is probably open, because the last attempt was
+// sent within the idle timeout of connections.
 func (a *endpointActivity) mayBeConnected(now, connIdleTimeout Milliseconds) bool {
 	return a.lastSendAt <= now && now < a.lastSendAt+connIdleTimeout
 }
--- a/balance/endpointload.go
+++ b/balance/endpointload.go
@@ -1,26 +1,27 @@
 package balance
 
-// unknownInFlight stands for a number of requests in flight that no fresh load report gives.
+// unknownInFlight is the number of requests in flight of an endpoint without a fresh load report.
 const unknownInFlight = -1
 
-// endpointLoad is the load of one endpoint: the attempts of this sidecar in flight, and the last load
-// report. An attempt counts as 1 / latency objective in perObjective: by Little's law, the sum is the rate
-// of responses that keeps all objectives.
+// endpointLoad is the load of one endpoint: the attempts of this sidecar in flight, and the last load report.
+// By Little's law, the sum of 1 / latency objective over the attempts in flight is the response rate that is
+// required to meet all latency objectives.
 type endpointLoad struct {
-	inFlight         int     // attempts of this sidecar in flight
-	perObjective     float64 // sum over these attempts, but for the overdue ones, of 1 / latency objective
-	reportedInFlight float64 // requests in flight according to the last load report
-	reportedAt       Milliseconds
-	sentSinceReport  float64 // attempts of this sidecar since the last load report
+	inFlight         int          // attempts of this sidecar in flight
+	perObjective     float64      // required response rate per millisecond, without overdue attempts
+	reportedInFlight float64      // requests in flight according to the last load report
+	reportedAt       Milliseconds // when the last load report arrived; 0: none has arrived
+	sentSinceReport  float64      // attempts of this sidecar since the last load report
 }
 
-// loadTracker moves attempts in and out of the load. Attempts that take far longer than is usual in their
-// class are overdue load, which may be lost.
+// loadTracker adds attempts to the load of their endpoints and removes them. The load of overdue attempts,
+// which take far longer than is usual in their class and may be lost, is tracked separately for all endpoints
+// together.
 type loadTracker struct {
-	overdue float64 // sum over overdue attempts of 1 / latency objective
+	overdue float64 // required response rate of the overdue attempts, per millisecond
 }
 
-// add counts an attempt as load of its endpoint.
+// add adds an attempt to the load of its endpoint.
 func (t *loadTracker) add(req *request, attempt *attempt) {
 	if attempt.countedAsLoad {
 		return
@@ -29,30 +30,31 @@
 	attempt.endpoint.load.perObjective += 1 / float64(req.class.LatencyObjective)
 }
 
-// remove takes an attempt out of the load that it is counted in.
+// remove removes an attempt from the load of its endpoint or from the overdue load.
 func (t *loadTracker) remove(req *request, attempt *attempt) {
 	if !attempt.countedAsLoad {
 		return
 	}
-	share := 1 / float64(req.class.LatencyObjective)
+	rate := 1 / float64(req.class.LatencyObjective)
 	if attempt.overdue {
-		attempt.endpoint.load.perObjective += share
-		t.overdue -= share
+		attempt.endpoint.load.perObjective += rate
+		t.overdue -= rate
 	}
 	attempt.countedAsLoad = false
-	attempt.endpoint.load.perObjective -= share
+	attempt.endpoint.load.perObjective -= rate
 }
 
 // markOverdue moves an attempt from the load of its endpoint to the overdue load.
 func (t *loadTracker) markOverdue(req *request, attempt *attempt) {
-	share := 1 / float64(req.class.LatencyObjective)
+	rate := 1 / float64(req.class.LatencyObjective)
 	attempt.overdue = true
-	attempt.endpoint.load.perObjective -= share
-	t.overdue += share
+	attempt.endpoint.load.perObjective -= rate
+	t.overdue += rate
 }
 
-// inFlightLoad returns the load of all endpoints. Attempts at endpoints that were ejected and have had no
-// success since say nothing about the others.
+// inFlightLoad returns the total load of the endpoints, as a required response rate per millisecond. It
+// excludes endpoints that were ejected and have had no success since, and zones in an outage, because
+// attempts there say nothing about the load of the other endpoints.
 func (b *Balancer) inFlightLoad() float64 {
 	load := 0.0
 	for _, ep := range b.endpoints.list {
@@ -63,7 +65,7 @@
 	return load
 }
 
-// recordLoadReport stores the number of requests in flight from a load report.
+// recordLoadReport records the number of requests in flight if a load report contains it.
 func (b *Balancer) recordLoadReport(ep *endpoint, report []float32) {
 	for i, field := range b.cfg.LoadReportFields {
 		if i < len(report) && field == LoadFieldInFlight {
@@ -75,7 +77,8 @@
 	}
 }
 
-// hasFreshReport reports whether the last load report of an endpoint is still valid.
+// hasFreshReport reports whether the last load report of an endpoint is still valid. Reports that arrive with
+// responses are not used, because they describe only the endpoint that responded.
 func (b *Balancer) hasFreshReport(ep *endpoint) bool {
 	if ep.load.reportedAt <= 0 || b.cfg.LoadReports != LoadReportsPolled {
 		return false
@@ -83,8 +86,8 @@
 	return b.now-ep.load.reportedAt <= reportLifetimeObjectives*b.longestObjective
 }
 
-// estimatedInFlight returns the best estimate of an endpoint's requests in flight: a fresh load report and
-// the attempts since then, or otherwise the attempts of this sidecar.
+// estimatedInFlight returns an estimate of an endpoint's requests in flight: those in a fresh load report
+// plus the attempts sent since then, or without a fresh report the attempts of this sidecar in flight.
 func (b *Balancer) estimatedInFlight(ep *endpoint) float64 {
 	if b.hasFreshReport(ep) {
 		return ep.load.reportedInFlight + ep.load.sentSinceReport
@@ -92,33 +95,35 @@
 	return float64(ep.load.inFlight)
 }
 
-// reportedLoadObjective is the time in which an endpoint must be able to respond by its load report, in
-// latency objectives.
-const reportedLoadObjective = 0.75
+// overloadedAfterObjectives is the estimated response time, in latency objectives since the arrival of the
+// request, above which an endpoint is overloaded for a first attempt.
+const overloadedAfterObjectives = 0.75
 
-// overloaded reports whether an endpoint would respond to a first attempt too late, by its load report. If
-// the best endpoint is overloaded, all are.
+// overloaded reports whether an endpoint would probably respond too late to a first attempt, according to a
+// fresh load report. Endpoints that are not overloaded precede all others, so if the picked endpoint is
+// overloaded, all candidates are.
 func (b *Balancer) overloaded(req *request, ep *endpoint) bool {
 	if len(req.attempts) > 0 || !b.hasFreshReport(ep) {
 		return false
 	}
 	responseAt := b.now + b.timePerInFlight.mean.scaled(b.estimatedInFlight(ep)+1)
-	return responseAt > req.arrivedAt+reportedLoadObjective*req.class.LatencyObjective
+	return responseAt > req.arrivedAt+overloadedAfterObjectives*req.class.LatencyObjective
 }
 
-// inFlightTime is the mean time that an endpoint needs for each request in flight: the latency of an
-// attempt, divided by the requests in flight at its endpoint, the attempt included.
+// timePerInFlight estimates the time that an endpoint needs for each of its requests in flight: the mean of
+// an attempt's latency divided by the requests in flight at its endpoint, including the attempt.
 type inFlightTime struct {
 	mean    Milliseconds
-	samples float64 // up to averagingSamples; the initial guess counts as one
+	samples float64 // number of samples, up to averagingSamples; the initial estimate counts as one
 }
 
-// newInFlightTime returns the initial guess.
+// newTimePerInFlight returns the initial estimate.
 func newInFlightTime(longestObjective Milliseconds) inFlightTime {
 	return inFlightTime{mean: longestObjective.scaled(initialLatencyRatio), samples: 1}
 }
 
-// record adds the latency of an attempt, unless the requests in flight before it are unknown.
+// record adds the latency of an attempt. inFlightBefore is the number of requests in flight at the endpoint
+// before the attempt; the sample is ignored if that is unknownInFlight.
 func (t *inFlightTime) record(latency Milliseconds, inFlightBefore float64) {
 	if inFlightBefore < 0 {
 		return
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// endpointSet holds the endpoints of the endpoint list, and what endpoints of one machine type or zone
-// share. Machine types and zones stay when their last endpoint goes.
+// endpointSet holds the listed endpoints, and the state that the endpoints of a machine type or a zone share.
+// This shared state is kept when the last endpoint of the machine type or zone is removed.
 type endpointSet struct {
-	list         []*endpoint // by ID
+	list         []*endpoint // sorted by ID
 	byID         map[EndpointID]*endpoint
 	machineTypes map[int]*capacityFactor
 	zones        map[int]*zone
 }
 
+// newEndpointSet returns an empty set.
 func newEndpointSet() endpointSet {
 	return endpointSet{
 		byID:         map[EndpointID]*endpoint{},
@@ -22,7 +23,7 @@
 	}
 }
 
-// ensureMachineType returns the capacity factor of a machine type. It adds the type if it is new.
+// ensureMachineType returns the capacity factor of a machine type. It adds the machine type if it is new.
 func (s *endpointSet) ensureMachineType(number int) *capacityFactor {
 	if s.machineTypes[number] == nil {
 		factor := newCapacityFactor()
@@ -39,7 +40,7 @@
 	return s.zones[number]
 }
 
-// ensureEndpoint returns the endpoint of a list entry. It adds the endpoint if it is new.
+// ensureEndpoint returns the endpoint with the given ID. It adds the endpoint if it is new.
 func (s *endpointSet) ensureEndpoint(id EndpointID, classCount int) *endpoint {
 	ep := s.byID[id]
 	if ep == nil {
@@ -50,7 +51,7 @@
 	return ep
 }
 
-// markUnlistedGone marks the endpoints that a complete endpoint list does not contain as gone.
+// markUnlistedGone marks all endpoints as gone that a complete endpoint list does not contain.
 func (s *endpointSet) markUnlistedGone(entries []Endpoint) {
 	listed := make(map[EndpointID]bool, len(entries))
 	for i := range entries {
@@ -63,7 +64,7 @@
 	}
 }
 
-// removeGone removes the endpoints that are gone and sorts the others by ID.
+// removeGone removes the endpoints that are gone and sorts the remaining ones by ID.
 func (s *endpointSet) removeGone() {
 	s.list = slices.DeleteFunc(s.list, func(ep *endpoint) bool {
 		if ep.State == Gone {
@@ -74,7 +75,7 @@
 	slices.SortFunc(s.list, func(left, right *endpoint) int { return cmp.Compare(left.ID, right.ID) })
 }
 
-// onEndpointUpdate applies an update from discovery.
+// onEndpointUpdate applies an endpoint list from discovery, or schedules another poll after a failed one.
 func (b *Balancer) onEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
 		b.retryPoll()
@@ -95,7 +96,8 @@
 	b.endpoints.removeGone()
 }
 
-// updateEndpoint applies one entry of the endpoint list. A restart clears the errors of the endpoint.
+// updateEndpoint applies one entry of the endpoint list. If the endpoint has restarted, its errors are
+// cleared and its slow start begins.
 func (b *Balancer) updateEndpoint(entry *Endpoint) {
 	ep := b.endpoints.ensureEndpoint(entry.ID, len(b.cfg.Classes))
 	if entry.StartedAt > ep.StartedAt {
@@ -107,8 +109,8 @@
 	ep.zone = b.endpoints.ensureZone(ep.Zone)
 }
 
-// UnavailableCount returns the number of listed endpoints that are draining, ejected or in a zone outage at a
-// time, or whose last health check failed.
+// UnavailableCount returns the number of listed endpoints that are unavailable at the given time: they are
+// draining, ejected or in a zone outage, or their last health check failed.
 func (b *Balancer) UnavailableCount(now Milliseconds) int {
 	count := 0
 	for _, ep := range b.endpoints.list {
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -6,55 +6,57 @@
 )
 
 const (
-	// healthCheckBudget is the part of the result that the health checks of a request may cost.
+	// healthCheckBudget is the maximum cost of the health checks for one request, in the unit of Costs.
 	healthCheckBudget = 0.03
-	// minHealthCheckCost keeps the number of affordable health checks finite.
+	// minHealthCheckCost keeps the number of affordable health checks finite if they have no cost.
 	minHealthCheckCost = 1e-3
-	// reportLifetimeObjectives is how long load reports are valid, and how long a first attempt waits for
+	// reportLifetimeObjectives is how long a load report is valid, and how long a first attempt waits for
 	// health checks, in latency objectives.
 	reportLifetimeObjectives = 0.05
-	// allBusyProbability is the probability that all checked endpoints are busy at which no more are checked.
+	// allBusyProbability is the accepted probability that all checked endpoints are busy.
 	allBusyProbability = 0.01
 	// minBusyFraction and maxBusyFraction keep the logarithm of the busy fraction finite and below 0.
 	minBusyFraction = 0.01
 	maxBusyFraction = 0.99
-	// duplicateTolerance is how much the send times of the same health check may differ by rounding.
-	duplicateTolerance Milliseconds = 1
+	// checkSentAtTolerance is the largest difference by rounding between the recorded send time of a health
+	// check and the send time computed from the duration in its result.
+	checkSentAtTolerance Milliseconds = 1
 )
 
-// healthCheckState is an endpoint's last health check.
+// healthCheckState is the state of an endpoint's last health check.
 type healthCheckState struct {
-	pending bool
+	pending bool // the result has not arrived
 	sentAt  Milliseconds
 }
 
-// candidateChecks holds what the health checks before first attempts need.
+// candidateChecks holds the state of the health checks that precede first attempts.
 type candidateChecks struct {
-	busyFraction float64    // recent fraction of checked endpoints that had requests in flight
+	busyFraction float64    // recent fraction of load reports with requests in flight
 	awaiting     []*request // requests that wait for health checks
 }
 
-// recordReport adds a load report to the fraction of busy endpoints.
+// recordReport adds a load report to the busy fraction.
 func (c *candidateChecks) recordReport(inFlight float64) {
 	c.busyFraction += (min(inFlight, 1) - c.busyFraction) / averagingSamples
 }
 
-// count returns the number of endpoints to check, so that they are hardly ever all busy. The cost of a
-// health check limits it.
-func (c *candidateChecks) count(cost float64) int {
+// endpointsToCheck returns the number of endpoints to check for a request: enough that one of them is very
+// probably idle, within healthCheckBudget. cost is the cost of one health check.
+func (c *candidateChecks) endpointsToCheck(cost float64) int {
 	affordable := healthCheckBudget / max(cost, minHealthCheckCost)
 	busyFraction := clamp(c.busyFraction, minBusyFraction, maxBusyFraction)
 	needed := math.Ceil(math.Log(allBusyProbability) / math.Log(busyFraction))
 	return int(min(affordable, needed))
 }
 
-// checkCandidates checks the endpoints that are next in the rotation before a first attempt, where only
-// health checks report the load.
+// checkCandidates sends health checks to the endpoints that are next in the rotation before the first attempt
+// of a request, if load reports arrive only with health checks.
 func (b *Balancer) checkCandidates(req *request) {
 	if !b.cfg.HealthChecks || b.cfg.LoadReports != LoadReportsPolled {
 		return
 	}
-	for count := b.checks.count(b.cfg.Costs.HealthCheck); len(req.checkedEndpoints) < count; {
+	count := b.checks.endpointsToCheck(b.cfg.Costs.HealthCheck)
+	for len(req.checkedEndpoints) < count {
 		next := b.nextToCheck(req)
 		if next == nil {
 			break
@@ -70,7 +72,8 @@
 	}
 }
 
-// nextToCheck returns the unchecked endpoint that is next in the rotation, or nil.
+// nextToCheck returns the available endpoint with the highest rotation credit that is not yet checked for the
+// request, or nil if there is none.
 func (b *Balancer) nextToCheck(req *request) *endpoint {
 	var next *endpoint
 	for _, ep := range b.endpoints.list {
@@ -84,12 +87,14 @@
 	return next
 }
 
+// sendHealthCheck sends a health check to an endpoint.
 func (b *Balancer) sendHealthCheck(ep *endpoint) {
 	ep.healthCheck = healthCheckState{pending: true, sentAt: b.now}
 	b.emit(Action{Kind: CheckHealth, Endpoint: ep.ID})
 }
 
-// onHealthCheckResult handles the result of a health check.
+// onHealthCheckResult handles the result of a health check. It ejects the endpoint if the check failed and
+// the endpoint has not responded to anything since the result was due.
 func (b *Balancer) onHealthCheckResult(ev HealthCheckResult) {
 	ep := b.endpoints.byID[ev.Endpoint]
 	if ep == nil {
@@ -104,25 +109,25 @@
 		}
 		b.recordResponse(ep)
 	case ev.Result == ConnReset || ev.Result == NotAttempted:
-		// The connection broke, or there was none: another connection may work.
+		// The connection broke or was never opened; another connection may work.
 	case b.respondedSinceCheck(ep, sentAt): // only the health check was lost
-		if ep.healthCheck.sentAt > sentAt+duplicateTolerance { // a later one is pending
+		if ep.healthCheck.sentAt > sentAt+checkSentAtTolerance { // a later health check is pending
 			return
 		}
-	default: // nothing reaches it from here, or it reports that it is not healthy
+	default: // the endpoint is unreachable from here, or reports that it is not healthy
 		ep.outlier.failHealthCheck(b.now, b.longestObjective)
 	}
 	ep.healthCheck.pending = false
 	b.resumeAwaitingChecks()
 }
 
-// respondedSinceCheck reports whether an endpoint responded after the result of a health check was due. The
-// endpoint is reachable then, even if the result never arrived.
-func (b *Balancer) respondedSinceCheck(ep *endpoint, checkedAt Milliseconds) bool {
-	return ep.activity.lastResponseAt > checkedAt+reportLifetimeObjectives*b.longestObjective
+// respondedSinceCheck reports whether an endpoint has responded after the result of a health check that was
+// sent at checkSentAt was due. Then the endpoint is reachable, even if the result never arrived.
+func (b *Balancer) respondedSinceCheck(ep *endpoint, checkSentAt Milliseconds) bool {
+	return ep.activity.lastResponseAt > checkSentAt+reportLifetimeObjectives*b.longestObjective
 }
 
-// checksDone reports whether a request need not wait for its health checks any more.
+// checksDone reports whether a request no longer has to wait for its health checks.
 func (b *Balancer) checksDone(req *request) bool {
 	if b.now >= req.awaitChecksUntil {
 		return true
@@ -131,7 +136,8 @@
 	return !slices.ContainsFunc(req.checkedEndpoints, pending)
 }
 
-// resumeAwaitingChecks advances the requests that wait for health checks. It keeps those that still do.
+// resumeAwaitingChecks advances the requests that wait for health checks, and keeps those that still have to
+// wait.
 func (b *Balancer) resumeAwaitingChecks() {
 	waiting := b.checks.awaiting
 	b.checks.awaiting = waiting[:0]
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// boundedLoadFactor bounds the load (consistent hashing with bounded loads, applied to the rotation): an
-// endpoint above this part of its share of the requests in flight is passed over. The bound is rounded up, so
-// that each endpoint may have one.
+// boundedLoadFactor limits the load of an endpoint, as in consistent hashing with bounded loads: an endpoint
+// is avoided if an attempt would raise its requests in flight above this fraction of its share of all
+// requests in flight. The limit is rounded up, so that each endpoint may have at least one request in flight.
 const boundedLoadFactor = 0.4
 
-// Running values, in turns, stay within these bounds: an endpoint that is passed over for long is not owed
-// more.
+// Limits of an endpoint's rotation credit, in attempts. An endpoint that is not picked for a long time does
+// not accumulate more credit than this.
 const (
-	minRotationValue = -1
-	maxRotationValue = 1
+	minRotationCredit = -1
+	maxRotationCredit = 1
 )
 
-// ejectionPolicy says whether ejected endpoints are candidates.
+// ejectionPolicy determines whether ejected endpoints are candidates.
 type ejectionPolicy bool
 
 const (
@@ -22,52 +22,54 @@
 	includeEjected ejectionPolicy = true
 )
 
-// rotation is the state of the smooth weighted round robin that is not of a single endpoint.
+// rotation is the state of the smooth weighted round robin that all endpoints share.
 type rotation struct {
-	level        float64 // running value of the last endpoint picked
-	poolCapacity float64 // sum of the capacities of all candidates of the last first attempt
+	level         float64 // credit of the last picked endpoint, before the attempt was charged
+	totalCapacity float64 // total capacity of the eligible endpoints at the last first attempt
 }
 
-// rotationEntry is an endpoint's place in the rotation.
+// rotationEntry is the state of one endpoint in the smooth weighted round robin. Each first attempt
+// distributes a credit of 1 among the candidates in proportion to their weights, and each attempt costs its
+// endpoint a credit of 1. The candidate with the highest credit is next.
 type rotationEntry struct {
-	value            float64 // running value, in turns
-	active           bool    // value has its random start
-	enteredWarmingUp bool    // ... which it got during the warm-up
+	value                  float64 // credit, in attempts
+	active                 bool    // the credit has its random initial value
+	initializedInSlowStart bool    // the endpoint was in slow start when the credit was initialized
 }
 
-// leave makes the endpoint enter the rotation anew at the next pick.
-func (e *rotationEntry) leave() { e.active = false }
+// reset makes the next pick initialize the credit again.
+func (e *rotationEntry) reset() { e.active = false }
 
-// pickTotals sums up the candidates of a pick.
+// pickTotals holds totals over the candidates of a pick.
 type pickTotals struct {
 	weight            float64
-	inFlightPerWeight float64 // bound of a candidate's requests in flight, per unit of its weight
+	inFlightPerWeight float64 // limit of a candidate's requests in flight, per unit of its weight
 }
 
-// rankedCandidate is an endpoint that may get an attempt.
+// rankedCandidate is a candidate with the result of shouldAvoid.
 type rankedCandidate struct {
 	*endpoint
-	overLimit bool // it has more than its part of the requests in flight, or its load is not known
+	avoided bool // picked only if all candidates are to be avoided
 }
 
-// pick chooses the endpoint of an attempt, or nil: by smooth weighted round robin for a first attempt, and
-// for a retry the healthiest untried endpoint of those below their limit. Both are charged to the
-// endpoint's running value.
+// pick returns the endpoint for the next attempt, or nil if there is none. A first attempt follows the smooth
+// weighted round robin. A retry goes to the healthiest endpoint that the request has not tried, if possible
+// to one that need not be avoided. Both cost the endpoint rotation credit.
 func (b *Balancer) pick(req *request, kind attemptKind) *endpoint {
 	totals := b.updateRotation(req, kind, excludeEjected)
-	if totals.weight == 0 { // all are ejected: the cause is probably not in the endpoints
+	if totals.weight == 0 { // if all endpoints are ejected, the cause is probably not in the endpoints
 		totals = b.updateRotation(req, kind, includeEjected)
 	}
 	best := b.bestCandidate(req, kind, totals)
 	if best != nil {
-		value := b.rotationValue(req, best)
-		b.rotation.level = *value
-		*value = max(*value-1, minRotationValue)
+		credit := b.rotationCredit(req, best)
+		b.rotation.level = *credit
+		*credit = max(*credit-1, minRotationCredit)
 	}
 	return best
 }
 
-// bestCandidate returns the candidate that precedes all others, or nil.
+// bestCandidate returns the candidate that precedes all others, or nil if no candidate may get an attempt.
 func (b *Balancer) bestCandidate(req *request, kind attemptKind, totals pickTotals) *endpoint {
 	policy := b.slowStartPolicy(req)
 	var best rankedCandidate
@@ -75,7 +77,7 @@
 		if ep.candidate.weight == 0 || !b.slowStartAllows(ep, policy) {
 			continue
 		}
-		next := rankedCandidate{endpoint: ep, overLimit: b.overLimit(req, ep, totals)}
+		next := rankedCandidate{endpoint: ep, avoided: b.shouldAvoid(req, ep, totals)}
 		if best.endpoint == nil || b.precedes(req, kind, next, best) {
 			best = next
 		}
@@ -83,22 +85,23 @@
 	return best.endpoint
 }
 
-// overLimit reports whether an endpoint is to be passed over, because it is slow, hangs or is overloaded,
-// or because its load is not known. It keeps its running value.
-func (b *Balancer) overLimit(req *request, ep *endpoint, totals pickTotals) bool {
-	bound := math.Ceil(totals.inFlightPerWeight * ep.candidate.weight)
-	withinBound := b.estimatedInFlight(ep)+1 <= bound
-	return !ep.candidate.loadKnown || ep.healthCheck.pending || !withinBound || b.overloaded(req, ep)
+// shouldAvoid reports whether other candidates should get the attempt: the endpoint has too many requests in
+// flight, as when it is slow or hangs, its health check is pending, it is overloaded, or its load is not
+// known. The endpoint keeps its rotation credit meanwhile.
+func (b *Balancer) shouldAvoid(req *request, ep *endpoint, totals pickTotals) bool {
+	limit := math.Ceil(totals.inFlightPerWeight * ep.candidate.weight)
+	withinLimit := b.estimatedInFlight(ep)+1 <= limit
+	return !ep.candidate.loadKnown || ep.healthCheck.pending || !withinLimit || b.overloaded(req, ep)
 }
 
-// updateRotation sets the weights, and adds to each candidate's running value its part of the total weight.
+// updateRotation computes the weights of all endpoints and, for a first attempt, distributes rotation credit.
 func (b *Balancer) updateRotation(req *request, kind attemptKind, policy ejectionPolicy) pickTotals {
 	b.updateMeanScore(req)
 	fleet := b.updateWeights(req, policy)
 	if kind == firstAttempt && fleet.capacity > 0 {
-		b.rotation.poolCapacity = fleet.capacity // before any slow-start tokens depend on it
+		b.rotation.totalCapacity = fleet.capacity // updateCandidates uses it to refill slow-start tokens
 	}
-	b.prepareCandidates(fleet)
+	b.updateCandidates(fleet)
 	if kind == firstAttempt {
 		b.restrictToStickyEndpoints(req)
 	}
@@ -116,44 +119,47 @@
 	return totals
 }
 
-// advanceRotation adds to the running values. A new candidate's value starts at random within the turn
-// before the last endpoint picked.
+// advanceRotation initializes the credit of candidates that are new to the rotation or have left slow start
+// and, for a first attempt, adds to each candidate's credit its fraction of the total weight. The initial
+// credit is random, up to 1 below the credit of the last picked endpoint, so that sidecars do not all pick
+// such an endpoint at the same time.
 func (b *Balancer) advanceRotation(req *request, kind attemptKind, totalWeight float64) {
 	for _, ep := range b.endpoints.list {
 		if ep.candidate.weight == 0 {
 			continue
 		}
-		warmingUp := ep.candidate.warmingUp
-		if !ep.rotation.active || ep.rotation.enteredWarmingUp && !warmingUp {
-			value := b.rotation.level - b.random.next()
-			ep.rotation = rotationEntry{value: value, active: true, enteredWarmingUp: warmingUp}
-			*b.rotationValue(req, ep) = value
+		inSlowStart := ep.candidate.inSlowStart
+		if !ep.rotation.active || ep.rotation.initializedInSlowStart && !inSlowStart {
+			credit := b.rotation.level - b.random.next()
+			ep.rotation = rotationEntry{value: credit, active: true, initializedInSlowStart: inSlowStart}
+			*b.rotationCredit(req, ep) = credit
 		}
 		if kind == firstAttempt {
-			value := b.rotationValue(req, ep)
-			*value = min(*value+ep.candidate.weight/totalWeight, maxRotationValue)
+			credit := b.rotationCredit(req, ep)
+			*credit = min(*credit+ep.candidate.weight/totalWeight, maxRotationCredit)
 		}
 	}
 }
 
-// rotationValue returns the running value of an endpoint. A failing class has its own: the endpoints that
-// fail it would get its requests by the turns that the weights of other classes give them.
-func (b *Balancer) rotationValue(req *request, ep *endpoint) *float64 {
+// rotationCredit returns the credit of an endpoint for a request. A failing class has separate credits:
+// otherwise endpoints that fail the class would get its requests with the credit that they earn by their
+// weights for other classes.
+func (b *Balancer) rotationCredit(req *request, ep *endpoint) *float64 {
 	if b.classFailing(req) {
 		return &ep.scoreFor(req).rotationValue
 	}
 	return &ep.rotation.value
 }
 
-// precedes reports whether an attempt goes to next rather than to best.
+// precedes reports whether an attempt should go to next rather than to best.
 func (b *Balancer) precedes(req *request, kind attemptKind, next, best rankedCandidate) bool {
-	if next.overLimit != best.overLimit {
-		return best.overLimit
+	if next.avoided != best.avoided {
+		return best.avoided
 	}
-	if !next.overLimit {
+	if !next.avoided {
 		return b.precedesInRotation(req, kind, next.endpoint, best.endpoint)
 	}
-	if next.candidate.loadKnown != best.candidate.loadKnown { // a known load, even if high, is better
+	if next.candidate.loadKnown != best.candidate.loadKnown { // a known load is better, even if it is high
 		return next.candidate.loadKnown
 	}
 	nextOverloaded := b.overloaded(req, next.endpoint)
@@ -161,7 +167,7 @@
 	if nextOverloaded != bestOverloaded {
 		return bestOverloaded
 	}
-	if kind == firstAttempt { // the least loaded endpoint
+	if kind == firstAttempt { // the lower load per weight, compared without a division
 		nextLoad := (b.estimatedInFlight(next.endpoint) + 1) * best.candidate.weight
 		bestLoad := (b.estimatedInFlight(best.endpoint) + 1) * next.candidate.weight
 		return nextLoad < bestLoad
@@ -169,7 +175,7 @@
 	return b.precedesInRotation(req, kind, next.endpoint, best.endpoint)
 }
 
-// precedesInRotation compares the running values, and for a retry the health first.
+// precedesInRotation compares two candidates by rotation credit. For a retry, it compares their health first.
 func (b *Balancer) precedesInRotation(req *request, kind attemptKind, next, best *endpoint) bool {
 	if kind == retryAttempt {
 		nextHealth := next.outlier.health(b.now) * b.classFactor(req, next)
@@ -178,15 +184,15 @@
 			return nextHealth > bestHealth
 		}
 	}
-	return *b.rotationValue(req, next) > *b.rotationValue(req, best)
+	return *b.rotationCredit(req, next) > *b.rotationCredit(req, best)
 }
 
-// available reports whether an endpoint may get the request and is not ejected.
+// available reports whether an endpoint is eligible for the next attempt and not ejected.
 func (b *Balancer) available(req *request, ep *endpoint) bool {
 	return b.eligible(req, ep) && !b.ejected(ep)
 }
 
-// eligible reports whether the endpoint's state and the retry policy allow the next attempt there.
+// eligible reports whether an endpoint is ready and the retry policy allows the next attempt there.
 func (b *Balancer) eligible(req *request, ep *endpoint) bool {
 	untried := len(req.attempts) == 0
 	return ep.State == Ready && (untried || req.mayExecuteAt(ep, b.now))
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,106 +1,108 @@
 package balance
 
-// slowStartWindowFraction is the part of the overload window for which tokens are saved up at most.
-const slowStartWindowFraction = 0.25
+// maxSavedWindowFraction limits the saved tokens to those of this fraction of the overload window.
+const maxSavedWindowFraction = 0.25
 
-// slowStartLoadFraction is the part of the overload factor that one sidecar uses: chance adds to the sum of
-// all.
+// slowStartLoadFraction is the fraction of the overload factor that each sidecar uses. The rest is a margin,
+// because the sum of the attempts of all sidecars varies at random.
 const slowStartLoadFraction = 0.5
 
-// tokenPolicy says which slow-start tokens of an endpoint count.
+// tokenPolicy determines which saved slow-start tokens allow an attempt.
 type tokenPolicy bool
 
 const (
-	anyToken    tokenPolicy = false // all tokens that were saved up
-	recentToken tokenPolicy = true  // a single saved token expires after the overload window
+	anySavedToken  tokenPolicy = false // a saved token never expires
+	unexpiredToken tokenPolicy = true  // a single saved token expires after the overload window
 )
 
-// slowStart limits the attempts to an endpoint during its warm-up: a token bucket of this sidecar. It is a
-// hard limit, because an endpoint that warms up fails when the sum of all sidecars exceeds it.
+// slowStart is a token bucket that limits the attempts of this sidecar to an endpoint that has just started.
+// The limit is hard, because an endpoint in slow start fails when the attempts of all sidecars exceed its
+// capacity.
 type slowStart struct {
-	warmUpSince Milliseconds // start of the warm-up
-	tokens      float64      // attempts allowed; each attempt takes one, a retry too
+	warmUpSince Milliseconds // when the slow start began
+	tokens      float64      // allowed attempts; each attempt takes one token, including retries
 	updatedAt   Milliseconds // time of the last refill
-	fullTokenAt Milliseconds // when tokens reached a whole attempt
+	fullTokenAt Milliseconds // when tokens reached 1
 }
 
-// start starts a warm-up. firstTokens is random, so that the sidecars do not send their first attempts
-// together.
-func (s *slowStart) start(since, now Milliseconds, firstTokens float64) {
+// start begins a slow start. initialTokens is random, so that the sidecars do not all send their first
+// attempts at the same time.
+func (s *slowStart) start(since, now Milliseconds, initialTokens float64) {
 	s.warmUpSince = since
-	s.tokens = firstTokens
+	s.tokens = initialTokens
 	s.updatedAt = now
 }
 
-// refill adds the tokens of the time since the last refill. rate is in tokens per millisecond. A sidecar
-// saves up to one token, or what comes within a part of the overload window.
+// refill adds the tokens for the time since the last refill. rate is in tokens per millisecond. The bucket
+// holds one token, or the tokens of maxSavedWindowFraction of the overload window if that is more.
 func (s *slowStart) refill(now Milliseconds, rate float64, overloadWindow Milliseconds) {
 	if s.tokens < 1 {
 		s.fullTokenAt = s.updatedAt + Milliseconds((1-s.tokens)/rate)
 	}
-	limit := max(1, rate*float64(overloadWindow)*slowStartWindowFraction)
+	limit := max(1, rate*float64(overloadWindow)*maxSavedWindowFraction)
 	s.tokens = min(s.tokens+rate*float64(now-s.updatedAt), limit)
 	s.updatedAt = now
 }
 
-// spend takes the token of an attempt. It has no effect outside a warm-up, which starts with new tokens.
+// spend takes the token for an attempt. Outside slow start this has no effect, because start sets new tokens.
 func (s *slowStart) spend() { s.tokens-- }
 
-// halve gives half of the tokens to a process that takes over.
+// halve halves the tokens when a successor takes over, which gets the other half.
 func (s *slowStart) halve() { s.tokens /= 2 }
 
-// allows reports whether the endpoint may get an attempt. refill comes before it. Only a bucket that is
-// limited to one token can be full for long: where the limit is higher, tokens come and go fast, and none
-// expires.
+// allows reports whether the endpoint may get an attempt. Call refill first. Only a single saved token can
+// expire: where the bucket holds more than one token, the rate is so high that tokens are not saved for long.
 func (s *slowStart) allows(policy tokenPolicy, overloadWindow Milliseconds) bool {
-	if s.tokens == 1 && policy == recentToken {
+	if s.tokens == 1 && policy == unexpiredToken {
 		expired := s.updatedAt > s.fullTokenAt+overloadWindow
 		return !expired
 	}
 	return s.tokens >= 1
 }
 
-// warmingUp reports whether an endpoint is in its warm-up.
+// inSlowStart reports whether an endpoint is in slow start.
 func (b *Balancer) warmingUp(ep *endpoint) bool {
 	return b.now < ep.slowStart.warmUpSince+b.cfg.WarmUpDuration
 }
 
-// warmUpFraction returns the least fraction of its capacity that an endpoint has; 1 after the warm-up.
-func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
+// slowStartCapacityFraction returns the fraction of its capacity that an endpoint has at least. It grows from
+// the initial fraction to 1 during slow start.
+func (b *Balancer) slowStartCapacityFraction(ep *endpoint) float64 {
 	elapsed := max(0, b.now-ep.slowStart.warmUpSince)
 	progress := ratio(elapsed, max(b.cfg.WarmUpDuration, 1))
 	return b.cfg.WarmUpInitialFraction + (1-b.cfg.WarmUpInitialFraction)*min(1, progress)
 }
 
-// startWarmUp starts the warm-up of an endpoint, which enters the rotation anew.
+// startSlowStart starts the slow start of an endpoint and resets its rotation credit.
 func (b *Balancer) startWarmUp(ep *endpoint, since Milliseconds) {
 	ep.slowStart.start(since, b.now, b.random.next())
-	ep.rotation.leave()
+	ep.rotation.reset()
 }
 
-// refillSlowStart refills the tokens of an endpoint that warms up, at a part of the overload factor, but at
-// least 1, times what endpoints of its present capacity serve for this sidecar. The rate goes by responses,
-// because clients repeat requests in an overload, and assumes only one more response, so that the assumed
-// ones of many sidecars do not add up.
+// refillSlowStart refills the tokens of an endpoint in slow start. The rate is the endpoint's share, by its
+// present capacity, of the responses that this sidecar receives, times a fraction of the overload factor, but
+// at least times 1. The rate is based on responses, because clients repeat requests in an overload. It
+// assumes only one prior response, so that the prior responses of many sidecars do not add up.
 func (b *Balancer) refillSlowStart(ep *endpoint) {
 	b.advanceResponseRate()
-	pool := max(b.rotation.poolCapacity, ep.candidate.capacity)
+	totalCapacity := max(b.rotation.totalCapacity, ep.candidate.capacity)
 	loadFactor := max(1, b.cfg.OverloadFactor*slowStartLoadFraction)
-	rate := b.responsesPerMillisecond(1) * ep.candidate.capacity / pool * loadFactor
+	rate := b.responsesPerMillisecond(1) * ep.candidate.capacity / totalCapacity * loadFactor
 	ep.slowStart.refill(b.now, rate, b.cfg.OverloadWindow)
 }
 
-// slowStartAllows reports whether the warm-up of a candidate allows an attempt now. prepareCandidates comes
-// before it.
+// slowStartAllows reports whether a candidate may get an attempt now: it is not in slow start, or has a
+// token. Call updateCandidates first.
 func (b *Balancer) slowStartAllows(ep *endpoint, policy tokenPolicy) bool {
-	return !ep.candidate.warmingUp || ep.slowStart.allows(policy, b.cfg.OverloadWindow)
+	return !ep.candidate.inSlowStart || ep.slowStart.allows(policy, b.cfg.OverloadWindow)
 }
 
-// slowStartPolicy returns which tokens count for a request. Where warm endpoints fail a class, all sidecars
-// turn to the endpoints that warm up at the same time: tokens saved up for long would be spent together.
+// slowStartPolicy returns the token policy for a request. When many endpoints fail a class, all sidecars move
+// its requests to the endpoints in slow start at the same time. If tokens did not expire, each sidecar would
+// spend a token that it saved long ago, and together they would overload these endpoints.
 func (b *Balancer) slowStartPolicy(req *request) tokenPolicy {
 	if b.classFailing(req) && req.stats.meanScore < failingClassScore {
-		return recentToken
+		return unexpiredToken
 	}
-	return anyToken
+	return anySavedToken
 }
--- a/balance/sticky.go
+++ b/balance/sticky.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// stickyEndpoints is the number of endpoints for a sticky key.
-	stickyEndpoints = 4
-	// maxKeyFraction is the largest part that one key may have of an endpoint's requests. A hotter key gets
-	// more endpoints.
+	// endpointsPerStickyKey is the number of sticky endpoints of a key that is not hot.
+	endpointsPerStickyKey = 4
+	// maxKeyFraction is the largest fraction of an endpoint's requests that may be for one key. A hot key
+	// gets more sticky endpoints to stay below it.
 	maxKeyFraction = 0.25
-	// slowStickyFactor ranks slow endpoints after all others.
+	// slowStickyFactor multiplies the rank of slow endpoints, so that they rank below all others.
 	slowStickyFactor = 1e-6
-	// largeFleetSize is the number of endpoints from which on keys are sticky.
-	largeFleetSize = 20
+	// minStickyFleetSize is the smallest number of endpoints at which sticky keys have an effect.
+	minStickyFleetSize = 20
 )
 
-// stickyState is what an endpoint's place among the sticky endpoints of a key depends on.
+// stickyState holds the values that decide whether an endpoint is a sticky endpoint of a key.
 type stickyState struct {
-	rank      float64      // in the current pick, the rank for the key; the highest are sticky
-	slowUntil Milliseconds // the endpoint was slow, and is avoided for sticky keys until then
+	rank      float64      // rank for the key of the current pick; the highest ranks are sticky
+	slowUntil Milliseconds // the endpoint was slow and is avoided for sticky keys until this time
 }
 
-// recordLatency makes the endpoint count as slow until a moment, or not.
+// recordLatency marks the endpoint as slow until the given time, or as not slow.
 func (s *stickyState) recordLatency(slow bool, until Milliseconds) {
 	s.slowUntil = 0
 	if slow {
@@ -31,14 +31,16 @@
 	}
 }
 
-// restrictToStickyEndpoints leaves only the sticky endpoints of its key as candidates for a first attempt,
-// where endpoints do less work for a key that they served recently. In a rotation over a large fleet, each
-// endpoint would forget the key before it comes again. By rendezvous hashing, all sidecars choose the same
-// endpoints, and the loss of an endpoint moves only its own keys; so does, for a while, a slow response. A
-// hot key would overload its few endpoints. It gets more of them, in an order that is the same at all
-// sidecars.
+// restrictToStickyEndpoints removes all candidates of a first attempt except the sticky endpoints of its key,
+// if endpoints do less work for a key that they served recently. In a rotation over all endpoints of a large
+// fleet, each endpoint would evict the key before it gets the next request for it.
+//
+// The sticky endpoints are chosen by rendezvous hashing, so all sidecars choose the same ones, and the loss
+// of an endpoint moves only its own keys. A slow response moves the keys of its endpoint, too, for a limited
+// time. A hot key would overload a few endpoints, so it gets more of them, in an order that is the same at
+// all sidecars.
 func (b *Balancer) restrictToStickyEndpoints(req *request) {
-	if !b.cfg.KeyCaching || req.StickyKey == 0 || len(b.endpoints.list) < largeFleetSize {
+	if !b.cfg.KeyCaching || req.StickyKey == 0 || len(b.endpoints.list) < minStickyFleetSize {
 		return
 	}
 	ranks := b.rankStickyEndpoints(req.StickyKey)
@@ -55,12 +57,13 @@
 	}
 }
 
-// rankStickyEndpoints sets the rank of each endpoint for a key, and returns the ranks of the candidates.
+// rankStickyEndpoints sets the rank of each endpoint for a key and returns the ranks of the candidates that
+// slow start allows. The other endpoints get rank 0.
 func (b *Balancer) rankStickyEndpoints(key uint64) []float64 {
 	ranks := make([]float64, 0, len(b.endpoints.list))
 	for _, ep := range b.endpoints.list {
 		ep.sticky.rank = 0
-		if ep.candidate.weight == 0 || !b.slowStartAllows(ep, anyToken) {
+		if ep.candidate.weight == 0 || !b.slowStartAllows(ep, anySavedToken) {
 			continue
 		}
 		ep.sticky.rank = rendezvousScore(key, ep.ID, ep.ratingOrDefault())
@@ -72,15 +75,15 @@
 	return ranks
 }
 
-// stickyEndpointCount returns the number of endpoints for a key.
+// stickyEndpointCount returns the number of sticky endpoints for a key.
 func (b *Balancer) stickyEndpointCount(key uint64) int {
 	needed := math.Ceil(b.keys.fraction(key) * float64(len(b.endpoints.list)) / maxKeyFraction)
-	return max(stickyEndpoints, int(needed))
+	return max(endpointsPerStickyKey, int(needed))
 }
 
-// rendezvousScore returns the weighted rendezvous hash (highest random weight) of a key and an endpoint. It
-// is the same at all sidecars. An endpoint's probability of the highest score is proportional to its
-// weight.
+// rendezvousScore returns the score of an endpoint for a key by weighted rendezvous hashing (highest random
+// weight). The score is the same at all sidecars. The probability that an endpoint has the highest score is
+// proportional to its weight.
 func rendezvousScore(key uint64, id EndpointID, weight float64) float64 {
 	hash := splitMix((key ^ uint64(id)*splitMixIncrement) + splitMixIncrement)
 	uniform := (float64(hash) + 0.5) / (1 << randomBits) // in (0, 1)
--- a/balance/sticky_test.go
+++ b/balance/sticky_test.go
@@ -20,8 +20,8 @@
 		}
 	}
 	for key, endpoints := range at {
-		if len(endpoints) > stickyEndpoints {
-			t.Errorf("key %d went to %d endpoints: want %d at most", key, len(endpoints), stickyEndpoints)
+		if len(endpoints) > endpointsPerStickyKey {
+			t.Errorf("key %d went to %d endpoints: want %d at most", key, len(endpoints), endpointsPerStickyKey)
 		}
 	}
 	for id, n := range sent {
@@ -65,8 +65,8 @@
 		}
 	}
 	for key, endpoints := range rare {
-		if len(endpoints) > stickyEndpoints+2 { // two keys may share a counter
-			t.Errorf("key %d went to %d endpoints: want %d at most", key, len(endpoints), stickyEndpoints)
+		if len(endpoints) > endpointsPerStickyKey+2 { // two keys may share a counter
+			t.Errorf("key %d went to %d endpoints: want %d at most", key, len(endpoints), endpointsPerStickyKey)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 			if at[key] == nil {
 				at[key] = map[EndpointID]bool{}
 			}
-			for range 2 * stickyEndpoints {
+			for range 2 * endpointsPerStickyKey {
 				at[key][h.serveKey(key)] = true
 			}
 		}
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -1,33 +1,36 @@
 package balance
 
 const (
-	// localZoneGain, times the cost of crossing zones and squared, is added to the affinity of the own zone.
+	// localZoneGain sets how much the cost of other zones raises the weight of endpoints in the zone of this
+	// sidecar: the affinity factor grows by the square of this gain times Costs.CrossZone.
 	localZoneGain = 85
-	// connReuseGain, times the cost of a connection, is added to the affinity of a connected endpoint.
+	// connReuseGain sets how much the cost of a connection raises the weight of endpoints with an open
+	// connection: the affinity factor grows by this gain times Costs.NewConnection.
 	connReuseGain = 4000
-	// connectFailureGain, times the recent fraction of attempts that could not connect, is added, too: the
-	// connection tables are full then.
+	// connectFailureGain does the same for the recent fraction of attempts that could not connect, because
+	// attempts fail to connect when the connection tables of endpoints are full.
 	connectFailureGain = 50
-	// connectFailureSamples is the number of attempts over which that fraction is taken.
+	// connectFailureSamples is the number of attempts over which that fraction is averaged.
 	connectFailureSamples = 25
-	// capacityUnit scales capacities: an endpoint of rating 1 has this capacity.
+	// capacityUnit is the capacity of an endpoint with a rating of 1, before anything is learned about it.
 	capacityUnit = 100
-	// minCapacity keeps weights above 0.
+	// minCapacity keeps weights above 0, because a weight of 0 means that the endpoint is not a candidate.
 	minCapacity = 1e-6
 )
 
-// candidateState is an endpoint as the current pick sees it.
+// candidateState holds the values of an endpoint that are computed for the current pick. loadKnown and
+// inSlowStart are valid only for candidates.
 type candidateState struct {
-	capacity  float64 // effective capacity, in the unit of the weights
-	weight    float64 // 0: not a candidate
-	loadKnown bool    // the load is known as well as possible
-	warmingUp bool    // of a candidate: the endpoint is in its warm-up
+	capacity    float64 // effective capacity; see capacityUnit
+	weight      float64 // in the unit of capacity; 0: not a candidate
+	loadKnown   bool    // there is a fresh load report, or no candidate has one
+	inSlowStart bool
 }
 
-// connectFailures is the recent fraction of attempts that could not connect.
+// connectFailures tracks the recent fraction of attempts that could not connect.
 type connectFailures struct{ fraction float64 }
 
-// record adds the end of an attempt.
+// record adds the end of an attempt. failed says whether it could not connect.
 func (f *connectFailures) record(failed bool) {
 	f.fraction -= f.fraction / connectFailureSamples
 	if failed {
@@ -35,13 +38,13 @@
 	}
 }
 
-// fleetTotals sums up the endpoints that are eligible for an attempt, ejected ones included.
+// fleetTotals holds totals over the endpoints that are eligible for an attempt.
 type fleetTotals struct {
-	capacity    float64
-	loadReports bool // any candidate has a fresh load report
+	capacity    float64 // includes ejected endpoints
+	loadReports bool    // any candidate has a fresh load report
 }
 
-// updateWeights sets the weight of each endpoint, 0 for those that are no candidates.
+// updateWeights sets the weight of each endpoint. Endpoints that are not candidates get a weight of 0.
 func (b *Balancer) updateWeights(req *request, policy ejectionPolicy) fleetTotals {
 	var totals fleetTotals
 	for _, ep := range b.endpoints.list {
@@ -50,41 +53,43 @@
 			continue
 		}
 		ep.candidate.capacity = b.effectiveCapacity(ep)
-		// Ejected endpoints count, too: their responses are in the rate that refills the slow-start tokens.
+		// Ejected endpoints are included, because the response rate that refills the slow-start tokens
+		// includes their responses.
 		totals.capacity += ep.candidate.capacity
 		if b.ejected(ep) && policy == excludeEjected {
 			continue
 		}
 		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classFactor(req, ep)
 		ep.candidate.loadKnown = b.hasFreshReport(ep)
-		ep.candidate.warmingUp = b.warmingUp(ep)
+		ep.candidate.inSlowStart = b.warmingUp(ep)
 		totals.loadReports = totals.loadReports || ep.candidate.loadKnown
 	}
 	return totals
 }
 
-// prepareCandidates completes what bestCandidate reads of the candidates: whether their load is known, and
-// the tokens of those that warm up.
-func (b *Balancer) prepareCandidates(totals fleetTotals) {
+// updateCandidates prepares the candidates for bestCandidate: it completes loadKnown, and refills the tokens
+// of the candidates in slow start.
+func (b *Balancer) updateCandidates(totals fleetTotals) {
 	for _, ep := range b.endpoints.list {
-		// Without any report, the own attempts in flight are all there is.
+		// Without any report, the attempts of this sidecar in flight are the best available estimate.
 		ep.candidate.loadKnown = ep.candidate.loadKnown || !totals.loadReports
-		if ep.candidate.weight > 0 && ep.candidate.warmingUp {
+		if ep.candidate.weight > 0 && ep.candidate.inSlowStart {
 			b.refillSlowStart(ep)
 		}
 	}
 }
 
-// effectiveCapacity returns the learned capacity times the health multiplier and the warm-up fraction.
+// effectiveCapacity returns the learned capacity, reduced by the health multiplier and by slow start.
 func (b *Balancer) effectiveCapacity(ep *endpoint) float64 {
 	rated := capacityUnit * ep.ratingOrDefault()
 	learned := rated * ep.ownCapacity.factor * ep.machineType.factor * ep.zone.capacity.factor
-	return max(learned*ep.outlier.health(b.now)*b.warmUpFraction(ep), minCapacity)
+	return max(learned*ep.outlier.health(b.now)*b.slowStartCapacityFraction(ep), minCapacity)
 }
 
-// affinityFactor raises the weight of endpoints that avoid a cost: those of the own zone (a low cost of
-// crossing zones hardly counts), and those with an open connection that did not just fail. An endpoint that
-// warms up has no connections yet, and counts as connected.
+// affinityFactor returns the factor that raises the weight of endpoints that avoid costs: endpoints in the
+// zone of this sidecar, and endpoints that probably have an open connection and whose last attempt did not
+// fail. A low cost of crossing zones has little effect, because it is squared. An endpoint in slow start has
+// no open connections yet, but is treated as connected: otherwise it would get hardly any requests.
 func (b *Balancer) affinityFactor(ep *endpoint) float64 {
 	factor := 1.0
 	if ep.Zone == b.cfg.Zone {
