--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// Unreachable endpoints are ejected, so that they are not checked again for each request, and are used again
-// once they respond after the ejection.
+// Unreachable endpoints are ejected, so that they are not health-checked for each request. After the ejection, they
+// are used again if they respond.
 func TestUnreachableEndpointsAreEjectedAndRecover(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	unreachable := map[EndpointID]bool{1: true, 2: true}
 	for i := range 4 {
 		id, actions := h.request(idempotentClass)
 		if checked := len(actions) - 1; i > 0 && checked > 1 {
-			t.Fatalf("request %d: %d endpoints checked though two are unreachable", id, checked)
+			t.Fatalf("request %d: %d endpoints checked while two are ejected, want 1 at most", id, checked)
 		}
 		if target, ok := sendTarget(h.answerHealthChecks(actions, 0, unreachable)); !ok || target != 3 {
-			t.Fatalf("request %d went to %d", id, target)
+			t.Fatalf("request %d went to endpoint %d (sent: %v), want 3", id, target, ok)
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	h.now += 10000 // their ejection is over and they respond again
+	h.now += 10000 // the ejection is over, and the endpoints respond again
 	used := map[EndpointID]bool{}
 	for range 6 {
 		id, actions := h.request(idempotentClass)
@@ -29,118 +29,122 @@
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	if !used[1] || !used[2] {
-		t.Fatalf("used %v after they recovered", used)
+		t.Fatalf("got used endpoints %v after endpoints 1 and 2 recovered, want both", used)
 	}
 }
 
-// An endpoint that reports a long queue is avoided although it is next in the rotation: an instance with
-// little traffic cannot know from its own requests what others send.
+// An endpoint that reports many requests in flight is avoided although it is next in the rotation: an instance with
+// little traffic cannot know from its own requests how much load the other instances cause.
 func TestPolledQueueIsAvoided(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	h.b.endpoints.list[0].rotation.value = 1000 // next in the rotation
 	id, actions := h.request(idempotentClass)
 	if hasAction(actions, SendAttempt) {
-		t.Fatal("sent before the health checks were completed")
+		t.Fatalf("got actions %+v before the results of the health checks, want no attempt", actions)
 	}
 	h.dispatch(HealthCheckResult{Endpoint: 1, LoadReport: []float32{5}})
 	h.dispatch(HealthCheckResult{Endpoint: 2, LoadReport: []float32{0}})
-	if target, ok := sendTarget(h.dispatch(HealthCheckResult{Endpoint: 3, LoadReport: []float32{4}})); !ok || target != 2 {
-		t.Fatalf("request %d went to %d, want the idle endpoint", id, target)
+	target, ok := sendTarget(h.dispatch(HealthCheckResult{Endpoint: 3, LoadReport: []float32{4}}))
+	if !ok || target != 2 {
+		t.Fatalf("request %d went to endpoint %d (sent: %v), want the idle endpoint 2", id, target, ok)
 	}
 }
 
-// A request waits for the reports of endpoints for a small part of its latency objective only, and is sent
-// without them then.
+// A first attempt waits for load reports only for a small fraction of the latency objective. Then it is sent without
+// them.
 func TestRequestDoesNotWaitLongForHealthChecks(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	id, _ := h.request(idempotentClass)
 	h.now = h.b.requests[id].nextTimerAt
 	if actions := h.dispatch(TimerFired{Token: uint64(id)}); !hasAction(actions, SendAttempt) || h.now > 1000+0.1*300 {
-		t.Fatalf("at %v: %+v", h.now, actions)
+		t.Fatalf("got actions %+v at %v ms, want an attempt at %v ms at most", actions, h.now, 1000+0.1*300)
 	}
 }
 
-// Health checks have a cost: with idle endpoints a few are checked, with busy ones all of them.
-func TestHealthChecksScaleWithLoad(t *testing.T) {
+// Health checks have a cost, so only a few endpoints are checked when they are idle, and all when they are busy.
+func TestMoreEndpointsAreCheckedUnderLoad(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(12)...)
-	checksAtLoad := func(inFlight float32) int {
-		n := 0
+	checksPerRequest := func(inFlight float32) int {
+		checks := 0
 		for range 60 {
 			h.now += 10
 			id, actions := h.request(idempotentClass)
-			n = 0
+			checks = 0
 			for _, a := range actions {
 				if a.Kind == CheckHealth {
-					n++
+					checks++
 				}
 			}
 			h.answerHealthChecks(actions, inFlight, nil)
 			h.finishAttempt(id, 0, OK, 10)
 		}
-		return n
+		return checks
 	}
-	idle := checksAtLoad(0)
-	if busy := checksAtLoad(1); idle > 3 || busy != 12 {
-		t.Fatalf("%d endpoints checked when all are idle, %d when all are busy", idle, busy)
+	idle := checksPerRequest(0)
+	if busy := checksPerRequest(1); idle > 3 || busy != 12 {
+		t.Fatalf("%d endpoints checked when all are idle, %d when all are busy: want 3 at most and 12", idle, busy)
 	}
 }
 
-// A health check that was never sent, for lack of a local socket, says nothing of the endpoint, and a reset
-// connection hardly more. Only a timeout or a failure to connect ejects the endpoint; otherwise many resets
-// would eject most of the fleet.
+// A failed health check ejects its endpoint only after a timeout or a failure to connect. A health check that was
+// not sent, for lack of a local socket, says nothing about the endpoint, and a reset connection says little:
+// otherwise many resets would eject most of the fleet.
 func TestFailedHealthCheckEjectsOnlyUnreachableEndpoint(t *testing.T) {
-	for result, ejects := range map[Result]bool{NotAttempted: false, ConnReset: false, TimedOut: true, ConnectFailed: true} {
+	for result, wantEjected := range map[Result]bool{
+		NotAttempted: false, ConnReset: false, TimedOut: true, ConnectFailed: true,
+	} {
 		t.Run(fmt.Sprintf("result %d", result), func(t *testing.T) {
 			h := newHarness(t, healthCheckConfig(), newEndpoints(2)...)
 			if _, actions := h.request(idempotentClass); !hasAction(actions, CheckHealth) {
-				t.Fatal("no endpoint is checked")
+				t.Fatalf("got actions %+v, want a health check", actions)
 			}
 			h.dispatch(HealthCheckResult{Endpoint: 1, Result: result, Duration: 1})
-			if got := h.b.ejected(h.b.endpoints.byID[1]); got != ejects {
-				t.Errorf("result %d: ejected: %v", result, got)
+			if got := h.b.ejected(h.b.endpoints.byID[1]); got != wantEjected {
+				t.Errorf("result %d: got ejected %v, want %v", result, got, wantEjected)
 			}
 		})
 	}
 }
 
-// A single lost health check must not block or eject an endpoint that responds to requests meanwhile: a
-// response after the report was due shows that the endpoint is reachable.
+// A single lost health check must neither block nor eject an endpoint that responds to requests in the meantime: a
+// response that arrives after the result of the health check was due shows that the endpoint is reachable.
 func TestLostHealthCheckDoesNotBlockEndpoint(t *testing.T) {
 	for _, responseSeen := range []bool{true, false} {
 		t.Run(fmt.Sprintf("response seen %v", responseSeen), func(t *testing.T) {
 			h := newHarness(t, healthCheckConfig(), newEndpoints(2)...)
 			first, _ := h.request(idempotentClass)
 			h.dispatch(HealthCheckResult{Endpoint: 1, Duration: 1, LoadReport: []float32{0}})
-			at, sent := sendTarget(h.dispatch(HealthCheckResult{Endpoint: 2, Duration: 1, LoadReport: []float32{0}}))
+			actions := h.dispatch(HealthCheckResult{Endpoint: 2, Duration: 1, LoadReport: []float32{0}})
+			target, sent := sendTarget(actions)
 			if !sent {
-				t.Fatal("nothing is sent after the reports")
+				t.Fatal("no attempt was sent after the load reports")
 			}
 			h.now += 10
-			h.request(idempotentClass) // its health check of the endpoint is lost
-			lost := h.now
+			h.request(idempotentClass) // the result of its health check is lost
+			checkSentAt := h.now
 			h.now += 60
 			if responseSeen {
 				h.finishAttempt(first, 0, OK, 70)
 			}
-			_, actions := h.request(idempotentClass)
-			again := false
+			_, actions = h.request(idempotentClass)
+			checkedAgain := false
 			for _, a := range actions {
-				again = again || a.Kind == CheckHealth && a.Endpoint == at
+				checkedAgain = checkedAgain || a.Kind == CheckHealth && a.Endpoint == target
 			}
-			if again != responseSeen {
-				t.Errorf("response seen: %v, checked again: %v", responseSeen, again)
+			if checkedAgain != responseSeen {
+				t.Errorf("response seen %v: got checked again %v, want %v", responseSeen, checkedAgain, responseSeen)
 			}
 			h.now += 290
-			h.dispatch(HealthCheckResult{Endpoint: at, Result: TimedOut, Duration: h.now - lost})
-			if got := h.b.ejected(h.b.endpoints.byID[at]); got == responseSeen {
-				t.Errorf("response seen: %v, ejected: %v", responseSeen, got)
+			h.dispatch(HealthCheckResult{Endpoint: target, Result: TimedOut, Duration: h.now - checkSentAt})
+			if got := h.b.ejected(h.b.endpoints.byID[target]); got == responseSeen {
+				t.Errorf("response seen %v: got ejected %v, want %v", responseSeen, got, !responseSeen)
 			}
 		})
 	}
 }
 
-// An endpoint that does not respond to health checks is counted as unavailable between its ejections as well,
-// as its next health check would be lost too.
+// An endpoint whose last health check failed counts as unavailable even after its ejection, because its next health
+// check would probably fail, too.
 func TestUnresponsiveEndpointIsCountedUnavailable(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(2)...)
 	h.request(idempotentClass)
@@ -149,32 +153,32 @@
 	h.dispatch(HealthCheckResult{Endpoint: 1, Result: TimedOut, Duration: 350})
 	for _, later := range []Milliseconds{0, 100000} { // during its ejection, and long after it
 		if got := h.b.UnavailableCount(h.now + later); got != 1 {
-			t.Errorf("%v ms later %d endpoints are unavailable", later, got)
+			t.Errorf("%v ms after the failed health check: got %d unavailable endpoints, want 1", later, got)
 		}
 	}
 	h.dispatch(HealthCheckResult{Endpoint: 1, Duration: 1, LoadReport: []float32{0}})
 	if got := h.b.UnavailableCount(h.now); got != 0 {
-		t.Errorf("%d are unavailable when both respond", got)
+		t.Errorf("got %d unavailable endpoints when both respond, want 0", got)
 	}
 }
 
-// A load report that comes with a response describes one endpoint only. That endpoint must not get all
-// requests for being the only one with known load.
+// A load report that arrives with a response describes only one endpoint. That endpoint must not get all requests
+// just because it is the only one whose load is known.
 func TestPiggybackedReportDoesNotAttractAllRequests(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportsPiggybacked, []LoadField{LoadFieldInFlight}
 	h := newHarness(t, cfg, newEndpoints(4)...)
-	hits := map[EndpointID]int{}
+	requests := map[EndpointID]int{}
 	for range 40 {
 		id, actions := h.request(idempotentClass)
 		target, _ := sendTarget(actions)
-		hits[target]++
+		requests[target]++
 		h.now += 5
 		h.dispatch(Outcome{Request: id, Endpoint: target, Duration: 5, Finished: true, LoadReport: []float32{3}})
 	}
-	for target, n := range hits {
+	for target, n := range requests {
 		if n > 15 {
-			t.Errorf("endpoint %d got %d of 40", target, n)
+			t.Errorf("endpoint %d got %d of 40 requests, want 15 at most", target, n)
 		}
 	}
 }
--- a/balance/simulation_test.go
+++ b/balance/simulation_test.go
@@ -2,27 +2,25 @@
 
 import "testing"
 
-// instanceSimulation runs one instance on simulated time. Endpoints for which hangs is true accept attempts
-// and never respond; the others respond after the time that latency returns.
+// instanceSimulation runs one instance on simulated time.
 type instanceSimulation struct {
 	*harness
-	hangs        func(EndpointID) bool
-	latency      func(EndpointID) Milliseconds
-	sent         map[EndpointID]int
-	healthChecks int
-	logLines     int
-	served       int
-	events       []timedEvent
+	hangs        func(EndpointID) bool         // the endpoint accepts attempts, but never responds
+	latency      func(EndpointID) Milliseconds // response time of an endpoint that does not hang
+	sent         map[EndpointID]int            // attempts sent to each endpoint
+	healthChecks int                           // health checks sent
+	logLines     int                           // messages logged
+	served       int                           // successful attempts
+	events       []timedEvent                  // future events, in no order
 }
 
-// timedEvent is an event that the balancer gets at the given time.
+// timedEvent is an event and the time at which the balancer gets it.
 type timedEvent struct {
 	at    Milliseconds
 	event Event
 }
 
-// newInstanceSimulation returns a simulation of one of several instances in which all endpoints respond in 5
-// ms.
+// newInstanceSimulation returns a simulation of one of several instances. All endpoints respond in 5 ms.
 func newInstanceSimulation(t *testing.T, number, instances int, endpoints []Endpoint) *instanceSimulation {
 	t.Helper()
 	cfg := largeFleetConfig(number, instances)
@@ -37,12 +35,12 @@
 	return sim
 }
 
-// handle gives the balancer an event and plans what follows from its actions.
+// handle passes an event to the balancer and adds the events that its actions cause.
 func (sim *instanceSimulation) handle(ev Event) {
 	sim.t.Helper()
 	if out, ok := ev.(Outcome); ok {
 		req := sim.b.requests[out.Request]
-		if req == nil || !req.attempts[out.Attempt].inFlight { // cancelled meanwhile
+		if req == nil || !req.attempts[out.Attempt].inFlight { // the attempt has been cancelled
 			return
 		}
 		out.Finished = out.Result == OK || req.done
@@ -54,9 +52,9 @@
 		switch a.Kind {
 		case SendAttempt:
 			sim.sent[a.Endpoint]++
-			at := len(sim.b.requests[a.Request].attempts) - 1
+			index := len(sim.b.requests[a.Request].attempts) - 1
 			after := sim.latency(a.Endpoint)
-			out := Outcome{Request: a.Request, Attempt: at, Endpoint: a.Endpoint, Duration: after}
+			out := Outcome{Request: a.Request, Attempt: index, Endpoint: a.Endpoint, Duration: after}
 			if sim.hangs(a.Endpoint) {
 				out.Result, out.Duration = TimedOut, 1200
 				after = sim.b.requests[a.Request].deadline - sim.now
@@ -72,17 +70,17 @@
 			sim.logLines++
 		case CheckHealth:
 			sim.healthChecks++
-			res, after := HealthCheckResult{Endpoint: a.Endpoint, Duration: 1, LoadReport: []float32{0}}, Milliseconds(1)
+			res := HealthCheckResult{Endpoint: a.Endpoint, Duration: 1, LoadReport: []float32{0}}
 			if sim.hangs(a.Endpoint) {
-				res, after = HealthCheckResult{Endpoint: a.Endpoint, Result: TimedOut, Duration: 350}, 350
+				res = HealthCheckResult{Endpoint: a.Endpoint, Result: TimedOut, Duration: 350}
 			}
-			sim.events = append(sim.events, timedEvent{sim.now + after, res})
+			sim.events = append(sim.events, timedEvent{sim.now + res.Duration, res})
 		}
 	}
 }
 
-// run sends a request every so many milliseconds until the given time, with keys in turn.
-func (sim *instanceSimulation) run(until, every Milliseconds) {
+// run sends a request in each interval until the given time, with 200 sticky keys one after the other.
+func (sim *instanceSimulation) run(until, interval Milliseconds) {
 	sim.t.Helper()
 	for next := sim.now; ; {
 		first := -1
@@ -104,16 +102,17 @@
 		}
 		sim.now = next
 		sim.lastRequest++
-		sim.handle(Request{ID: sim.lastRequest, Class: idempotentClass, StickyKey: uint64(sim.lastRequest%200 + 1), Remaining: 1200})
-		next += every
+		key := uint64(sim.lastRequest%200 + 1)
+		sim.handle(Request{ID: sim.lastRequest, Class: idempotentClass, StickyKey: key, Remaining: 1200})
+		next += interval
 	}
 }
 
-// sentToZone returns the number of attempts that were sent to the endpoints of a zone.
+// sentToZone returns the number of attempts sent to the endpoints of a zone.
 func (sim *instanceSimulation) sentToZone(endpoints []Endpoint, zone int) (n int) {
-	for _, s := range endpoints {
-		if s.Zone == zone {
-			n += sim.sent[s.ID]
+	for _, ep := range endpoints {
+		if ep.Zone == zone {
+			n += sim.sent[ep.ID]
 		}
 	}
 	return n
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -17,7 +17,7 @@
 
 // slowStart is a token bucket that limits the attempts of this sidecar to an endpoint that has just started.
 // The limit is hard, because an endpoint in slow start fails when the attempts of all sidecars exceed its
-// capacity.
+// capacity times the overload factor.
 type slowStart struct {
 	warmUpSince Milliseconds // when the slow start began
 	tokens      float64      // allowed attempts; each attempt takes one token, including retries
--- a/balance/slowstart_simulation_test.go
+++ b/balance/slowstart_simulation_test.go
@@ -8,100 +8,105 @@
 	"testing"
 )
 
-// slowStartSimulation runs many instances that share nothing, with thin and uneven traffic, while endpoints
-// start.
+// slowStartSimulation simulates many instances that share no state and have little, uneven traffic, while endpoints
+// restart.
 type slowStartSimulation struct {
-	instances, endpoints, warmingUp int
-	rate                            float64 // mean requests a second of an instance
-	hotKeyFraction                  float64 // fraction of requests with one sticky key
-	failureFraction                 float64 // fraction of first attempts that fail and are retried
-	instancesRestart                bool    // the instances start together with the endpoints
-	zoneFails                       bool    // a zone fails for a second, and its requests go to others
-	briefFailures                   bool    // most first attempts fail for a moment
-	trafficDip                      bool    // three quiet seconds are followed by one of twice the traffic
-	overloadFactor, initialFraction float64 // as in Config
+	instanceCount, endpointCount, restartedCount int
+	requestRate                                  float64 // mean requests per second of an instance
+	hotKeyFraction                               float64 // fraction of requests for a single sticky key
+	failureFraction                              float64 // fraction of first attempts that fail and are retried
+	restartInstances                             bool    // the instances restart together with the endpoints
+	zoneFailure                                  bool    // the endpoints of a zone fail for 1 s
+	briefFailures                                bool    // the endpoints that did not restart fail for 2 s
+	trafficDip                                   bool    // 3 s of low traffic are followed by 1 s of double traffic
+	overloadFactor, initialFraction              float64 // as in Config
 }
 
+// Duration of a run before and after the restart of the endpoints.
 const (
-	timeBeforeStart Milliseconds = 6000
-	timeAfterStart  Milliseconds = 8000
+	timeBeforeRestart Milliseconds = 6000
+	timeAfterRestart  Milliseconds = 8000
 )
 
-// restartTime is when the endpoints that warm up have started.
-const restartTime Milliseconds = 100000
+const (
+	// restartTime is when the endpoints restart, and when a traffic dip begins.
+	restartTime Milliseconds = 100000
+	// faultTime is when zone failures and brief failures begin, and when the quiet part of a traffic dip ends.
+	faultTime = restartTime + 3000
+)
 
-// slowStartRun is one run of a simulation with a seed of its own.
+// slowStartRun is one run of a simulation with its own seed.
 type slowStartRun struct {
 	slowStartSimulation
-	t         *testing.T
-	seed      uint64
-	random    *rand.Rand
-	fleet     []Endpoint
-	restarted []Endpoint
-	sends     [][]Milliseconds // times of the attempts sent to each restarted endpoint
+	t            *testing.T
+	seed         uint64
+	random       *rand.Rand
+	allEndpoints []Endpoint
+	restarted    []Endpoint
+	attemptTimes [][]Milliseconds // send times of the attempts at each restarted endpoint
 }
 
-// run returns the most requests that an endpoint got within the overload window, relative to its budget and
-// what chance allows beyond it, and the fraction of their possible work that the warming up endpoints got.
-func (sim slowStartSimulation) run(t *testing.T, seed uint64) (worst, fraction float64) {
+// run runs the simulation with a seed and returns the results of maxLimitRatio and usedCapacityFraction.
+func (sim slowStartSimulation) run(t *testing.T, seed uint64) (maxRatio, usedFraction float64) {
 	t.Helper()
 	run := &slowStartRun{slowStartSimulation: sim, t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 77))}
-	run.fleet = newZonedEndpoints(sim.endpoints)
-	run.restarted = slices.Clone(run.fleet[:sim.warmingUp])
+	run.allEndpoints = newZonedEndpoints(sim.endpointCount)
+	run.restarted = slices.Clone(run.allEndpoints[:sim.restartedCount])
 	for i := range run.restarted {
 		run.restarted[i].StartedAt = restartTime
 	}
-	run.sends = make([][]Milliseconds, sim.warmingUp)
-	weights, sum := make([]float64, sim.instances), 0.0
+	run.attemptTimes = make([][]Milliseconds, sim.restartedCount)
+	weights, sum := make([]float64, sim.instanceCount), 0.0
 	for i := range weights {
 		weights[i] = run.random.ExpFloat64()
 		sum += weights[i]
 	}
-	for number := range sim.instances {
-		interval := Milliseconds(1000 / (sim.rate*float64(sim.instances)*weights[number]/sum + 1e-6))
+	for number := range sim.instanceCount {
+		interval := Milliseconds(1000 / (sim.requestRate*float64(sim.instanceCount)*weights[number]/sum + 1e-6))
 		run.runInstance(number, interval)
 	}
-	return run.worstRatio(), run.workFraction()
+	return run.maxLimitRatio(), run.usedCapacityFraction()
 }
 
-// config returns the settings of one instance.
+// config returns the configuration of one instance.
 func (run *slowStartRun) config(number int) Config {
-	cfg := largeFleetConfig(number, run.instances)
+	cfg := largeFleetConfig(number, run.instanceCount)
 	cfg.OverloadFactor, cfg.WarmUpInitialFraction = run.overloadFactor, run.initialFraction
 	cfg.Seed = run.seed<<20 + uint64(number)
 	return cfg
 }
 
-// runInstance simulates one instance that sends a request in each interval on average.
+// runInstance simulates one instance. interval is the mean time between its requests.
 func (run *slowStartRun) runInstance(number int, interval Milliseconds) {
-	begin := restartTime - timeBeforeStart
+	begin := restartTime - timeBeforeRestart
 	updateAt := restartTime + Milliseconds(300*run.random.Float64()) + 1
-	if run.instancesRestart {
+	if run.restartInstances {
 		begin = updateAt
 	}
 	h := run.startInstance(run.config(number), begin)
-	end := restartTime + timeAfterStart
-	for at := begin + interval.scaled(run.random.ExpFloat64()); at < end; at += run.intervalAt(at, interval).scaled(run.random.ExpFloat64()) {
-		if !run.instancesRestart && h.now < updateAt && at >= updateAt {
+	end := restartTime + timeAfterRestart
+	at := begin + interval.scaled(run.random.ExpFloat64())
+	for ; at < end; at += run.intervalAt(at, interval).scaled(run.random.ExpFloat64()) {
+		if !run.restartInstances && h.now < updateAt && at >= updateAt {
 			h.now = updateAt
 			h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: run.restarted})
 		}
 		h.now = at
-		if quiet := at >= restartTime && at < restartTime+3000; run.trafficDip && quiet && run.random.Float64() < 0.8 {
+		if quiet := at >= restartTime && at < faultTime; run.trafficDip && quiet && run.random.Float64() < 0.8 {
 			continue
 		}
 		run.serveRequest(h, at >= updateAt)
 	}
 }
 
-// startInstance starts an instance that knows of the restarts only if it restarts itself.
+// startInstance starts an instance. Its first endpoint list contains the restarts only if the instance restarts, too.
 func (run *slowStartRun) startInstance(cfg Config, begin Milliseconds) *harness {
-	h := newHarness(run.t, cfg, run.fleet...)
-	if run.instancesRestart {
+	h := newHarness(run.t, cfg, run.allEndpoints...)
+	if run.restartInstances {
 		h.b = New(cfg)
 		h.now = begin
 		h.b.Start(begin)
-		fleet := slices.Clone(run.fleet)
+		fleet := slices.Clone(run.allEndpoints)
 		copy(fleet, run.restarted)
 		h.dispatch(EndpointUpdate{Kind: UpdateCachedSnapshot, Endpoints: fleet})
 	} else {
@@ -114,15 +119,15 @@
 
 // intervalAt returns the mean interval between requests at the given time.
 func (run *slowStartRun) intervalAt(at, interval Milliseconds) Milliseconds {
-	if run.trafficDip && at >= restartTime+3000 && at < restartTime+4000 {
+	if run.trafficDip && at >= faultTime && at < faultTime+1000 {
 		return interval / 2
 	}
 	return interval
 }
 
-// serveRequest sends a request with its retries and records attempts at restarted endpoints if the instance
-// knows of the restarts.
-func (run *slowStartRun) serveRequest(h *harness, updated bool) {
+// serveRequest serves a request including its retries. If restartsKnown, the instance knows about the restarts, and
+// the attempts at restarted endpoints are recorded.
+func (run *slowStartRun) serveRequest(h *harness, restartsKnown bool) {
 	key := run.random.Uint64N(200) + 2
 	if run.random.Float64() < run.hotKeyFraction {
 		key = 1
@@ -135,8 +140,8 @@
 			return
 		}
 		i := slices.IndexFunc(run.restarted, func(e Endpoint) bool { return e.ID == id })
-		if i >= 0 && updated {
-			run.sends[i] = append(run.sends[i], h.now)
+		if i >= 0 && restartsKnown {
+			run.attemptTimes[i] = append(run.attemptTimes[i], h.now)
 		}
 		if attempt > 0 || !run.attemptFails(h.b.endpoints.byID[id], h.now) {
 			h.finishAttempt(h.lastRequest, attempt, OK, 5)
@@ -146,80 +151,84 @@
 	}
 }
 
-// attemptFails draws whether a first attempt fails.
+// attemptFails decides at random whether a first attempt fails.
 func (run *slowStartRun) attemptFails(target *endpoint, now Milliseconds) bool {
-	lost := run.zoneFails && target.Zone == 1 && now >= restartTime+3000 && now < restartTime+4000
-	lost = lost || run.briefFailures && now >= restartTime+3000 && now < restartTime+5000 && target.StartedAt == 0
-	return run.random.Float64() < run.failureFraction || lost
+	failing := run.zoneFailure && target.Zone == 1 && now >= faultTime && now < faultTime+1000
+	failing = failing || run.briefFailures && now >= faultTime && now < faultTime+2000 && target.StartedAt == 0
+	return run.random.Float64() < run.failureFraction || failing
 }
 
-// requestsPerEndpoint returns the requests of a warm endpoint in a millisecond, when all get the share of
-// their capacity.
-func (run *slowStartRun) requestsPerEndpoint() float64 {
-	warmUp := run.config(0).WarmUpDuration
-	able := float64(run.endpoints-run.warmingUp) +
-		float64(run.warmingUp)*(run.initialFraction+(1-run.initialFraction)*ratio(timeAfterStart/2, warmUp))
-	return run.rate * float64(run.instances) / able / 1000
+// requestsPerEndpointMs returns the requests per millisecond of a fully started endpoint if all endpoints get
+// requests in proportion to their capacity.
+func (run *slowStartRun) requestsPerEndpointMs() float64 {
+	slowStartDuration := run.config(0).WarmUpDuration
+	meanFraction := run.initialFraction + (1-run.initialFraction)*ratio(timeAfterRestart/2, slowStartDuration)
+	totalCapacity := float64(run.endpointCount-run.restartedCount) + float64(run.restartedCount)*meanFraction
+	return run.requestRate * float64(run.instanceCount) / totalCapacity / 1000
 }
 
-// worstRatio returns the most requests that a restarted endpoint got within the overload window, relative to
-// what budget and chance allow.
-func (run *slowStartRun) worstRatio() (worst float64) {
-	cfg, perEndpoint := run.config(0), run.requestsPerEndpoint()
-	for _, sends := range run.sends {
-		slices.Sort(sends)
-		for i := range sends {
+// maxLimitRatio returns the maximum number of attempts at a restarted endpoint within the overload window, relative
+// to the slow-start limit plus a margin for random variation.
+func (run *slowStartRun) maxLimitRatio() (maxRatio float64) {
+	cfg, perEndpoint := run.config(0), run.requestsPerEndpointMs()
+	for _, times := range run.attemptTimes {
+		slices.Sort(times)
+		for i := range times {
 			inWindow := 0.0
-			for j := i; j < len(sends) && sends[j] < sends[i]+cfg.OverloadWindow; j++ {
+			for j := i; j < len(times) && times[j] < times[i]+cfg.OverloadWindow; j++ {
 				inWindow++
 			}
-			warmth := min(1, ratio(sends[i]-restartTime, cfg.WarmUpDuration))
-			able := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*warmth
-			budget := cfg.OverloadFactor * able * perEndpoint * float64(cfg.OverloadWindow)
-			worst = max(worst, inWindow/(budget+2*math.Sqrt(budget)+2))
+			progress := min(1, ratio(times[i]-restartTime, cfg.WarmUpDuration))
+			capacity := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*progress
+			limit := cfg.OverloadFactor * capacity * perEndpoint * float64(cfg.OverloadWindow)
+			maxRatio = max(maxRatio, inWindow/(limit+2*math.Sqrt(limit)+2))
 		}
 	}
-	return worst
+	return maxRatio
 }
 
-// workFraction returns the requests of the restarted endpoints as a fraction of what they could serve.
-func (run *slowStartRun) workFraction() float64 {
-	cfg, perEndpoint := run.config(0), run.requestsPerEndpoint()
-	got, could := 0.0, 0.0
-	for _, sends := range run.sends {
-		got += float64(len(sends))
-		able := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*ratio(timeAfterStart/2, cfg.WarmUpDuration)
-		could += perEndpoint * float64(timeAfterStart) * able
+// usedCapacityFraction returns the number of attempts at the restarted endpoints as a fraction of what they could
+// serve.
+func (run *slowStartRun) usedCapacityFraction() float64 {
+	cfg, perEndpoint := run.config(0), run.requestsPerEndpointMs()
+	attempts, servable := 0.0, 0.0
+	for _, times := range run.attemptTimes {
+		attempts += float64(len(times))
+		meanProgress := ratio(timeAfterRestart/2, cfg.WarmUpDuration)
+		capacity := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*meanProgress
+		servable += perEndpoint * float64(timeAfterRestart) * capacity
 	}
-	return got / could
+	return attempts / servable
 }
 
-// check runs the simulation with several seeds and checks the limit of the rule and a least use of the
-// endpoints that warm up.
+// check runs the simulation with several seeds, and checks the slow-start limit and that the restarted endpoints get
+// a minimum of requests.
 func (sim slowStartSimulation) check(t *testing.T) {
 	t.Parallel()
-	worst, fraction, runs := 0.0, 0.0, 4
+	maxRatio, usedFraction, runs := 0.0, 0.0, 4
 	switch {
-	case sim.instances > 100:
+	case sim.instanceCount > 100:
 		runs = 1
 	case sim.briefFailures:
 		runs = 12
 	}
 	for seed := range runs {
-		ratio, work := sim.run(t, uint64(seed+1))
-		worst, fraction = max(worst, ratio), fraction+work/float64(runs)
+		ratio, used := sim.run(t, uint64(seed+1))
+		maxRatio, usedFraction = max(maxRatio, ratio), usedFraction+used/float64(runs)
 	}
-	if worst > 1 {
-		t.Errorf("an endpoint that warms up was sent %.2f of what chance and budget allow", worst)
+	if maxRatio > 1 {
+		t.Errorf("an endpoint in slow start got %.2f times its limit including the margin, want 1 at most",
+			maxRatio)
 	}
-	if least := 0.2; sim.instances <= 30 && fraction < least {
-		t.Errorf("the endpoints that warm up got %.2f of their capacity, want %.2f or more", fraction, least)
+	if minUsed := 0.2; sim.instanceCount <= 30 && usedFraction < minUsed {
+		t.Errorf("endpoints in slow start got %.2f of the requests that they can serve, want %.2f or more",
+			usedFraction, minUsed)
 	}
 }
 
-// An endpoint that warms up is overloaded by the sum of what all instances send, which share nothing: beyond
-// its budget of N only 2 roots of N and 2 are attributed to chance. What each instance may always send adds
-// up, so there must be no such allowance; and yet an endpoint that warms up has to get work.
+// An endpoint in slow start is overloaded by the sum of what all instances send, although they share no state. The
+// test allows 2*sqrt(N)+2 attempts beyond a limit of N for random variation. An allowance that each instance may
+// always use would add up, so there must be none, but an endpoint in slow start still has to get requests.
 func TestSlowStartLimitsTheSumOfAllInstances(t *testing.T) {
 	for _, instances := range []int{3, 20, 30, 350} {
 		endpoints := max(9, instances/3)
@@ -227,19 +236,20 @@
 			"uneven traffic": {},
 			"hot key":        {hotKeyFraction: 0.4},
 			"retries":        {failureFraction: 0.2},
-			"zone failure":   {zoneFails: true},
+			"zone failure":   {zoneFailure: true},
 			"traffic dip":    {trafficDip: true},
 			"brief failures": {briefFailures: true},
-			"restarted":      {instancesRestart: true},
-			"restarted, hot": {instancesRestart: true, hotKeyFraction: 0.4},
-			"half warm up":   {warmingUp: endpoints / 2},
+			"restarted":      {restartInstances: true},
+			"restarted, hot": {restartInstances: true, hotKeyFraction: 0.4},
+			"half restarted": {restartedCount: endpoints / 2},
 		} {
 			for _, rate := range []float64{2, 10} {
 				for _, factor := range []float64{1.5, 4} {
 					if rate > 2 && (factor > 2 || instances > 100) {
-						continue // saved budget matters most with thin traffic and a tight limit
+						continue // saved tokens matter most with little traffic and a low limit
 					}
-					sim.instances, sim.endpoints, sim.rate, sim.warmingUp = instances, endpoints, rate, max(sim.warmingUp, endpoints/9)
+					sim.instanceCount, sim.endpointCount, sim.requestRate = instances, endpoints, rate
+					sim.restartedCount = max(sim.restartedCount, endpoints/9)
 					sim.overloadFactor, sim.initialFraction = factor, 0.1
 					t.Run(fmt.Sprintf("%d instances, %v a second, %v, %s", instances, rate, factor, name), sim.check)
 				}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// An endpoint that could not be reached and then responds has restarted, whatever the discovery says: it is
-// warming up.
-func TestRecoveredEndpointIsWarmingUp(t *testing.T) {
+// An endpoint that responds again after it could not be reached has restarted, even if discovery does not report a
+// restart. Its slow start begins.
+func TestRecoveredEndpointIsInSlowStart(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	id, actions := h.request(idempotentClass)
 	target, _ := sendTarget(actions)
@@ -23,12 +23,12 @@
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	if !h.b.warmingUp(h.b.endpoints.byID[target]) {
-		t.Fatal("the endpoint is treated as warm")
+		t.Fatalf("endpoint %d is not in slow start after it responded again", target)
 	}
 }
 
-// A single failure to connect is no restart: the endpoint must not be treated as warming up, or requests
-// would wait for a budget that nobody needs.
+// A single failure to connect does not show a restart. It must not start a slow start, or requests would wait for
+// slow-start tokens without need.
 func TestSingleConnectFailureIsNoRestart(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	for range 50 {
@@ -36,7 +36,8 @@
 		if target, _ := sendTarget(actions); h.b.endpoints.byID[target].outlier.connectErrors == 0 {
 			again, _ := sendTarget(h.finishAttempt(id, 0, ConnectFailed, 1))
 			if again == 0 || again == target {
-				t.Fatalf("retried from %d to %d", target, again)
+				t.Fatalf("got a retry at endpoint %d after endpoint %d failed, want the other endpoint",
+					again, target)
 			}
 			h.finishAttempt(id, 1, OK, 10)
 		} else {
@@ -46,49 +47,49 @@
 	}
 	for _, ep := range h.b.endpoints.list {
 		if h.b.warmingUp(ep) {
-			t.Errorf("endpoint %d is treated as warming up", ep.ID)
+			t.Errorf("endpoint %d is in slow start after a single failure to connect", ep.ID)
 		}
 	}
 }
 
-// All instances together keep the budget of an endpoint that warms up. A budget by the requests of clients,
-// retries included, overloaded it.
-func TestSlowStartBudgetIsSharedByInstances(t *testing.T) {
+// All instances together keep the limit of an endpoint in slow start. When the limit was based on client requests,
+// including retries, rather than on responses, the endpoint was overloaded.
+func TestInstancesTogetherKeepSlowStartLimit(t *testing.T) {
 	const instances, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
-	toWarmingUp := 0
+	toRestarted := 0
 	for n := range instances {
 		cfg.Seed, cfg.InstanceIndex = uint64(n+1), n
 		endpoints := newEndpoints(5)
 		h := newHarness(t, cfg, endpoints...)
 		for i := range perSecond * seconds {
-			if i == perSecond*3 { // half-way one endpoint restarts
+			if i == perSecond*3 { // one endpoint restarts after half of the time
 				endpoints[0].StartedAt = h.now
 				h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: endpoints[:1]})
 			}
 			id, actions := h.request(idempotentClass)
 			target, ok := sendTarget(actions)
 			if !ok {
-				t.Fatal("nothing sent")
+				t.Fatalf("request %d was not sent", id)
 			}
 			if target == 1 && i >= perSecond*3 && i < perSecond*4 {
-				toWarmingUp++
+				toRestarted++
 			}
 			h.finishAttempt(id, 0, OK, 10)
 			h.now += 1000 / perSecond
 		}
 	}
-	// A warm endpoint gets a fifth of the traffic; one that warms up can do WarmUpInitialFraction of
-	// that and a little more, and is overloaded at OverloadFactor times its capacity.
+	// A fully started endpoint gets a fifth of the requests. An endpoint in the first second of its slow start has
+	// little more than the initial fraction of that capacity, and is overloaded at OverloadFactor times its capacity.
 	limit := float64(instances*perSecond) / 5 * cfg.OverloadFactor * (cfg.WarmUpInitialFraction + 0.05)
-	if toWarmingUp == 0 || float64(toWarmingUp) > limit {
-		t.Fatalf("%d sends to the restarted endpoint in its first second, want 1 to %.0f", toWarmingUp, limit)
+	if toRestarted == 0 || float64(toRestarted) > limit {
+		t.Fatalf("%d attempts at the restarted endpoint in its first second, want 1 to %.0f", toRestarted, limit)
 	}
 }
 
-// Many instances with uneven traffic keep the budget of an endpoint that warms up without any communication:
-// together they stay below the overload factor of its capacity in each window.
-func TestSlowStartBudgetIsSharedByManyUnevenInstances(t *testing.T) {
+// Many instances with uneven traffic keep the limit of an endpoint in slow start without communication: together
+// they stay below its capacity times the overload factor in each second.
+func TestManyUnevenInstancesTogetherKeepSlowStartLimit(t *testing.T) {
 	const instances, seconds = 1500, 12
 	cfg := baseConfig()
 	cfg.InstanceCount, cfg.ConnIdleTimeout, cfg.Costs.NewConnection = instances, 10000, 0.03
@@ -97,7 +98,7 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	for n := range instances {
 		cfg.Seed, cfg.InstanceIndex = uint64(n+1), n
-		rate := random.ExpFloat64() * random.ExpFloat64() // requests a second with a skewed distribution and a mean of 1
+		rate := random.ExpFloat64() * random.ExpFloat64() // requests per second: a skewed distribution with mean 1
 		endpoints := newEndpoints(30)
 		h := newHarness(t, cfg, endpoints...)
 		h.randomizeRotation()
@@ -105,46 +106,47 @@
 		endpoints[0].StartedAt = start + 4000
 		for restarted := false; ; {
 			h.now += Milliseconds(1000 * random.ExpFloat64() / (rate + 1e-3))
-			at := int(h.now-start) / 1000
-			if at >= seconds {
+			second := int(h.now-start) / 1000
+			if second >= seconds {
 				break
 			}
-			if at >= 4 && !restarted {
+			if second >= 4 && !restarted {
 				restarted = true
 				now := h.now
 				h.now = start + 4000
 				h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: endpoints[:1]})
 				h.now = now
 			}
-			if total++; sendSequence(h, 1)[0] == 1 && at >= 4 {
-				toRestarted[at]++
+			if total++; sendSequence(h, 1)[0] == 1 && second >= 4 {
+				toRestarted[second]++
 			}
 		}
 	}
-	perEndpoint := total / seconds / 30
+	perEndpoint := total / seconds / 30 // attempts per second at a fully started endpoint
 	sent := 0.0
-	for at := 4; at < seconds; at++ {
-		least := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*ratio(Milliseconds(at-4)*1000, cfg.WarmUpDuration)
-		// perEndpoint is what a warm endpoint is sent; with a margin for chance
-		if limit := cfg.OverloadFactor*least*perEndpoint + 2*math.Sqrt(perEndpoint); toRestarted[at] > limit {
-			t.Errorf("second %d: %.0f sends to the restarted endpoint, limit %.0f (a warm one gets %.0f)",
-				at, toRestarted[at], limit, perEndpoint)
+	for second := 4; second < seconds; second++ {
+		progress := ratio(Milliseconds(second-4)*1000, cfg.WarmUpDuration)
+		capacity := cfg.WarmUpInitialFraction + (1-cfg.WarmUpInitialFraction)*progress
+		// The second term is a margin for random variation.
+		if limit := cfg.OverloadFactor*capacity*perEndpoint + 2*math.Sqrt(perEndpoint); toRestarted[second] > limit {
+			t.Errorf("second %d: restarted endpoint got %.0f attempts, want %.0f at most (%.0f if fully started)",
+				second, toRestarted[second], limit, perEndpoint)
 		}
-		sent += toRestarted[at]
+		sent += toRestarted[second]
 	}
 	if sent < perEndpoint {
-		t.Errorf("%.0f sends in eight seconds: the endpoint does not warm up", sent)
+		t.Errorf("got %.0f attempts at the restarted endpoint in 8 s, want %.0f or more", sent, perEndpoint)
 	}
 }
 
-// An endpoint that warms up has no open connections. Its budget must not be compared with weights that open
-// connections raise, or it gets nothing during a release.
-func TestWarmingUpEndpointGetsItsShareDespiteOpenConnections(t *testing.T) {
-	toWarmingUp := func(price float64) int {
-		n := 0
+// An endpoint in slow start has no open connections. Its weight must still compete with the weights of endpoints
+// that open connections raise, or the endpoint gets no requests while a release restarts the fleet.
+func TestEndpointInSlowStartGetsItsShareDespiteOpenConnections(t *testing.T) {
+	attemptsAtRestarted := func(connectionCost float64) int {
+		attempts := 0
 		for seed := range uint64(200) {
 			cfg := baseConfig()
-			cfg.Seed, cfg.ConnIdleTimeout, cfg.Costs.NewConnection = seed+1, 10000, price
+			cfg.Seed, cfg.ConnIdleTimeout, cfg.Costs.NewConnection = seed+1, 10000, connectionCost
 			endpoints := newEndpoints(30)
 			h := newHarness(t, cfg, endpoints...)
 			h.randomizeRotation()
@@ -153,71 +155,74 @@
 			h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: endpoints[:1]})
 			for range 40 {
 				if sendSequence(h, 1)[0] == 1 {
-					n++
+					attempts++
 				}
 				h.now += 250
 			}
 		}
-		return n
+		return attempts
 	}
-	even, reuse := toWarmingUp(0), toWarmingUp(0.08)
-	if reuse < even*4/5 || reuse > even*5/2 {
-		t.Fatalf("%d sends to the restarted endpoint where connections have a cost, %d where not", reuse, even)
+	withoutCost, withCost := attemptsAtRestarted(0), attemptsAtRestarted(0.08)
+	if withCost < withoutCost*4/5 || withCost > withoutCost*5/2 {
+		t.Fatalf("restarted endpoint got %d attempts when connections have a cost, want %d to %d (%d without)",
+			withCost, withoutCost*4/5, withoutCost*5/2, withoutCost)
 	}
 }
 
-// The responses of endpoints that are now ejected still count in the rate of which an endpoint that warms up
-// gets its share. With the others as the whole its budget would be a multiple of what it may get.
-func TestEjectedEndpointsDoNotRaiseSlowStartBudget(t *testing.T) {
+// The response rate that an endpoint in slow start gets its share of still includes the responses of endpoints that
+// are now ejected. If the share was relative to the other endpoints only, it would be several times too high.
+func TestEjectedEndpointsDoNotRaiseSlowStartLimit(t *testing.T) {
 	endpoints := newEndpoints(4)
-	endpoints[3].StartedAt = 900 // 100 ms ago
+	endpoints[3].StartedAt = 900 // 100 ms before the test starts
 	h := newHarness(t, baseConfig(), endpoints...)
-	sendToWarmingUp := func(n int) (sent int) {
-		for range n {
+	sentToRestarted := func(requests int) (sent int) {
+		for range requests {
 			h.now += 10
 			id, actions := h.request(idempotentClass)
-			if to, _ := sendTarget(actions); to == 4 {
+			if target, _ := sendTarget(actions); target == 4 {
 				sent++
 			}
 			h.finishAttempt(id, 0, OK, 30)
 		}
 		return sent
 	}
-	before := sendToWarmingUp(100)
+	before := sentToRestarted(100)
 	for _, ep := range h.b.endpoints.list[:2] {
 		ep.outlier.ejectedUntil = h.now + 1000
 	}
-	if during := sendToWarmingUp(100); during > before+before/2+2 {
-		t.Errorf("the endpoint that warms up got %d of 100 while two others are ejected, %d before", during, before)
+	if during := sentToRestarted(100); during > before+before/2+2 {
+		t.Errorf("endpoint in slow start got %d of 100 requests during ejections, want %d at most (%d before)",
+			during, before+before/2+2, before)
 	}
 }
 
-// The responses assumed before any was seen do not count in the slow start budget: those of many small
-// instances together overloaded an endpoint. An instance without responses may hardly send anything to it.
-func TestPriorResponsesDoNotRaiseSlowStartBudget(t *testing.T) {
+// The slow-start limit does not include the responses that other rates assume before any response arrives: those of
+// many instances with little traffic added up and overloaded an endpoint. So an instance without responses may send
+// hardly any requests to an endpoint in slow start.
+func TestPriorResponsesDoNotRaiseSlowStartLimit(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	entry := h.b.endpoints.list[0].Endpoint
 	entry.StartedAt = h.now
 	h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry}})
 	h.now += 2000
-	h.request(idempotentClass) // sets the weights
+	h.request(idempotentClass) // computes the weights
 	ep := h.b.endpoints.list[0]
 	ep.slowStart.tokens, ep.slowStart.updatedAt = 0, h.now-2000
-	if h.b.refillSlowStart(ep); ep.slowStart.tokens > 0.2 { // 1 with ten assumed responses
-		t.Fatalf("%.2f sends in two seconds", ep.slowStart.tokens)
+	if h.b.refillSlowStart(ep); ep.slowStart.tokens > 0.2 { // 1 with ten prior responses
+		t.Fatalf("got %.2f tokens in 2 s without responses, want 0.2 at most", ep.slowStart.tokens)
 	}
-	for range 400 { // a share of two hundred responses a second
+	for range 400 { // in 2 s: 200 responses per second
 		h.b.responses.record()
 	}
 	ep.slowStart.tokens, ep.slowStart.updatedAt = 0, h.now-2000
 	if h.b.refillSlowStart(ep); ep.slowStart.tokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy instance", ep.slowStart.tokens)
+		t.Fatalf("got %.2f tokens in 2 s for a busy instance, want 0.5 or more", ep.slowStart.tokens)
 	}
 }
 
-// An endpoint that warms up must not save its turns in the rotation, or all instances choose it at once when
-// its warm-up ends.
-func TestWarmedUpEndpointIsNotFirstAtAllInstances(t *testing.T) {
+// An endpoint in slow start must not accumulate rotation credit, or all instances pick it at the same time when its
+// slow start ends.
+func TestEndpointAfterSlowStartIsNotFirstAtAllInstances(t *testing.T) {
 	first := 0
 	for seed := range uint64(200) {
 		cfg := baseConfig()
@@ -227,7 +232,7 @@
 		h.randomizeRotation()
 		endpoints[0].StartedAt = h.now
 		h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: endpoints[:1]})
-		for h.now < endpoints[0].StartedAt+cfg.WarmUpDuration-1000 { // hardly any budget while it warms up
+		for h.now < endpoints[0].StartedAt+cfg.WarmUpDuration-1000 { // so little traffic yields hardly any tokens
 			sendSequence(h, 1)
 			h.now += 1000
 		}
@@ -236,20 +241,20 @@
 			first++
 		}
 	}
-	if first > 60 { // an even share is 10; with the turns saved up it was 117
-		t.Fatalf("%d of 200 instances sent to the endpoint at once", first)
+	if first > 60 { // an even share is 10; with accumulated credit it was 117
+		t.Fatalf("%d of 200 instances picked the endpoint first when its slow start ended, want 60 at most", first)
 	}
 }
 
-// Instances that start next to endpoints that warm up do not know the rate of the fleet yet. The first
-// request of each must not bring it the budget of the whole fleet, or together they overload those endpoints.
-func TestStartingInstancesSpareWarmingUpEndpoints(t *testing.T) {
+// Instances that start while endpoints are in slow start do not know the request rate of the fleet yet. The first
+// requests of all instances together must not overload these endpoints.
+func TestStartingInstancesSpareEndpointsInSlowStart(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
 	now := Milliseconds(100000)
 	for i := range 20 {
 		endpoints[i].StartedAt = now - 1000
 	}
-	toWarmingUp := 0
+	toSlowStart := 0
 	for i := range 300 {
 		b := New(largeFleetConfig(i, 300))
 		b.Start(now)
@@ -258,13 +263,13 @@
 			StickyKey: uint64(1 + i%200), Remaining: 1500})
 		target, ok := sendTarget(actions)
 		if err != nil || !ok {
-			t.Fatalf("not sent: %v, %v", actions, err)
+			t.Fatalf("got actions %v and error %v, want an attempt", actions, err)
 		}
 		if b.warmingUp(b.endpoints.byID[target]) {
-			toWarmingUp++
+			toSlowStart++
 		}
 	}
-	if toWarmingUp > 10 { // 300 / 60 for each warm endpoint
-		t.Errorf("%d of the first 300 requests went to 20 endpoints that warm up", toWarmingUp)
+	if toSlowStart > 10 { // each fully started endpoint gets 300 / 60
+		t.Errorf("%d of the first 300 requests went to 20 endpoints in slow start, want 10 at most", toSlowStart)
 	}
 }
--- a/balance/sticky_test.go
+++ b/balance/sticky_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// An endpoint does less work for a key that it served lately. In a large fleet a key stays at a few
-// endpoints, the same for all instances, or each has evicted it before it comes again.
+// In a large fleet, the requests for a key go to a few endpoints, the same at all instances. Otherwise each endpoint
+// would evict the key from its cache before it gets the next request for it.
 func TestStickyKeyUsesFewEndpoints(t *testing.T) {
 	all := newInstances(t, 40, newZonedEndpoints(60))
 	at := map[uint64]map[EndpointID]bool{}
 	sent := map[EndpointID]int{}
 	for round := range 100 {
 		for i, h := range all {
-			key := uint64(1 + (round*7+i*31)%200) // each instance gets many keys, and none of them often
+			key := uint64(1 + (round*7+i*31)%200) // each instance gets many keys, each of them rarely
 			target := h.serveKey(key)
 			if at[key] == nil {
 				at[key] = map[EndpointID]bool{}
@@ -21,25 +21,26 @@
 	}
 	for key, endpoints := range at {
 		if len(endpoints) > endpointsPerStickyKey {
-			t.Errorf("key %d went to %d endpoints: want %d at most", key, len(endpoints), endpointsPerStickyKey)
+			t.Errorf("requests for key %d went to %d endpoints, want %d at most",
+				key, len(endpoints), endpointsPerStickyKey)
 		}
 	}
 	for id, n := range sent {
 		if mean := 4000 / 60; n > 4*mean {
-			t.Errorf("endpoint %x got %d of 4000 requests: the mean is %d", id, n, mean)
+			t.Errorf("endpoint %x got %d of 4000 requests, want %d at most (mean %d)", id, n, 4*mean, mean)
 		}
 	}
 	if len(sent) < 55 {
-		t.Errorf("%d of 60 endpoints got any of 200 keys", len(sent))
+		t.Errorf("%d of 60 endpoints got requests for 200 keys, want 55 or more", len(sent))
 	}
 }
 
-// A key with a fifth of all requests would overload a few endpoints of sixty. It uses so many that none gets
-// more than a part of its share by this key, and other keys stay where they are.
+// A hot key with a fifth of all requests would overload a few of 60 endpoints. It uses so many endpoints that it is
+// only a fraction of the requests of each, and the other keys stay at their endpoints.
 func TestHotKeyUsesMoreEndpoints(t *testing.T) {
 	all := newInstances(t, 40, newZonedEndpoints(60))
 	hot, rare := map[EndpointID]int{}, map[uint64]map[EndpointID]bool{}
-	n := 0
+	hotRequests := 0
 	for round := range 300 {
 		for i, h := range all {
 			key := uint64(2 + (round*7+i*31)%200)
@@ -52,26 +53,28 @@
 					rare[key] = map[EndpointID]bool{}
 				}
 				rare[key][target] = true
-			} else if round >= 150 { // by then the traffic of the key is known
+			} else if round >= 150 { // by then the instances have learned that the key is hot
 				hot[target]++
-				n++
+				hotRequests++
 			}
 		}
 	}
-	mean := float64(n) * 5 / 60 // of all requests since then
+	mean := float64(hotRequests) * 5 / 60 // requests for all keys per endpoint since round 150
 	for id, got := range hot {
 		if float64(got) > 0.5*mean {
-			t.Errorf("endpoint %x got %d requests of one key: its share of all is %.0f", id, got, mean)
+			t.Errorf("endpoint %x got %d requests for the hot key, want %.0f at most (mean for all keys: %.0f)",
+				id, got, 0.5*mean, mean)
 		}
 	}
 	for key, endpoints := range rare {
-		if len(endpoints) > endpointsPerStickyKey+2 { // two keys may share a counter
-			t.Errorf("key %d went to %d endpoints: want %d at most", key, len(endpoints), endpointsPerStickyKey)
+		if len(endpoints) > endpointsPerStickyKey+2 { // two keys may share a bucket of the key counter
+			t.Errorf("requests for key %d went to %d endpoints, want %d at most",
+				key, len(endpoints), endpointsPerStickyKey+2)
 		}
 	}
 }
 
-// The loss of a zone moves only the keys of its endpoints.
+// The loss of a zone moves only the keys of its endpoints. All other keys keep their endpoints.
 func TestZoneLossMovesOnlyItsOwnKeys(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
 	h := newInstances(t, 1, endpoints)[0]
@@ -89,7 +92,7 @@
 		}
 		return at
 	}
-	for i := range 5 * keys { // no key is a large part of the traffic
+	for i := range 5 * keys { // so that no key looks hot
 		h.serveKey(1 + uint64(i%keys))
 	}
 	before := endpointsByKey()
@@ -103,13 +106,14 @@
 	for key, at := range endpointsByKey() {
 		for target := range before[key] {
 			if !lost[target] && !at[target] {
-				t.Fatalf("key %d left endpoint %x, which is still there", key, target)
+				t.Fatalf("key %d moved away from endpoint %x, which is still listed", key, target)
 			}
 		}
 	}
 }
 
-// A small fleet caches all keys anyway, and the rotation over all its endpoints stays even.
+// In a small fleet, sticky keys have no effect, because each endpoint caches all keys anyway: the rotation over all
+// endpoints is even.
 func TestSmallFleetUsesAllEndpointsForAKey(t *testing.T) {
 	h := newInstances(t, 1, newZonedEndpoints(9))[0]
 	sent := map[EndpointID]int{}
@@ -118,76 +122,79 @@
 	}
 	for id, n := range sent {
 		if n != 10 {
-			t.Errorf("endpoint %x got %d of 90 requests of one key: want 10", id, n)
+			t.Errorf("endpoint %x got %d of 90 requests for one key, want 10", id, n)
 		}
 	}
 	if len(sent) != 9 {
-		t.Errorf("%d of 9 endpoints got any", len(sent))
+		t.Errorf("%d endpoints got requests, want 9", len(sent))
 	}
 }
 
-// A popular key may overload its sticky endpoint, which only slow responses show. Instances use another
-// endpoint of the key for a while and return when the first is fast again.
+// A hot key can overload its sticky endpoint, which only slow responses show. Instances then use other endpoints of
+// the key for a limited time, and return to the endpoint when it is fast again.
 func TestOverloadedStickyEndpointIsAvoided(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
 	const instances = 20
-	before, overloaded, after := 0, 0, 0
+	before, during, after := 0, 0, 0
 	for i := range instances {
 		sim := newInstanceSimulation(t, i, instances, endpoints)
-		busy := endpoints[7].ID
-		sent := func(span Milliseconds) int {
-			start := sim.sent[busy]
-			sim.run(sim.now+span, 10)
-			return sim.sent[busy] - start
+		overloadedID := endpoints[7].ID
+		attemptsWithin := func(duration Milliseconds) int {
+			start := sim.sent[overloadedID]
+			sim.run(sim.now+duration, 10)
+			return sim.sent[overloadedID] - start
 		}
-		before += sent(10000)
+		before += attemptsWithin(10000)
 		sim.latency = func(id EndpointID) Milliseconds {
-			if id == busy {
+			if id == overloadedID {
 				return 250
 			}
 			return 5
 		}
-		overloaded += sent(10000)
+		during += attemptsWithin(10000)
 		sim.latency = func(EndpointID) Milliseconds { return 5 }
-		sent(2000)
-		after += sent(10000)
+		attemptsWithin(2000)
+		after += attemptsWithin(10000)
 	}
-	if overloaded > before/2 {
-		t.Errorf("the overloaded endpoint got %d requests, %d before", overloaded, before)
+	if during > before/2 {
+		t.Errorf("the overloaded endpoint got %d attempts, %d before: want half of that at most", during, before)
 	}
 	if after < before/3 {
-		t.Errorf("the endpoint got %d requests when it was fast again, %d before", after, before)
+		t.Errorf("the recovered endpoint got %d attempts, %d before the overload: want a third of that or more",
+			after, before)
 	}
 }
 
-// When most endpoints are replaced at once a new one gets requests in proportion to its capacity. Its weight
-// already sees to that among the endpoints of a key, so it must not get fewer keys as well.
-func TestWarmingUpEndpointsKeepTheirKeys(t *testing.T) {
+// When most endpoints restart at once, each of them gets requests in proportion to its capacity. Its weight among
+// the endpoints of a key already ensures this, so slow start must not reduce its number of keys, too.
+func TestEndpointsInSlowStartKeepTheirKeys(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
 	const instances = 20
-	toNew, all := 0, 0
+	toRestarted, total := 0, 0
 	for i := range instances {
 		sim := newInstanceSimulation(t, i, instances, endpoints)
 		sim.run(sim.now+2000, 20)
-		replaced := make([]Endpoint, 36)
-		for j := range replaced {
-			replaced[j] = endpoints[j]
-			replaced[j].StartedAt = sim.now
+		restarted := make([]Endpoint, 36)
+		for j := range restarted {
+			restarted[j] = endpoints[j]
+			restarted[j].StartedAt = sim.now
 		}
-		sim.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: replaced})
-		sim.run(sim.now+5000, 20) // two fifths of the warm-up
+		sim.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: restarted})
+		sim.run(sim.now+5000, 20) // the first quarter of slow start
 		clear(sim.sent)
 		sim.run(sim.now+5000, 20)
-		for _, s := range endpoints {
-			all += sim.sent[s.ID]
+		for _, ep := range endpoints {
+			total += sim.sent[ep.ID]
 		}
-		for _, s := range replaced {
-			toNew += sim.sent[s.ID]
+		for _, ep := range restarted {
+			toRestarted += sim.sent[ep.ID]
 		}
 	}
-	warm := 24.0
-	able := 36 * 0.5 // mean capacity in these 5 s, relative to a warm endpoint
-	if got, part := float64(toNew)/float64(all), able/(able+warm); got < part*0.8 || got > part*1.3 {
-		t.Errorf("endpoints that warm up got %.2f of the requests, their capacity is %.2f", got, part)
+	fullCapacity := 24.0
+	restartedCapacity := 36 * 0.5 // mean capacity in these 5 s, relative to an endpoint that has not restarted
+	got, capacityFraction := float64(toRestarted)/float64(total), restartedCapacity/(restartedCapacity+fullCapacity)
+	if got < capacityFraction*0.8 || got > capacityFraction*1.3 {
+		t.Errorf("endpoints in slow start got %.2f of the attempts, want %.2f to %.2f (their capacity: %.2f)",
+			got, capacityFraction*0.8, capacityFraction*1.3, capacityFraction)
 	}
 }
