--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -19,8 +19,7 @@
 	ownCapacityGain = 0.5
 )
 
-// capacityFactor is a learned factor of an endpoint's capacity. The factor is cached, because each pick reads
-// it.
+// capacityFactor is a learned factor of an endpoint's capacity. It is cached, because each pick reads it.
 type capacityFactor struct{ logarithm, factor float64 }
 
 // newCapacityFactor returns the factor 1.
--- a/balance/endpointload.go
+++ b/balance/endpointload.go
@@ -14,9 +14,8 @@
 	sentSinceReport  float64      // attempts of this sidecar since the last load report
 }
 
-// loadTracker adds attempts to the load of their endpoints and removes them. The load of overdue attempts,
-// which take far longer than is usual in their class and may be lost, is tracked separately for all endpoints
-// together.
+// loadTracker adds attempts to the load of their endpoints and removes them. It tracks the load of overdue
+// attempts separately. They take far longer than is usual in their class, and may be lost.
 type loadTracker struct {
 	overdue float64 // required response rate of the overdue attempts, per millisecond
 }
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -135,8 +135,7 @@
 	return !slices.ContainsFunc(req.checkedEndpoints, pending)
 }
 
-// resumeAwaitingChecks advances the requests that wait for health checks, and keeps those that still have to
-// wait.
+// resumeAwaitingChecks advances the requests that wait for health checks, and keeps those that still wait.
 func (b *Balancer) resumeAwaitingChecks() {
 	waiting := b.checks.awaiting
 	b.checks.awaiting = waiting[:0]
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -22,7 +22,7 @@
 	includeEjected ejectionPolicy = true
 )
 
-// rotation is the state of the smooth weighted round robin that all endpoints share.
+// rotation is the part of the state of the smooth weighted round robin that all endpoints share.
 type rotation struct {
 	level         float64 // credit of the last picked endpoint, before the attempt was charged
 	totalCapacity float64 // total capacity of the eligible endpoints at the last first attempt
@@ -32,8 +32,8 @@
 // distributes a credit of 1 among the candidates in proportion to their weights, and each attempt costs its
 // endpoint a credit of 1. The candidate with the highest credit is next.
 type rotationEntry struct {
-	value                  float64 // credit, in attempts
-	active                 bool    // the credit has its random initial value
+	value                  float64 // in attempts
+	active                 bool    // the credit has been initialized
 	initializedInSlowStart bool    // the endpoint was in slow start when the credit was initialized
 }
 
@@ -57,7 +57,7 @@
 // to one that need not be avoided. Both cost the endpoint rotation credit.
 func (b *Balancer) pick(req *request, kind attemptKind) *endpoint {
 	totals := b.updateRotation(req, kind, excludeEjected)
-	if totals.weight == 0 { // if all endpoints are ejected, the cause is probably not in the endpoints
+	if totals.weight == 0 { // all are ejected, so the cause is probably not in the endpoints
 		totals = b.updateRotation(req, kind, includeEjected)
 	}
 	best := b.bestCandidate(req, kind, totals)
@@ -85,9 +85,9 @@
 	return best.endpoint
 }
 
-// shouldAvoid reports whether other candidates should get the attempt: the endpoint has too many requests in
-// flight, as when it is slow or hangs, its health check is pending, it is overloaded, or its load is not
-// known. The endpoint keeps its rotation credit meanwhile.
+// shouldAvoid reports whether the attempt should rather go to another candidate. This is the case if the
+// endpoint has too many requests in flight, because it is slow or hangs, if its health check is pending, if
+// it is overloaded, or if its load is not known. An avoided endpoint keeps its rotation credit.
 func (b *Balancer) shouldAvoid(req *request, ep *endpoint, totals pickTotals) bool {
 	limit := math.Ceil(totals.inFlightPerWeight * ep.candidate.weight)
 	withinLimit := b.estimatedInFlight(ep)+1 <= limit
@@ -131,7 +131,9 @@
 		inSlowStart := ep.candidate.inSlowStart
 		if !ep.rotation.active || ep.rotation.initializedInSlowStart && !inSlowStart {
 			credit := b.rotation.level - b.random.next()
-			ep.rotation = rotationEntry{value: credit, active: true, initializedInSlowStart: inSlowStart}
+			ep.rotation = rotationEntry{
+				value: credit, active: true, initializedInSlowStart: inSlowStart,
+			}
 			*b.rotationCredit(req, ep) = credit
 		}
 		if kind == firstAttempt {
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -7,6 +7,10 @@
 // because the sum of the attempts of all sidecars varies at random.
 const slowStartLoadFraction = 0.5
 
+// slowStartPriorResponses is the number of responses that the refill rate assumes in addition to those
+// received. It is low, so that the assumed responses of many sidecars do not add up.
+const slowStartPriorResponses = 1
+
 // tokenPolicy determines which saved slow-start tokens allow an attempt.
 type tokenPolicy bool
 
@@ -81,13 +85,14 @@
 
 // refillSlowStart refills the tokens of an endpoint in slow start. The rate is the endpoint's share, by its
 // present capacity, of the responses that this sidecar receives, times a fraction of the overload factor, but
-// at least times 1. The rate is based on responses, because clients repeat requests in an overload. It
-// assumes only one prior response, so that the prior responses of many sidecars do not add up.
+// at least times 1. It is based on responses rather than requests, because clients repeat requests in an
+// overload.
 func (b *Balancer) refillSlowStart(ep *endpoint) {
 	b.advanceResponseRate()
 	totalCapacity := max(b.rotation.totalCapacity, ep.candidate.capacity)
 	loadFactor := max(1, b.cfg.OverloadFactor*slowStartLoadFraction)
-	rate := b.responsesPerMillisecond(1) * ep.candidate.capacity / totalCapacity * loadFactor
+	sidecarRate := b.responsesPerMillisecond(slowStartPriorResponses)
+	rate := sidecarRate * ep.candidate.capacity / totalCapacity * loadFactor
 	ep.slowStart.refill(b.now, rate, b.cfg.OverloadWindow)
 }
 
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -7,8 +7,9 @@
 	// connReuseGain sets how much the cost of a connection raises the weight of endpoints with an open
 	// connection: the affinity factor grows by this gain times Costs.NewConnection.
 	connReuseGain = 4000
-	// connectFailureGain does the same for the recent fraction of attempts that could not connect, because
-	// attempts fail to connect when the connection tables of endpoints are full.
+	// connectFailureGain sets how much failures to connect raise that weight, because they show that the
+	// connection tables of endpoints are full: the affinity factor grows by this gain times the recent
+	// fraction of attempts that could not connect.
 	connectFailureGain = 50
 	// connectFailureSamples is the number of attempts over which that fraction is averaged.
 	connectFailureSamples = 25
@@ -40,8 +41,8 @@
 
 // fleetTotals holds totals over the endpoints that are eligible for an attempt.
 type fleetTotals struct {
-	capacity    float64 // includes ejected endpoints
-	loadReports bool    // any candidate has a fresh load report
+	capacity       float64 // includes ejected endpoints
+	anyFreshReport bool    // any candidate has a fresh load report
 }
 
 // updateWeights sets the weight of each endpoint. Endpoints that are not candidates get a weight of 0.
@@ -62,7 +63,7 @@
 		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classFactor(req, ep)
 		ep.candidate.loadKnown = b.hasFreshReport(ep)
 		ep.candidate.inSlowStart = b.warmingUp(ep)
-		totals.loadReports = totals.loadReports || ep.candidate.loadKnown
+		totals.anyFreshReport = totals.anyFreshReport || ep.candidate.loadKnown
 	}
 	return totals
 }
@@ -72,7 +73,7 @@
 func (b *Balancer) updateCandidates(totals fleetTotals) {
 	for _, ep := range b.endpoints.list {
 		// Without any report, the attempts of this sidecar in flight are the best available estimate.
-		ep.candidate.loadKnown = ep.candidate.loadKnown || !totals.loadReports
+		ep.candidate.loadKnown = ep.candidate.loadKnown || !totals.anyFreshReport
 		if ep.candidate.weight > 0 && ep.candidate.inSlowStart {
 			b.refillSlowStart(ep)
 		}
