--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -62,7 +62,7 @@
 }
 
 // Health checks have a cost, so only a few endpoints are checked when they are idle, and all when they are busy.
-func TestHealthChecksScaleWithLoad(t *testing.T) {
+func TestMoreEndpointsAreCheckedUnderLoad(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(12)...)
 	checksPerRequest := func(inFlight float32) int {
 		checks := 0
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -41,7 +41,7 @@
 // When all endpoints have far more than their share of the requests in flight, a first attempt goes to the
 // endpoint with the lowest load per weight, while a retry still goes to the healthiest endpoint. If any endpoint
 // is not above its share, the rotation decides.
-func TestFirstSendUsesLeastLoadedWhenAllAreOverloaded(t *testing.T) {
+func TestFirstAttemptUsesLeastLoadedWhenAllAreOverloaded(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		inFlight [4]int
@@ -135,7 +135,7 @@
 // The instances together follow the weights from their first requests, even while open connections change the
 // weights. When the initial rotation credits were close together, instances with few requests used only the
 // endpoints with the highest rating.
-func TestFirstSendsFollowWeights(t *testing.T) {
+func TestFirstAttemptsFollowWeights(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnIdleTimeout, cfg.Costs.NewConnection = 10000, 0.03
 	endpoints := newEndpoints(30)
@@ -200,7 +200,7 @@
 // While attempts fail to connect, an instance prefers endpoints with an open connection. Otherwise a thousand
 // instances with a connection to each endpoint fill the connection tables, and a third of the attempts cannot
 // connect.
-func TestConnectFailuresKeepToOpenConnections(t *testing.T) {
+func TestConnectFailuresPreferOpenConnections(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnIdleTimeout = 15000
 	usedEndpoints := func(connectFailureFraction float64) int {
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -8,7 +8,7 @@
 
 // An endpoint that responds again after it could not be reached has restarted, even if discovery does not report a
 // restart. Its slow start begins.
-func TestRecoveredEndpointIsWarmingUp(t *testing.T) {
+func TestRecoveredEndpointIsInSlowStart(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	id, actions := h.request(idempotentClass)
 	target, _ := sendTarget(actions)
@@ -54,7 +54,7 @@
 
 // All instances together keep the limit of an endpoint in slow start. When the limit was based on client requests,
 // including retries, rather than on responses, the endpoint was overloaded.
-func TestSlowStartBudgetIsSharedByInstances(t *testing.T) {
+func TestInstancesTogetherKeepSlowStartLimit(t *testing.T) {
 	const instances, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
 	toRestarted := 0
@@ -89,7 +89,7 @@
 
 // Many instances with uneven traffic keep the limit of an endpoint in slow start without communication: together
 // they stay below its capacity times the overload factor in each second.
-func TestSlowStartBudgetIsSharedByManyUnevenInstances(t *testing.T) {
+func TestManyUnevenInstancesTogetherKeepSlowStartLimit(t *testing.T) {
 	const instances, seconds = 1500, 12
 	cfg := baseConfig()
 	cfg.InstanceCount, cfg.ConnIdleTimeout, cfg.Costs.NewConnection = instances, 10000, 0.03
@@ -141,7 +141,7 @@
 
 // An endpoint in slow start has no open connections. Its weight must still compete with the weights of endpoints
 // that open connections raise, or the endpoint gets no requests while a release restarts the fleet.
-func TestWarmingUpEndpointGetsItsShareDespiteOpenConnections(t *testing.T) {
+func TestEndpointInSlowStartGetsItsShareDespiteOpenConnections(t *testing.T) {
 	attemptsAtRestarted := func(connectionCost float64) int {
 		attempts := 0
 		for seed := range uint64(200) {
@@ -171,7 +171,7 @@
 
 // The response rate that an endpoint in slow start gets its share of still includes the responses of endpoints that
 // are now ejected. If the share was relative to the other endpoints only, it would be several times too high.
-func TestEjectedEndpointsDoNotRaiseSlowStartBudget(t *testing.T) {
+func TestEjectedEndpointsDoNotRaiseSlowStartLimit(t *testing.T) {
 	endpoints := newEndpoints(4)
 	endpoints[3].StartedAt = 900 // 100 ms before the test starts
 	h := newHarness(t, baseConfig(), endpoints...)
@@ -199,7 +199,7 @@
 // The slow-start limit does not include the responses that other rates assume before any response arrives: those of
 // many instances with little traffic added up and overloaded an endpoint. So an instance without responses may send
 // hardly any requests to an endpoint in slow start.
-func TestPriorResponsesDoNotRaiseSlowStartBudget(t *testing.T) {
+func TestPriorResponsesDoNotRaiseSlowStartLimit(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	entry := h.b.endpoints.list[0].Endpoint
 	entry.StartedAt = h.now
@@ -222,7 +222,7 @@
 
 // An endpoint in slow start must not accumulate rotation credit, or all instances pick it at the same time when its
 // slow start ends.
-func TestWarmedUpEndpointIsNotFirstAtAllInstances(t *testing.T) {
+func TestEndpointAfterSlowStartIsNotFirstAtAllInstances(t *testing.T) {
 	first := 0
 	for seed := range uint64(200) {
 		cfg := baseConfig()
@@ -248,7 +248,7 @@
 
 // Instances that start while endpoints are in slow start do not know the request rate of the fleet yet. The first
 // requests of all instances together must not overload these endpoints.
-func TestStartingInstancesSpareWarmingUpEndpoints(t *testing.T) {
+func TestStartingInstancesSpareEndpointsInSlowStart(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
 	now := Milliseconds(100000)
 	for i := range 20 {
--- a/balance/sticky_test.go
+++ b/balance/sticky_test.go
@@ -167,7 +167,7 @@
 
 // When most endpoints restart at once, each of them gets requests in proportion to its capacity. Its weight among
 // the endpoints of a key already ensures this, so slow start must not reduce its number of keys, too.
-func TestWarmingUpEndpointsKeepTheirKeys(t *testing.T) {
+func TestEndpointsInSlowStartKeepTheirKeys(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
 	const instances = 20
 	toRestarted, total := 0, 0
