--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -21,7 +21,7 @@
 
 // presumedLost reports whether an overdue attempt is probably lost: the endpoint has responded to an attempt
 // that was sent later.
-func (a *attempt) presumedLost() bool { return a.endpoint.activity.newestRespondedSentAt > a.sentAt }
+func (a *attempt) presumedLost() bool { return a.endpoint.activity.latestSuccessSentAt > a.sentAt }
 
 // sendAttempt sends a request to an endpoint.
 func (b *Balancer) sendAttempt(req *request, ep *endpoint) {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -35,7 +35,7 @@
 	load            loadTracker
 	checks          candidateChecks
 	capacity        capacityLearner
-	timePerInFlight inFlightTime
+	timePerInFlight timePerInFlight
 	connectFailures connectFailures
 }
 
@@ -45,12 +45,12 @@
 		random:    randomSource{state: cfg.Seed},
 		requests:  map[RequestID]*request{},
 		endpoints: newEndpointSet(),
-		rotation:  rotation{level: 1},
+		rotation:  rotation{lastPickedCredit: 1},
 		latency:   newLatencyStats(),
 		checks:    candidateChecks{busyFraction: 1},
 	}
 	b.applyConfig(cfg, nil, nil)
-	b.timePerInFlight = newInFlightTime(b.longestObjective)
+	b.timePerInFlight = newTimePerInFlight(b.longestObjective)
 	return b
 }
 
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -55,7 +55,7 @@
 // endpoints respond equally fast. latencyRatio is the latency relative to the mean of its class. Endpoints in
 // slow start are ignored, because they are slow for another reason.
 func (b *Balancer) learnCapacity(ep *endpoint, latencyRatio float64) {
-	if b.warmingUp(ep) {
+	if b.inSlowStart(ep) {
 		return
 	}
 	b.advanceResponseRate()
--- a/balance/classhealth.go
+++ b/balance/classhealth.go
@@ -121,6 +121,6 @@
 		return
 	}
 	for _, ep := range b.endpoints.list {
-		ep.scoreFor(req).rotationCredit = ep.rotation.value
+		ep.scoreFor(req).rotationCredit = ep.rotation.credit
 	}
 }
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -25,7 +25,7 @@
 func newEndpoint(classCount int) *endpoint {
 	return &endpoint{
 		ownCapacity: newCapacityFactor(),
-		slowStart:   slowStart{warmUpSince: longAgo},
+		slowStart:   slowStart{startedAt: longAgo},
 		activity:    endpointActivity{lastSendAt: never},
 		classScores: newClassScores(classCount),
 	}
@@ -41,14 +41,14 @@
 
 // endpointActivity holds the times of the last exchanges between this sidecar and an endpoint.
 type endpointActivity struct {
-	lastSendAt            Milliseconds // when the last attempt was sent; never: no attempt was sent
-	lastResponseAt        Milliseconds // when the endpoint last responded to an attempt or health check
-	newestRespondedSentAt Milliseconds // latest send time of all attempts with a successful response
+	lastSendAt          Milliseconds // when the last attempt was sent; never: no attempt was sent
+	lastResponseAt      Milliseconds // when the endpoint last responded to an attempt or health check
+	latestSuccessSentAt Milliseconds // latest send time of all attempts with a successful response
 }
 
 // recordResponseTo records a successful response to an attempt that was sent at sentAt.
 func (a *endpointActivity) recordResponseTo(sentAt Milliseconds) {
-	a.newestRespondedSentAt = max(a.newestRespondedSentAt, sentAt)
+	a.latestSuccessSentAt = max(a.latestSuccessSentAt, sentAt)
 }
 
 // mayBeConnected reports whether a connection to the endpoint is probably open, because the last attempt was
--- a/balance/endpointload.go
+++ b/balance/endpointload.go
@@ -8,7 +8,7 @@
 // required to meet all latency objectives.
 type endpointLoad struct {
 	inFlight         int          // attempts of this sidecar in flight
-	perObjective     float64      // required response rate per millisecond, without overdue attempts
+	requiredRate     float64      // required response rate per millisecond, without overdue attempts
 	reportedInFlight float64      // requests in flight according to the last load report
 	reportedAt       Milliseconds // when the last load report arrived; 0: none has arrived
 	sentSinceReport  float64      // attempts of this sidecar since the last load report
@@ -17,7 +17,7 @@
 // loadTracker adds attempts to the load of their endpoints and removes them. It tracks the load of overdue
 // attempts separately. They take far longer than is usual in their class, and may be lost.
 type loadTracker struct {
-	overdue float64 // required response rate of the overdue attempts, per millisecond
+	overdueRate float64 // required response rate of the overdue attempts, per millisecond
 }
 
 // add adds an attempt to the load of its endpoint.
@@ -26,7 +26,7 @@
 		return
 	}
 	attempt.countedAsLoad = true
-	attempt.endpoint.load.perObjective += 1 / float64(req.class.LatencyObjective)
+	attempt.endpoint.load.requiredRate += 1 / float64(req.class.LatencyObjective)
 }
 
 // remove removes an attempt from the load of its endpoint or from the overdue load.
@@ -36,19 +36,19 @@
 	}
 	rate := 1 / float64(req.class.LatencyObjective)
 	if attempt.overdue {
-		attempt.endpoint.load.perObjective += rate
-		t.overdue -= rate
+		attempt.endpoint.load.requiredRate += rate
+		t.overdueRate -= rate
 	}
 	attempt.countedAsLoad = false
-	attempt.endpoint.load.perObjective -= rate
+	attempt.endpoint.load.requiredRate -= rate
 }
 
 // markOverdue moves an attempt from the load of its endpoint to the overdue load.
 func (t *loadTracker) markOverdue(req *request, attempt *attempt) {
 	rate := 1 / float64(req.class.LatencyObjective)
 	attempt.overdue = true
-	attempt.endpoint.load.perObjective -= rate
-	t.overdue += rate
+	attempt.endpoint.load.requiredRate -= rate
+	t.overdueRate += rate
 }
 
 // inFlightLoad returns the total load of the endpoints, as a required response rate per millisecond. It
@@ -58,7 +58,7 @@
 	load := 0.0
 	for _, ep := range b.endpoints.list {
 		if !ep.outlier.ejectedSinceLastSuccess() && !ep.zone.inOutage {
-			load += ep.load.perObjective
+			load += ep.load.requiredRate
 		}
 	}
 	return load
@@ -111,19 +111,19 @@
 
 // timePerInFlight estimates the time that an endpoint needs for each of its requests in flight: the mean of
 // an attempt's latency divided by the requests in flight at its endpoint, including the attempt.
-type inFlightTime struct {
+type timePerInFlight struct {
 	mean    Milliseconds
 	samples float64 // number of samples, up to averagingSamples; the initial estimate counts as one
 }
 
 // newTimePerInFlight returns the initial estimate.
-func newInFlightTime(longestObjective Milliseconds) inFlightTime {
-	return inFlightTime{mean: longestObjective.scaled(initialLatencyRatio), samples: 1}
+func newTimePerInFlight(longestObjective Milliseconds) timePerInFlight {
+	return timePerInFlight{mean: longestObjective.scaled(initialLatencyRatio), samples: 1}
 }
 
 // record adds the latency of an attempt. inFlightBefore is the number of requests in flight at the endpoint
 // before the attempt; the sample is ignored if that is unknownInFlight.
-func (t *inFlightTime) record(latency Milliseconds, inFlightBefore float64) {
+func (t *timePerInFlight) record(latency Milliseconds, inFlightBefore float64) {
 	if inFlightBefore < 0 {
 		return
 	}
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -102,7 +102,7 @@
 	ep := b.endpoints.ensureEndpoint(entry.ID, len(b.cfg.Classes))
 	if entry.StartedAt > ep.StartedAt {
 		ep.outlier.clear()
-		b.startWarmUp(ep, entry.StartedAt)
+		b.startSlowStart(ep, entry.StartedAt)
 	}
 	ep.Endpoint = *entry
 	ep.machineType = b.endpoints.ensureMachineType(ep.MachineType)
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -79,7 +79,7 @@
 		if !b.available(req, ep) || slices.Contains(req.checkedEndpoints, ep) {
 			continue
 		}
-		if next == nil || ep.rotation.value > next.rotation.value {
+		if next == nil || ep.rotation.credit > next.rotation.credit {
 			next = ep
 		}
 	}
--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -37,7 +37,7 @@
 // little traffic cannot know from its own requests how much load the other instances cause.
 func TestPolledQueueIsAvoided(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
-	h.b.endpoints.list[0].rotation.value = 1000 // next in the rotation
+	h.b.endpoints.list[0].rotation.credit = 1000 // next in the rotation
 	id, actions := h.request(idempotentClass)
 	if hasAction(actions, SendAttempt) {
 		t.Fatalf("got actions %+v before the results of the health checks, want no attempt", actions)
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -47,7 +47,7 @@
 	h.actions = append(h.actions, h.b.Start(h.now)...)
 	h.dispatch(EndpointUpdate{Kind: UpdateCachedSnapshot, Endpoints: endpoints})
 	for _, ep := range h.b.endpoints.list {
-		ep.rotation.value, ep.rotation.active = 0, true // a random start would hide the order of endpoints
+		ep.rotation.credit, ep.rotation.initialized = 0, true // a random start would hide the order of endpoints
 	}
 	return h
 }
@@ -55,7 +55,7 @@
 // randomizeRotation makes the rotation start at random, as it does without newHarness.
 func (h *harness) randomizeRotation() {
 	for _, ep := range h.b.endpoints.list {
-		ep.rotation.active = false
+		ep.rotation.initialized = false
 	}
 }
 
--- a/balance/loadshedding.go
+++ b/balance/loadshedding.go
@@ -97,7 +97,7 @@
 	}
 	// While other responses are fast, overdue attempts are not counted as load, because they may be lost.
 	slowdown := recentRatio/b.latency.shedThreshold() - 1
-	overdueLoad := b.load.overdue * clamp(overdueLoadGain*slowdown, 0, 1)
+	overdueLoad := b.load.overdueRate * clamp(overdueLoadGain*slowdown, 0, 1)
 	priorLoad := priorRatio * priorResponses / responseRateObjectives / float64(b.longestObjective)
 	return (b.inFlightLoad() + overdueLoad + priorLoad) / b.responsesPerMillisecond(priorResponses)
 }
--- a/balance/loadshedding_test.go
+++ b/balance/loadshedding_test.go
@@ -14,7 +14,7 @@
 	h.b.shedder.steadyFraction, h.b.latency.lateFraction = steadyShed, 1
 	h.b.advanceResponseRate()
 	fullLoad := (threshold + excess) * h.b.responsesPerMillisecond(priorResponses)
-	h.b.endpoints.list[0].load.perObjective += fullLoad - h.b.inFlightLoad()
+	h.b.endpoints.list[0].load.requiredRate += fullLoad - h.b.inFlightLoad()
 }
 
 // rejectedFractions sends 4000 requests of random pairs of class and tenant, while 0.4 of the load must be shed. It
@@ -298,7 +298,7 @@
 // Attempts that hang at an ejected endpoint are not a sign of overload and must not cause load shedding.
 func TestEjectedEndpointsAreNotCountedAsLoad(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
-	h.b.endpoints.list[0].load.perObjective, h.b.endpoints.list[1].load.perObjective = 5, 1
+	h.b.endpoints.list[0].load.requiredRate, h.b.endpoints.list[1].load.requiredRate = 5, 1
 	if load := h.b.inFlightLoad(); load != 6 {
 		t.Fatalf("before the ejection: got a load of %v, want 6", load)
 	}
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -23,8 +23,8 @@
 	ep := attempt.endpoint
 	ep.activity.recordResponseTo(attempt.sentAt)
 	b.recordResponse(ep)
-	if ep.outlier.likelyRestarted(b.now) && !b.warmingUp(ep) {
-		b.startWarmUp(ep, b.now)
+	if ep.outlier.likelyRestarted(b.now) && !b.inSlowStart(ep) {
+		b.startSlowStart(ep, b.now)
 	}
 	ep.outlier.clear()
 	b.advanceResponseRate()
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -24,21 +24,21 @@
 
 // rotation is the part of the state of the smooth weighted round robin that all endpoints share.
 type rotation struct {
-	level         float64 // credit of the last picked endpoint, before the attempt was charged
-	totalCapacity float64 // total capacity of the eligible endpoints at the last first attempt
+	lastPickedCredit float64 // credit of the last picked endpoint, before the attempt was charged
+	totalCapacity    float64 // total capacity of the eligible endpoints at the last first attempt
 }
 
 // rotationEntry is the state of one endpoint in the smooth weighted round robin. Each first attempt
 // distributes a credit of 1 among the candidates in proportion to their weights, and each attempt costs its
 // endpoint a credit of 1. The candidate with the highest credit is next.
 type rotationEntry struct {
-	value                  float64 // in attempts
-	active                 bool    // the credit has been initialized
+	credit                 float64 // in attempts
+	initialized            bool    // the credit has been initialized
 	initializedInSlowStart bool    // the endpoint was in slow start when the credit was initialized
 }
 
 // reset makes the next pick initialize the credit again.
-func (e *rotationEntry) reset() { e.active = false }
+func (e *rotationEntry) reset() { e.initialized = false }
 
 // pickTotals holds totals over the candidates of a pick.
 type pickTotals struct {
@@ -63,7 +63,7 @@
 	best := b.bestCandidate(req, kind, totals)
 	if best != nil {
 		credit := b.rotationCredit(req, best)
-		b.rotation.level = *credit
+		b.rotation.lastPickedCredit = *credit
 		*credit = max(*credit-1, minRotationCredit)
 	}
 	return best
@@ -129,10 +129,10 @@
 			continue
 		}
 		inSlowStart := ep.candidate.inSlowStart
-		if !ep.rotation.active || ep.rotation.initializedInSlowStart && !inSlowStart {
-			credit := b.rotation.level - b.random.next()
+		if !ep.rotation.initialized || ep.rotation.initializedInSlowStart && !inSlowStart {
+			credit := b.rotation.lastPickedCredit - b.random.next()
 			ep.rotation = rotationEntry{
-				value: credit, active: true, initializedInSlowStart: inSlowStart,
+				credit: credit, initialized: true, initializedInSlowStart: inSlowStart,
 			}
 			*b.rotationCredit(req, ep) = credit
 		}
@@ -150,7 +150,7 @@
 	if b.classFailing(req) {
 		return &ep.scoreFor(req).rotationCredit
 	}
-	return &ep.rotation.value
+	return &ep.rotation.credit
 }
 
 // precedes reports whether an attempt should go to next rather than to best.
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -27,12 +27,12 @@
 		ep.outlier.consecutiveErrors, ep.outlier.lastErrorAt = 2, h.now
 	}
 	h.b.endpoints.list[2].outlier.consecutiveErrors = 1
-	h.b.endpoints.list[1].rotation.value = 1000 // next in the rotation, although not the healthiest
+	h.b.endpoints.list[1].rotation.credit = 1000 // next in the rotation, although not the healthiest
 	id, actions := h.request(idempotentClass)
 	if target, _ := sendTarget(actions); target != 2 {
 		t.Fatalf("first attempt went to endpoint %d, want 2", target)
 	}
-	h.b.endpoints.list[3].rotation.value = 1000 // next in the rotation, which must not matter for a retry
+	h.b.endpoints.list[3].rotation.credit = 1000 // next in the rotation, which must not matter for a retry
 	if target, ok := sendTarget(h.finishAttempt(id, 0, Rejected, 1)); !ok || target != 3 {
 		t.Fatalf("retry went to endpoint %d (sent: %v), want 3", target, ok)
 	}
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(4)...)
 			for i, ep := range h.b.endpoints.list {
-				ep.load.inFlight, ep.rotation.value = c.inFlight[i], float64(10*(4-i))
+				ep.load.inFlight, ep.rotation.credit = c.inFlight[i], float64(10*(4-i))
 			}
 			h.b.endpoints.list[1].outlier.consecutiveErrors, h.b.endpoints.list[1].outlier.lastErrorAt = 1, h.now-5000
 			req := &request{class: &h.b.cfg.Classes[idempotentClass], stats: h.b.classes[idempotentClass]}
@@ -62,7 +62,7 @@
 					t.Errorf("in flight %v: retry went to endpoint 2, which has the lowest health", c.inFlight)
 				}
 				for i, ep := range h.b.endpoints.list {
-					ep.rotation.value = float64(10 * (4 - i))
+					ep.rotation.credit = float64(10 * (4 - i))
 				}
 			}
 			if ep := h.b.pick(req, firstAttempt); ep.ID != c.want {
@@ -208,7 +208,7 @@
 		h.randomizeRotation()
 		sendSequence(h, 6)
 		for _, ep := range h.b.endpoints.list {
-			ep.rotation.value = 0 // otherwise unused endpoints would be first
+			ep.rotation.credit = 0 // otherwise unused endpoints would be first
 		}
 		used := map[EndpointID]bool{}
 		for range 12 {
@@ -241,7 +241,7 @@
 		h.randomizeRotation()
 		sendSequence(h, 20)
 		for _, ep := range h.b.endpoints.list {
-			ep.rotation.value -= 0.6
+			ep.rotation.credit -= 0.6
 		}
 		sendSequence(h, 5)
 		h.dispatch(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 99, Rating: 1}}})
@@ -268,9 +268,9 @@
 		used[target]++
 	}
 	for id := EndpointID(1); id <= 3; id++ {
-		if ep := h.b.endpoints.byID[id]; math.IsNaN(ep.rotation.value) || used[id] < 5 {
+		if ep := h.b.endpoints.byID[id]; math.IsNaN(ep.rotation.credit) || used[id] < 5 {
 			t.Errorf("endpoint %d: got %d of 30 requests and rotation credit %v, want 5 or more and a number",
-				id, used[id], ep.rotation.value)
+				id, used[id], ep.rotation.credit)
 		}
 	}
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -23,7 +23,7 @@
 // The limit is hard, because an endpoint in slow start fails when the attempts of all sidecars exceed its
 // capacity times the overload factor.
 type slowStart struct {
-	warmUpSince Milliseconds // when the slow start began
+	startedAt   Milliseconds // when the slow start began
 	tokens      float64      // allowed attempts; each attempt takes one token, including retries
 	updatedAt   Milliseconds // time of the last refill
 	fullTokenAt Milliseconds // when tokens reached 1
@@ -32,7 +32,7 @@
 // start begins a slow start. initialTokens is random, so that the sidecars do not all send their first
 // attempts at the same time.
 func (s *slowStart) start(since, now Milliseconds, initialTokens float64) {
-	s.warmUpSince = since
+	s.startedAt = since
 	s.tokens = initialTokens
 	s.updatedAt = now
 }
@@ -65,20 +65,20 @@
 }
 
 // inSlowStart reports whether an endpoint is in slow start.
-func (b *Balancer) warmingUp(ep *endpoint) bool {
-	return b.now < ep.slowStart.warmUpSince+b.cfg.SlowStartDuration
+func (b *Balancer) inSlowStart(ep *endpoint) bool {
+	return b.now < ep.slowStart.startedAt+b.cfg.SlowStartDuration
 }
 
 // slowStartCapacityFraction returns the fraction of its capacity that an endpoint has at least. It grows from
 // the initial fraction to 1 during slow start.
 func (b *Balancer) slowStartCapacityFraction(ep *endpoint) float64 {
-	elapsed := max(0, b.now-ep.slowStart.warmUpSince)
+	elapsed := max(0, b.now-ep.slowStart.startedAt)
 	progress := ratio(elapsed, max(b.cfg.SlowStartDuration, 1))
 	return b.cfg.SlowStartInitialFraction + (1-b.cfg.SlowStartInitialFraction)*min(1, progress)
 }
 
 // startSlowStart starts the slow start of an endpoint and resets its rotation credit.
-func (b *Balancer) startWarmUp(ep *endpoint, since Milliseconds) {
+func (b *Balancer) startSlowStart(ep *endpoint, since Milliseconds) {
 	ep.slowStart.start(since, b.now, b.random.next())
 	ep.rotation.reset()
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -22,7 +22,7 @@
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	if !h.b.warmingUp(h.b.endpoints.byID[target]) {
+	if !h.b.inSlowStart(h.b.endpoints.byID[target]) {
 		t.Fatalf("endpoint %d is not in slow start after it responded again", target)
 	}
 }
@@ -46,7 +46,7 @@
 		h.now += 20
 	}
 	for _, ep := range h.b.endpoints.list {
-		if h.b.warmingUp(ep) {
+		if h.b.inSlowStart(ep) {
 			t.Errorf("endpoint %d is in slow start after a single failure to connect", ep.ID)
 		}
 	}
@@ -265,7 +265,7 @@
 		if err != nil || !ok {
 			t.Fatalf("got actions %v and error %v, want an attempt", actions, err)
 		}
-		if b.warmingUp(b.endpoints.byID[target]) {
+		if b.inSlowStart(b.endpoints.byID[target]) {
 			toSlowStart++
 		}
 	}
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -88,7 +88,7 @@
 		ConsecutiveEjections: ep.outlier.consecutiveEjections,
 		EjectedUntil:         ep.outlier.ejectedUntil,
 		SlowUntil:            ep.sticky.slowUntil,
-		SlowStartSince:       ep.slowStart.warmUpSince,
+		SlowStartSince:       ep.slowStart.startedAt,
 		SlowStartTokens:      ep.slowStart.tokens,
 		TokensUpdatedAt:      ep.slowStart.updatedAt,
 	}
@@ -198,10 +198,10 @@
 // restore imports a slow start, unless the endpoint list shows that the endpoint started later.
 func (s *slowStart) restore(state *LearnedEndpoint, now Milliseconds) {
 	since := pastTimeOrLongAgo(state.SlowStartSince, now)
-	if since < s.warmUpSince {
+	if since < s.startedAt {
 		return
 	}
-	s.warmUpSince = since
+	s.startedAt = since
 	s.tokens = validOr(state.SlowStartTokens, 0, maxImportedRecentCount)
 	s.updatedAt = max(0, pastTimeOrLongAgo(state.TokensUpdatedAt, now))
 }
--- a/balance/transfer_test.go
+++ b/balance/transfer_test.go
@@ -45,9 +45,9 @@
 		t.Errorf("mean latency of the first class is %v, want 70", got)
 	}
 	sum := predecessor.endpoints.byID[2].slowStart.tokens + successor.endpoints.byID[2].slowStart.tokens
-	if math.Abs(sum-0.8) > 1e-9 || successor.endpoints.byID[2].slowStart.warmUpSince != 9000 {
+	if math.Abs(sum-0.8) > 1e-9 || successor.endpoints.byID[2].slowStart.startedAt != 9000 {
 		t.Errorf("predecessor and successor have %v slow-start tokens in sum, slow start since %v; want 0.8, 9000",
-			sum, successor.endpoints.byID[2].slowStart.warmUpSince)
+			sum, successor.endpoints.byID[2].slowStart.startedAt)
 	}
 }
 
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -62,7 +62,7 @@
 		}
 		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classFactor(req, ep)
 		ep.candidate.loadKnown = b.hasFreshReport(ep)
-		ep.candidate.inSlowStart = b.warmingUp(ep)
+		ep.candidate.inSlowStart = b.inSlowStart(ep)
 		totals.anyFreshReport = totals.anyFreshReport || ep.candidate.loadKnown
 	}
 	return totals
@@ -98,7 +98,7 @@
 		factor += localGain * localGain
 	}
 	connected := ep.activity.mayBeConnected(b.now, b.cfg.ConnIdleTimeout)
-	if b.warmingUp(ep) || ep.outlier.consecutiveErrors == 0 && connected {
+	if b.inSlowStart(ep) || ep.outlier.consecutiveErrors == 0 && connected {
 		factor *= 1 + connReuseGain*b.cfg.Costs.NewConnection + connectFailureGain*b.connectFailures.fraction
 	}
 	return factor
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -128,8 +128,8 @@
 		b.logf("zone %d is reachable again after %.0f ms", zone.number, b.now-zone.outageSince)
 	}
 	for _, ep := range b.endpoints.list {
-		if ep.zone == zone && !b.warmingUp(ep) && b.now >= zone.outageSince+minRestartOutage {
-			b.startWarmUp(ep, b.now)
+		if ep.zone == zone && !b.inSlowStart(ep) && b.now >= zone.outageSince+minRestartOutage {
+			b.startSlowStart(ep, b.now)
 		}
 	}
 }
--- a/internal/upgrade/codec.go
+++ b/internal/upgrade/codec.go
@@ -65,7 +65,7 @@
 	Steady  float64              // SteadyShedFraction
 
 	Kinds   map[int]float64 // MachineTypeCapacityLogs
-	Zones   map[int]float64
+	Zones   map[int]float64 // ZoneCapacityLogs
 	Classes []encodedClass
 	Tenants []float64         // TenantRequests
 	Servers []encodedEndpoint // Endpoints
