--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -4,8 +4,9 @@
 
 // Timer tokens. The timer of a request has the request's ID, which is below 2^52, as its token.
 const (
-	pollTimerToken     = 1 << 60 // timer of the next poll of the endpoint list
-	zoneTimerTokenBase = 1 << 61 // timer of the next check of an unreachable zone: this plus the zone's number
+	pollTimerToken = 1 << 60 // timer of the next poll of the endpoint list
+	// timer of the next check of an unreachable zone: this plus the zone's number
+	zoneTimerTokenBase = 1 << 61
 )
 
 // timerTolerance is how much earlier than requested a timer may fire.
--- a/balance/config.go
+++ b/balance/config.go
@@ -98,9 +98,10 @@
 	DrainGrace               Milliseconds // attempts to a draining or removed endpoint must end within this
 	SlowStartInitialFraction float64      // least fraction of its capacity that an endpoint has at its start
 	SlowStartDuration        Milliseconds // duration of an endpoint's slow start
-	SlowStartOverloadFactor  float64      // an endpoint in slow start fails above this multiple of its capacity
-	SlowStartOverloadWindow  Milliseconds // duration of such an overload after which it fails
-	MaxPollInterval          Milliseconds // without a watch, longest time between polls of the endpoint list
+	// an endpoint in slow start fails above this multiple of its capacity
+	SlowStartOverloadFactor float64
+	SlowStartOverloadWindow Milliseconds // duration of such an overload after which it fails
+	MaxPollInterval         Milliseconds // without a watch, longest time between polls of the endpoint list
 
 	Costs Costs
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -20,7 +20,7 @@
 
 // New engineers read the files with the decision logic first. Each file must stay short, and the deploy file must list
 // all files with decision logic as policy files. A file without a branch or a loop holds only declarations.
-func TestPolicyNamesAllFilesThatDecide(t *testing.T) {
+func TestDeployFileListsPolicyFiles(t *testing.T) {
 	policy := policyFiles(t)
 	sources := sourceFiles(t)
 	for _, name := range policy {
