--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -109,7 +109,7 @@
 
 // After a pause of the process beyond a deadline, the timer of the request and the timeout of its attempt are due
 // at the same time. In either order, the request gets exactly one final response.
-func TestPauseBeyondDeadlineGivesOneAnswer(t *testing.T) {
+func TestPauseBeyondDeadlineGivesOneResponse(t *testing.T) {
 	for _, timerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("timer first %v", timerFirst), func(t *testing.T) {
 			h := newHarness(t, baseConfig(), newEndpoints(4)...)
