--- a/internal/downstream/abort_test.go
+++ b/internal/downstream/abort_test.go
@@ -40,7 +40,7 @@
 	failures := &flagWriter{}
 	server := NewServer(state, abortingHandler{}, conns, 0, nil).HTTPServer(slog.New(slog.NewTextHandler(failures, nil)))
 	inner := sidecartest.Listen(t)
-	go server.Serve(NewListener(inner, conns, noEvictor{}))
+	go server.Serve(NewListener(inner, conns, nopEvictor{}))
 	t.Cleanup(func() { server.Close() })
 	client, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
--- a/internal/downstream/api.go
+++ b/internal/downstream/api.go
@@ -22,10 +22,10 @@
 		defer conn.uploading.Store(false)
 		defer upload.Release()
 	}
-	conn.record.enter(phaseAwaiting)
+	conn.record.setPhase(phaseAwaiting)
 	s.handler.RequestArrived(request)
 	response := s.awaitResponse(r, conn, request)
-	conn.record.enter(phaseResponding)
+	conn.record.setPhase(phaseResponding)
 	s.respond(w, r, conn, request.Message.Upload, response)
 }
 
@@ -38,12 +38,12 @@
 		if !response.Abort {
 			return response
 		}
-		conn.record.explain(reasonFoundDisconnected, nil)
+		conn.record.setReason(reasonDisconnectedBeforeSend, nil)
 	case <-r.Context().Done():
-		conn.record.explain(reasonClientDisconnected, context.Cause(r.Context()))
+		conn.record.setReason(reasonContextEnded, context.Cause(r.Context()))
 		s.handler.ClientDisconnected(request)
 	case <-s.done:
-		conn.record.explain(reasonProcessEnds, nil)
+		conn.record.setReason(reasonProcessEnds, nil)
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -55,7 +55,7 @@
 	if request.Message.Upload != nil {
 		return nil
 	}
-	if err := conn.MarkAwaitingResponse(conn.requests); errors.Is(err, ErrSurplus) {
+	if err := conn.MarkAwaitingResponse(conn.requestCount); errors.Is(err, ErrSurplus) {
 		return exchange.BadRequestf("%v", err)
 	}
 	return nil
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -9,11 +9,11 @@
 	"cindersaddle/internal/http1"
 )
 
-// A body may take bodyGrace and the time that its bytes take at bodyRate. Clients send 64 kB a second at least; one that
+// A body may take bodyGracePeriod and the time that its bytes take at minBodyRate. Clients send 64 kB a second at least; one that
 // stalls must get an error or a close within 3 s of connecting.
 const (
-	bodyGrace = 700 * time.Millisecond
-	bodyRate  = 48 << 10 // bytes a second
+	bodyGracePeriod = 700 * time.Millisecond
+	minBodyRate     = 48 << 10 // bytes a second
 )
 
 // readBody reads the body of a request. It returns a body of up to http1.MaxBufferedBody bytes completely. Of a longer
@@ -44,7 +44,7 @@
 func (s *Server) newUpload(
 	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, first []byte,
 ) *exchange.Upload {
-	number := conn.requests
+	number := conn.requestCount
 	controller.EnableFullDuplex() // the response may precede the end of the body
 	conn.uploading.Store(true)
 	upload := &exchange.Upload{
@@ -74,7 +74,7 @@
 func (r *pacedReader) Read(buffer []byte) (int, error) {
 	n, err := r.source.Read(buffer)
 	r.bytesRead += int64(n)
-	deadline := r.startedAt.Add(bodyGrace + time.Duration(r.bytesRead)*time.Second/bodyRate)
+	deadline := r.startedAt.Add(bodyGracePeriod + time.Duration(r.bytesRead)*time.Second/minBodyRate)
 	if n > 0 && err == nil && deadline.After(r.serverDeadline) {
 		r.setDeadline(deadline)
 	}
--- a/internal/downstream/body_test.go
+++ b/internal/downstream/body_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("after 100 bytes the deadline is %v after the start, want that of the server unchanged", deadline.Sub(startedAt))
 	}
 	reader.Read(make([]byte, 48<<10))
-	if got := deadline.Sub(startedAt); got < bodyGrace+time.Second || got > bodyGrace+2*time.Second {
-		t.Errorf("after 48 KiB more the deadline is %v after the start, want %v to %v", got, bodyGrace+time.Second, bodyGrace+2*time.Second)
+	if got := deadline.Sub(startedAt); got < bodyGracePeriod+time.Second || got > bodyGracePeriod+2*time.Second {
+		t.Errorf("after 48 KiB more the deadline is %v after the start, want %v to %v", got, bodyGracePeriod+time.Second, bodyGracePeriod+2*time.Second)
 	}
 }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -23,7 +23,7 @@
 	record   connRecord
 
 	// requests counts the requests that reached the handler. Only the serving goroutine uses it.
-	requests int64
+	requestCount int64
 	// uploading is set while a long body is being read after its request was passed on. Such a request does not count as
 	// incomplete.
 	uploading atomic.Bool
@@ -35,14 +35,14 @@
 	scanner           http1.RequestScanner
 	closing           bool  // decided to close: nothing is read any more
 	awaitingResponse  bool  // a complete request awaits its response
-	responsesDecided  int64 // the number of the last request whose response was decided
+	responsesStarted  int64 // the number of the last request whose response was decided
 	responsesFinished int64 // responses that were written completely
-	surplusBytes      int   // bytes that were discarded while a response was awaited
+	trailingBytes     int   // bytes that were discarded while a response was awaited
 
 	// tracker.mu guards the fields below.
-	queue    *list.List    // the queue that the connection is in; nil once it is to be closed
-	position *list.Element // in queue
-	closed   bool
+	queue        *list.List    // the queue that the connection is in; nil once it is to be closed
+	queueElement *list.Element // in queue
+	closed       bool
 }
 
 // lastActivity returns when the last byte arrived, or when the connection was accepted if none has.
@@ -54,13 +54,13 @@
 }
 
 // countRequest counts a request that reached the handler. Only the serving goroutine may call it.
-func (c *Conn) countRequest() { c.requests++ }
+func (c *Conn) countRequest() { c.requestCount++ }
 
 // requestDeadline returns the read deadline that http.Server has set for the current request. Only the serving
 // goroutine may call it.
 func (c *Conn) requestDeadline() time.Time {
 	began := c.openedAt
-	if c.requests > 1 {
+	if c.requestCount > 1 {
 		began, _ = c.scanner.Partial()
 	}
 	return began.Add(readTimeout)
@@ -70,21 +70,21 @@
 func (c *Conn) Write(data []byte) (int, error) {
 	n, err := socket.WriteConn(c.TCPConn, data, fault.Write)
 	if err != nil {
-		c.record.writeFailed(err)
+		c.record.setWriteError(err)
 	}
 	return n, err
 }
 
-// closeFor closes the connection because of a decision of this side.
-func (c *Conn) closeFor(reason closeReason) {
-	c.record.explain(reason, nil)
+// closeWithReason closes the connection because of a decision of this side.
+func (c *Conn) closeWithReason(reason closeReason) {
+	c.record.setReason(reason, nil)
 	c.Close()
 }
 
 // Close closes the connection and removes it from its tracker. It may be called more than once.
 func (c *Conn) Close() error {
 	if c.tracker.remove(c) {
-		c.record.logClose(c.tracker.Log, c.RemoteAddr().String())
+		c.record.logIfIncomplete(c.tracker.Log, c.RemoteAddr().String())
 	}
 	return c.TCPConn.Close()
 }
--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -23,11 +23,11 @@
 func (c *Conn) MarkAwaitingResponse(number int64) error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	if c.responsesDecided >= number {
+	if c.responsesStarted >= number {
 		return exchange.ErrNoLongerAwaited
 	}
 	state := socket.Peek(c.TCPConn)
-	if c.surplusAfter(number) || state == socket.Readable {
+	if c.trailingDataAfter(number) || state == socket.Readable {
 		return ErrSurplus
 	}
 	if state == socket.Closed {
@@ -37,20 +37,20 @@
 	return nil
 }
 
-// decideResponse records that the response to the current request is about to be written. From now on, bytes belong to
+// startResponse records that the response to the current request is about to be written. From now on, bytes belong to
 // the next request. It reports whether bytes have arrived after the current one: the connection has to end with the
 // response then. Only the serving goroutine may call it.
-func (c *Conn) decideResponse() (surplus bool) {
+func (c *Conn) startResponse() (surplus bool) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	c.awaitingResponse = false
-	c.responsesDecided = c.requests
-	return c.surplusAfter(c.requests) || socket.Peek(c.TCPConn) == socket.Readable
+	c.responsesStarted = c.requestCount
+	return c.trailingDataAfter(c.requestCount) || socket.Peek(c.TCPConn) == socket.Readable
 }
 
-// surplusAfter reports whether bytes were read after the request with this number. The caller holds readMu.
-func (c *Conn) surplusAfter(number int64) bool {
-	return c.surplusBytes > 0 || c.scanner.Started.Load() > number
+// trailingDataAfter reports whether bytes were read after the request with this number. The caller holds readMu.
+func (c *Conn) trailingDataAfter(number int64) bool {
+	return c.trailingBytes > 0 || c.scanner.Started.Load() > number
 }
 
 // finishResponse records that a response was written completely.
@@ -76,7 +76,7 @@
 	}
 	var endOfStream error
 	err = raw.Control(func(fd uintptr) {
-		_, endOfStream = c.discardSurplus(int(fd))
+		_, endOfStream = c.discardTrailingData(int(fd))
 	})
 	return err != nil || endOfStream != nil && !socket.Transient(endOfStream)
 }
--- a/internal/downstream/conn_closing.go
+++ b/internal/downstream/conn_closing.go
@@ -21,8 +21,8 @@
 	return true
 }
 
-// markClosingWithoutRequest is markClosing for a connection without a complete request.
-func (c *Conn) markClosingWithoutRequest() bool {
+// markClosingIfNoRequest is markClosing for a connection without a complete request.
+func (c *Conn) markClosingIfNoRequest() bool {
 	return c.markClosing(func() bool { return c.betweenRequests() || c.requestIncomplete() })
 }
 
--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -10,18 +10,18 @@
 	"cindersaddle/internal/socket"
 )
 
-// readState is what Conn.Read does with the bytes of the client.
-type readState int
+// readMode is what Conn.Read does with the bytes of the client.
+type readMode int
 
 const (
-	// readRequests passes bytes on to net/http.
-	readRequests readState = iota
-	// readSurplus discards bytes: a complete request awaits its response.
-	readSurplus
-	// readFailed returns the framing error of the last request.
-	readFailed
-	// readClosing reads nothing: the connection is about to be closed.
-	readClosing
+	// readModeForward passes bytes on to net/http.
+	readModeForward readMode = iota
+	// readModeDiscard discards bytes: a complete request awaits its response.
+	readModeDiscard
+	// setReadError returns the framing error of the last request.
+	readModeFailed
+	// readModeClosing reads nothing: the connection is about to be closed.
+	readModeClosing
 )
 
 // Read reads the bytes of requests. It returns an error of the scanner, which is not a net.Error, if the framing of a
@@ -41,15 +41,15 @@
 		c.tracker.AfterRead()
 	}
 	if err != nil {
-		err = c.readError(err)
-		c.record.readFailed(err)
+		err = c.wrapReadError(err)
+		c.record.setReadError(err)
 	}
 	return n, err
 }
 
-// readError returns the error of a read as net/http knows it: a *net.OpError means that no response can be written, while
+// wrapReadError returns the error of a read as net/http knows it: a *net.OpError means that no response can be written, while
 // it ends the request after io.EOF, and responds with status 400 after an error of the scanner.
-func (c *Conn) readError(err error) error {
+func (c *Conn) wrapReadError(err error) error {
 	if err == io.EOF || err == c.scanner.Err {
 		return err
 	}
@@ -64,7 +64,7 @@
 	}
 	waitErr := raw.Read(func(fd uintptr) bool {
 		var done bool
-		n, done, err = c.readNow(int(fd), buffer)
+		n, done, err = c.tryRead(int(fd), buffer)
 		return done
 	})
 	if waitErr != nil {
@@ -73,17 +73,17 @@
 	return n, err
 }
 
-// readNow reads without waiting. It reports whether the read is done; if not, it has to be repeated when bytes arrive.
-func (c *Conn) readNow(fd int, buffer []byte) (n int, done bool, err error) {
+// tryRead reads without waiting. It reports whether the read is done; if not, it has to be repeated when bytes arrive.
+func (c *Conn) tryRead(fd int, buffer []byte) (n int, done bool, err error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	switch c.readState() {
-	case readClosing:
+	switch c.currentReadMode() {
+	case readModeClosing:
 		return 0, true, net.ErrClosed
-	case readFailed:
+	case readModeFailed:
 		return 0, true, c.scanner.Err
-	case readSurplus:
-		done, err = c.discardSurplus(fd)
+	case readModeDiscard:
+		done, err = c.discardTrailingData(fd)
 		return 0, done, err
 	}
 	n, err = socket.Read(fd, buffer)
@@ -102,15 +102,15 @@
 	return passed, true, nil
 }
 
-// readState returns what a read has to do. The caller holds readMu.
-func (c *Conn) readState() readState {
+// readMode returns what a read has to do. The caller holds readMu.
+func (c *Conn) currentReadMode() readMode {
 	switch {
 	case c.closing:
-		return readClosing
+		return readModeClosing
 	case c.scanner.Err != nil:
-		return readFailed
+		return readModeFailed
 	case c.awaitingResponse:
-		return readSurplus
+		return readModeDiscard
 	}
-	return readRequests
+	return readModeForward
 }
--- a/internal/downstream/conn_surplus.go
+++ b/internal/downstream/conn_trailing.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// maxSurplus is how many bytes may be discarded after a request that awaits its response. With more of them the client
+	// maxTrailingBytes is how many bytes may be discarded after a request that awaits its response. With more of them the client
 	// counts as gone: a wrong length of the request cannot explain more than a buffered body.
-	maxSurplus = http1.MaxBufferedBody
-	// surplusBufferSize is the number of bytes that are discarded in one read.
-	surplusBufferSize = 512
+	maxTrailingBytes = http1.MaxBufferedBody
+	// discardBufferSize is the number of bytes that are discarded in one read.
+	discardBufferSize = 512
 )
 
-// errTooMuchSurplus is the error of a read after maxSurplus bytes.
-var errTooMuchSurplus = fmt.Errorf("more than %d bytes after a request that awaits its response", maxSurplus)
+// errTooMuchTrailingData is the error of a read after maxTrailingBytes bytes.
+var errTooMuchTrailingData = fmt.Errorf("more than %d bytes after a request that awaits its response", maxTrailingBytes)
 
-// discardSurplus reads the bytes that follow a request that awaits its response, until none wait. It reports whether
+// discardTrailingData reads the bytes that follow a request that awaits its response, until none wait. It reports whether
 // the read is done, which is always with an error: io.EOF if the client has closed the connection.
 //
 // It guards against a request that is executed for a client that has disconnected: were the first of these bytes passed on,
 // net/http would stop watching the connection for its end, which comes after them. The caller holds readMu.
-func (c *Conn) discardSurplus(fd int) (done bool, err error) {
-	var buffer [surplusBufferSize]byte
-	for c.surplusBytes <= maxSurplus {
+func (c *Conn) discardTrailingData(fd int) (done bool, err error) {
+	var buffer [discardBufferSize]byte
+	for c.trailingBytes <= maxTrailingBytes {
 		n, err := socket.Read(fd, buffer[:])
 		switch {
 		case err == syscall.EAGAIN:
@@ -38,7 +38,7 @@
 		case n == 0:
 			return true, io.EOF
 		}
-		c.surplusBytes += n
+		c.trailingBytes += n
 	}
-	return true, errTooMuchSurplus
+	return true, errTooMuchTrailingData
 }
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -21,7 +21,7 @@
 	if victim == nil {
 		return false
 	}
-	victim.closeFor(reasonEvicted)
+	victim.closeWithReason(reasonEvicted)
 	return true
 }
 
@@ -46,8 +46,8 @@
 //
 // The caller holds mu.
 func (t *ConnTracker) takeVictim(now time.Time) *Conn {
-	overdue, recent := splitBySilence(t.queues.stalled(), now)
-	idle := connsOf(&t.queues.idle)
+	overdue, recent := splitBySilentTime(t.queues.possiblyStalled(), now)
+	idle := connsOf(&t.queues.idleConns)
 	for _, candidates := range [][]*Conn{overdue, idle, recent} {
 		if victim := markFirstClosable(candidates); victim != nil {
 			t.queues.remove(victim)
@@ -57,9 +57,9 @@
 	return nil
 }
 
-// splitBySilence splits connections, of which the one that has been silent for longest is the first, into those that
+// splitBySilentTime splits connections, of which the one that has been silent for longest is the first, into those that
 // have been silent for MinIdleBeforeClose and the others.
-func splitBySilence(conns []*Conn, now time.Time) (overdue, recent []*Conn) {
+func splitBySilentTime(conns []*Conn, now time.Time) (overdue, recent []*Conn) {
 	isRecent := func(conn *Conn) bool { return now.Sub(conn.lastActivity()) < MinIdleBeforeClose }
 	firstRecent := slices.IndexFunc(conns, isRecent)
 	if firstRecent < 0 {
@@ -72,7 +72,7 @@
 // examines at most maxVictimChecks of them.
 func markFirstClosable(candidates []*Conn) *Conn {
 	for _, conn := range candidates[:min(len(candidates), maxVictimChecks)] {
-		if conn.markClosingWithoutRequest() {
+		if conn.markClosingIfNoRequest() {
 			return conn
 		}
 	}
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -17,14 +17,14 @@
 	"cindersaddle/internal/socket"
 )
 
-// failFirst makes the first count calls of a kind fail with an error, until the end of the test.
-func failFirst(t *testing.T, call fault.Call, count int32, err error) {
+// failFirstCalls makes the first count calls of a kind fail with an error, until the end of the test.
+func failFirstCalls(t *testing.T, call fault.Call, count int32, err error) {
 	t.Helper()
-	failAfter(t, call, 0, count, err)
+	failCallsAfter(t, call, 0, count, err)
 }
 
-// failAfter lets some calls of a kind pass and makes the next count ones fail with an error, until the end of the test.
-func failAfter(t *testing.T, call fault.Call, pass, count int32, err error) {
+// failCallsAfter lets some calls of a kind pass and makes the next count ones fail with an error, until the end of the test.
+func failCallsAfter(t *testing.T, call fault.Call, pass, count int32, err error) {
 	t.Helper()
 	var calls atomic.Int32
 	fault.Use(&fault.Plan{Decide: func(made fault.Call) error {
@@ -39,8 +39,8 @@
 	t.Cleanup(func() { fault.Use(nil) })
 }
 
-// acceptErrors are the errors that accept(2) documents, but for those of a listener that cannot be used.
-var acceptErrors = []syscall.Errno{
+// transientAcceptErrors are the errors that accept(2) documents, but for those of a listener that cannot be used.
+var transientAcceptErrors = []syscall.Errno{
 	syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT,
@@ -48,11 +48,11 @@
 
 // TestAcceptErrorsDoNotEndServing checks that the connection which comes after a failed accept is served.
 func TestAcceptErrorsDoNotEndServing(t *testing.T) {
-	for _, errno := range acceptErrors {
+	for _, errno := range transientAcceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			inner := sidecartest.Listen(t)
 			listener := newTestListener(inner)
-			failFirst(t, fault.Accept, 3, errno)
+			failFirstCalls(t, fault.Accept, 3, errno)
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })}
 			ended := make(chan error, 1)
 			go func() { ended <- server.Serve(listener) }()
@@ -77,7 +77,7 @@
 func TestBrokenListenerEndsAccept(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT} {
 		listener := newTestListener(sidecartest.Listen(t))
-		failFirst(t, fault.Accept, 1, errno)
+		failFirstCalls(t, fault.Accept, 1, errno)
 		if _, err := listener.Accept(); !errors.Is(err, errno) {
 			t.Errorf("Accept returns %v, want %v", err, errno)
 		}
@@ -87,7 +87,7 @@
 // TestDrainSurvivesErrors checks that errors while the listen queue is drained lose none of its connections.
 func TestDrainSurvivesErrors(t *testing.T) {
 	calls := map[fault.Call][]syscall.Errno{
-		fault.Accept:    acceptErrors,
+		fault.Accept:    transientAcceptErrors,
 		fault.Duplicate: {syscall.EMFILE, syscall.ENFILE},
 	}
 	for call, errnos := range calls {
@@ -104,7 +104,7 @@
 	dialQueued(t, inner, waiting)
 	go listener.Drain(t.Context())
 	sidecartest.WaitFor(t, "the drain begins", listener.draining.Load)
-	failAfter(t, call, 2, 2, errno) // the first accept is interrupted, the next one drains a connection
+	failCallsAfter(t, call, 2, 2, errno) // the first accept is interrupted, the next one drains a connection
 	for accepted := range waiting {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -118,11 +118,11 @@
 func TestFailedPeekIsNotAClosedPeer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		conn, _ := newTrackedConn(t)
-		failFirst(t, fault.Peek, 1, errno)
+		failFirstCalls(t, fault.Peek, 1, errno)
 		if conn.CheckClientDisconnected() {
 			t.Errorf("%v: the client counts as disconnected", errno)
 		}
-		failFirst(t, fault.Peek, 1, errno)
+		failFirstCalls(t, fault.Peek, 1, errno)
 		if err := conn.MarkAwaitingResponse(1); err != nil {
 			t.Errorf("%v: the request does not await its response: %v", errno, err)
 		}
@@ -132,7 +132,7 @@
 // TestInterruptedPeekIsRepeated checks that the state of a connection is known in spite of a signal.
 func TestInterruptedPeekIsRepeated(t *testing.T) {
 	conn, _ := newTrackedConn(t)
-	failFirst(t, fault.Peek, 3, syscall.EINTR)
+	failFirstCalls(t, fault.Peek, 3, syscall.EINTR)
 	if state := socket.Peek(conn.TCPConn); state != socket.Silent {
 		t.Errorf("state %d, want %d", state, socket.Silent)
 	}
@@ -141,8 +141,8 @@
 // TestFailedPeekClosesNoConnection checks that a connection of which the kernel does not report whether bytes wait stays open.
 func TestFailedPeekClosesNoConnection(t *testing.T) {
 	conn, _ := newTrackedConn(t)
-	failFirst(t, fault.Peek, 1, syscall.ENOMEM)
-	if conn.markClosingWithoutRequest() {
+	failFirstCalls(t, fault.Peek, 1, syscall.ENOMEM)
+	if conn.markClosingIfNoRequest() {
 		t.Error("the connection was closed")
 	}
 }
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// noEvictor is an Evictor without connections.
-type noEvictor struct{}
+// nopEvictor is an Evictor without connections.
+type nopEvictor struct{}
 
-func (noEvictor) Evict() bool { return false }
+func (nopEvictor) Evict() bool { return false }
 
 // newTestListener returns a listener with a tracker of its own, which has no upstream connections to evict.
 func newTestListener(inner net.Listener) *Listener {
-	return NewListener(inner, NewConnTracker(100), noEvictor{})
+	return NewListener(inner, NewConnTracker(100), nopEvictor{})
 }
 
 // dialQueued opens connections that wait in the queue of a listener.
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -18,8 +18,8 @@
 const (
 	// soReusePort is SO_REUSEPORT of Linux, which package syscall does not define.
 	soReusePort = 15
-	// acceptPause is how long Accept waits while no descriptor is available, and after other errors.
-	acceptPause = 2 * time.Millisecond
+	// acceptRetryDelay is how long Accept waits while no descriptor is available, and after other errors.
+	acceptRetryDelay = 2 * time.Millisecond
 	// acceptLogInterval is the least time between two log lines about connections that could not be accepted.
 	acceptLogInterval = time.Second
 )
@@ -47,41 +47,41 @@
 
 // Listener accepts the connections of clients. It guards against a process that stops serving after an error that passes:
 // net/http ends serving with the first error of Accept. Accept fails only if the listener cannot be used any more. When no
-// descriptor is available, it evicts another connection, or pauses for acceptPause, as clients consider a connection in the
+// descriptor is available, it evicts another connection, or pauses for acceptRetryDelay, as clients consider a connection in the
 // listen queue accepted; any other error is that of one connection, or passes.
 //
 // Drain accepts the connections that wait in the listen queue before the listener is closed. Accept must be called by one
 // goroutine only, the other methods by any.
 type Listener struct {
 	net.Listener
-	conns    *ConnTracker
+	tracker  *ConnTracker
 	upstream Evictor
 
-	sharesQueue atomic.Bool     // another process accepts from the same listen queue
-	draining    atomic.Bool     // Drain was called
-	drainEnd    context.Context // the limit of a drain; set before draining
-	closed      chan struct{}   // closed when Accept returns net.ErrClosed, so that all drained connections are tracked
-	closing     sync.Once       // closes closed
+	queueShared    atomic.Bool     // another process accepts from the same listen queue
+	draining       atomic.Bool     // Drain was called
+	drainCtx       context.Context // the limit of a drain; set before draining
+	acceptDone     chan struct{}   // closed when Accept returns net.ErrClosed, so that all drained connections are tracked
+	acceptDoneOnce sync.Once       // closes closed
 
 	// Only the accepting goroutine uses the fields below.
 	queueDrained bool       // the listen queue is empty and the listener closed
-	drained      []net.Conn // connections from the listen queue that Accept has not yet returned
-	errorLogged  time.Time  // when a failed accept was logged last
+	pendingConns []net.Conn // connections from the listen queue that Accept has not yet returned
+	lastErrorLog time.Time  // when a failed accept was logged last
 }
 
 // NewListener returns a listener that accepts from ln and adds connections to conns. When no descriptor is available,
 // it evicts connections of upstream first.
 func NewListener(ln net.Listener, conns *ConnTracker, upstream Evictor) *Listener {
-	return &Listener{Listener: ln, conns: conns, upstream: upstream, closed: make(chan struct{})}
+	return &Listener{Listener: ln, tracker: conns, upstream: upstream, acceptDone: make(chan struct{})}
 }
 
 // Accept returns the next connection that the tracker admits, as a *Conn. After Drain it returns the connections that
 // were waiting, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		netConn, err := l.acceptAny()
+		netConn, err := l.nextConn()
 		if err == nil {
-			conn := l.conns.Add(netConn.(*net.TCPConn))
+			conn := l.tracker.Add(netConn.(*net.TCPConn))
 			if conn != nil {
 				return conn, nil
 			}
@@ -96,14 +96,14 @@
 
 // handleAcceptError prepares for another accept after one that failed.
 func (l *Listener) handleAcceptError(err error) {
-	if time.Since(l.errorLogged) >= acceptLogInterval {
-		l.errorLogged = time.Now()
-		l.conns.Log.Info("connection not accepted", "error", err)
+	if time.Since(l.lastErrorLog) >= acceptLogInterval {
+		l.lastErrorLog = time.Now()
+		l.tracker.Log.Info("connection not accepted", "error", err)
 	}
 	if socket.Exhausted(err) {
 		l.freeDescriptor()
 	} else {
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
@@ -116,35 +116,35 @@
 	return err
 }
 
-// freeDescriptor evicts a connection, or waits for acceptPause if there is none to evict.
+// freeDescriptor evicts a connection, or waits for acceptRetryDelay if there is none to evict.
 func (l *Listener) freeDescriptor() {
-	if l.upstream.Evict() || l.conns.Evict() {
+	if l.upstream.Evict() || l.tracker.Evict() {
 		return
 	}
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryDelay)
 }
 
-// acceptAny returns the next connection, whether or not the tracker admits it.
-func (l *Listener) acceptAny() (net.Conn, error) {
+// nextConn returns the next connection, whether or not the tracker admits it.
+func (l *Listener) nextConn() (net.Conn, error) {
 	if !l.queueDrained {
-		conn, err := l.accept()
+		conn, err := l.acceptOnce()
 		interrupted := errors.Is(err, os.ErrDeadlineExceeded) && l.draining.Load()
 		if !interrupted {
 			return conn, err
 		}
 		l.drainQueue(l.Listener.(*net.TCPListener))
 	}
-	if len(l.drained) == 0 {
-		l.closing.Do(func() { close(l.closed) })
+	if len(l.pendingConns) == 0 {
+		l.acceptDoneOnce.Do(func() { close(l.acceptDone) })
 		return nil, net.ErrClosed
 	}
-	conn := l.drained[0]
-	l.drained = l.drained[1:]
+	conn := l.pendingConns[0]
+	l.pendingConns = l.pendingConns[1:]
 	return conn, nil
 }
 
 // accept returns the next connection of the listener, and fails as the fault plan of a test says.
-func (l *Listener) accept() (net.Conn, error) {
+func (l *Listener) acceptOnce() (net.Conn, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return nil, err
 	}
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -50,7 +50,7 @@
 		}
 		defer conn.Close()
 		select {
-		case <-listener.closed:
+		case <-listener.acceptDone:
 			t.Fatalf("drained after %d of %d connections", i+1, waiting)
 		default:
 		}
--- a/internal/downstream/record.go
+++ b/internal/downstream/record.go
@@ -28,45 +28,45 @@
 	reasonNotAdmitted   closeReason = "no capacity for a new connection"
 	reasonShutdownIdle  closeReason = "idle during the shutdown"
 	reasonShutdownLimit closeReason = "end of the shutdown"
-	// reasonFoundDisconnected: an attempt found it out before it was sent.
-	reasonFoundDisconnected closeReason = "the client had left when the request was to be sent"
-	// reasonClientDisconnected: net/http noticed it while the response was awaited.
-	reasonClientDisconnected closeReason = "the request's context ended"
-	reasonProcessEnds        closeReason = "the process ends"
-	reasonStreamBroken       closeReason = "the streamed response broke off"
+	// reasonDisconnectedBeforeSend: an attempt found it out before it was sent.
+	reasonDisconnectedBeforeSend closeReason = "the client had left when the request was to be sent"
+	// reasonContextEnded: net/http noticed it while the response was awaited.
+	reasonContextEnded closeReason = "the request's context ended"
+	reasonProcessEnds  closeReason = "the process ends"
+	reasonStreamBroken closeReason = "the streamed response broke off"
 )
 
 // connRecord holds what explains the end of a connection. Any goroutine may call its methods.
 type connRecord struct {
-	mu       sync.Mutex
-	phase    requestPhase
-	traceID  string      // of the current request
-	since    time.Time   // when the current request reached the handler
-	reason   closeReason // empty: net/http or the client closes
-	cause    error       // of reason; may be nil
-	readErr  error       // the first failed read since the current request began; later ones follow from the end
-	writeErr error       // the first failed write since then
+	mu               sync.Mutex
+	phase            requestPhase
+	traceID          string      // of the current request
+	requestStartedAt time.Time   // when the current request reached the handler
+	reason           closeReason // empty: net/http or the client closes
+	cause            error       // of reason; may be nil
+	readErr          error       // the first failed read since the current request began; later ones follow from the end
+	writeErr         error       // the first failed write since then
 }
 
 // begin records that a request reached the handler.
-func (r *connRecord) begin(traceID string) {
+func (r *connRecord) beginRequest(traceID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phase = phaseValidating
 	r.traceID = traceID
-	r.since = time.Now()
+	r.requestStartedAt = time.Now()
 	r.readErr, r.writeErr = nil, nil
 }
 
 // enter records that the current request entered a phase.
-func (r *connRecord) enter(phase requestPhase) {
+func (r *connRecord) setPhase(phase requestPhase) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phase = phase
 }
 
 // explain records why this side is about to close the connection. The first reason stays.
-func (r *connRecord) explain(reason closeReason, cause error) {
+func (r *connRecord) setReason(reason closeReason, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.reason == "" {
@@ -74,15 +74,15 @@
 	}
 }
 
-// readFailed records a failed read.
-func (r *connRecord) readFailed(err error) {
+// setReadError records a failed read.
+func (r *connRecord) setReadError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readErr = cmp.Or(r.readErr, err)
 }
 
-// writeFailed records a failed write.
-func (r *connRecord) writeFailed(err error) {
+// setWriteError records a failed write.
+func (r *connRecord) setWriteError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writeErr = cmp.Or(r.writeErr, err)
@@ -99,14 +99,14 @@
 	return true
 }
 
-// logClose logs the end of a connection whose current request has no complete response.
-func (r *connRecord) logClose(log *slog.Logger, client string) {
+// logIfIncomplete logs the end of a connection whose current request has no complete response.
+func (r *connRecord) logIfIncomplete(log *slog.Logger, client string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.responseIncomplete() {
 		return
 	}
 	log.Info("connection closed without a complete response",
-		"request", r.traceID, "client", client, "phase", r.phase, "after", time.Since(r.since),
+		"request", r.traceID, "client", client, "phase", r.phase, "after", time.Since(r.requestStartedAt),
 		"reason", r.reason, "cause", r.cause, "read_error", r.readErr, "write_error", r.writeErr)
 }
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -30,7 +30,7 @@
 	w http.ResponseWriter, r *http.Request, conn *Conn, upload *exchange.Upload, response *exchange.Response,
 ) {
 	// Decided when the response is ready: many requests wait for theirs when a shutdown begins.
-	surplus := conn.decideResponse()
+	surplus := conn.startResponse()
 	if surplus || s.mustClose(conn, upload, response) {
 		closeAfterResponse(w)
 	}
@@ -49,7 +49,7 @@
 		s.state.ShuttingDown.Load() ||
 		conn.scanner.Chunked ||
 		uploadIncomplete ||
-		conn.tracker.crowded()
+		conn.tracker.tooManyInactive()
 }
 
 // writeResponse writes a response whose body is in memory.
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -50,7 +50,7 @@
 	handler      RequestHandler // receives the valid requests
 	state        *exchange.ServiceState
 	done         <-chan struct{} // closed when no more responses will be sent
-	conns        *ConnTracker
+	tracker      *ConnTracker
 	replayBudget exchange.BufferBudget // of all long request bodies
 }
 
@@ -59,7 +59,7 @@
 func NewServer(
 	state *exchange.ServiceState, handler RequestHandler, conns *ConnTracker, replayBytes int64, done <-chan struct{},
 ) *Server {
-	server := &Server{state: state, handler: handler, conns: conns, done: done}
+	server := &Server{state: state, handler: handler, tracker: conns, done: done}
 	server.replayBudget.Remaining.Store(replayBytes)
 	return server
 }
@@ -76,7 +76,7 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelError),
-		ConnState:         s.conns.trackState,
+		ConnState:         s.tracker.handleStateChange,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
@@ -88,7 +88,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := r.Context().Value(connKey{}).(*Conn)
 	conn.countRequest()
-	conn.record.begin(r.Header.Get(traceIDHeader))
+	conn.record.beginRequest(r.Header.Get(traceIDHeader))
 	if s.state.ShuttingDown.Load() {
 		closeAfterResponse(w)
 	}
@@ -100,7 +100,7 @@
 	default:
 		respondError(w, &exchange.RequestError{Status: http.StatusNotFound, Text: "no such path"})
 	}
-	conn.record.enter(phaseResponded) // a handler that aborts does not return
+	conn.record.setPhase(phaseResponded) // a handler that aborts does not return
 }
 
 // handleReady responds whether the sidecar is ready for requests.
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -16,8 +16,8 @@
 // streamBufferSize is how many bytes of a long response are read and written at a time.
 const streamBufferSize = 32 << 10
 
-// streamBuffers holds the buffers of streams that have ended, for further ones.
-var streamBuffers = sync.Pool{New: func() any {
+// streamBufferPool holds the buffers of streams that have ended, for further ones.
+var streamBufferPool = sync.Pool{New: func() any {
 	buffer := make([]byte, streamBufferSize)
 	return &buffer
 }}
@@ -37,7 +37,7 @@
 	if err == nil {
 		return
 	}
-	conn.record.explain(reasonStreamBroken, err)
+	conn.record.setReason(reasonStreamBroken, err)
 	if download.Length < 0 && !r.ProtoAtLeast(1, 1) {
 		conn.SetLinger(0) // resets the connection when it is closed
 	}
@@ -65,8 +65,8 @@
 	if err := writePart(w, controller, first); err != nil {
 		return err
 	}
-	buffer := streamBuffers.Get().(*[]byte)
-	defer streamBuffers.Put(buffer)
+	buffer := streamBufferPool.Get().(*[]byte)
+	defer streamBufferPool.Put(buffer)
 	for {
 		download.ExtendDeadline()
 		n, readErr := download.Body.Read(*buffer)
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -11,8 +11,8 @@
 	"cindersaddle/internal/timing"
 )
 
-// idleDivisor bounds the connections that stay open for another request: one idleDivisor-th of the limit.
-const idleDivisor = 4
+// inactiveDivisor bounds the connections that stay open for another request: one inactiveDivisor-th of the limit.
+const inactiveDivisor = 4
 
 // ConnTracker limits the number of open connections of clients. It guards against connections that stay open and send
 // nothing: they would use up all descriptors, accept would fail, and no other client would be served. Below its limit
@@ -45,10 +45,10 @@
 	conn := &Conn{TCPConn: tcpConn, tracker: t, openedAt: time.Now()}
 	admitted, victim := t.admit(conn)
 	if victim != nil {
-		victim.closeFor(reasonEvicted)
+		victim.closeWithReason(reasonEvicted)
 	}
 	if !admitted {
-		conn.closeFor(reasonNotAdmitted)
+		conn.closeWithReason(reasonNotAdmitted)
 		return nil
 	}
 	return conn
@@ -66,7 +66,7 @@
 			return false, nil
 		}
 	}
-	t.queues.move(conn, &t.queues.fresh)
+	t.queues.move(conn, &t.queues.newConns)
 	return true, victim
 }
 
@@ -83,24 +83,24 @@
 	return true
 }
 
-// closeWithoutRequest closes the connections without a complete request.
-func (t *ConnTracker) closeWithoutRequest() {
+// closeConnsWithoutRequest closes the connections without a complete request.
+func (t *ConnTracker) closeConnsWithoutRequest() {
 	for _, conn := range t.all() {
-		if conn.markClosingWithoutRequest() {
-			conn.closeFor(reasonShutdownLimit)
+		if conn.markClosingIfNoRequest() {
+			conn.closeWithReason(reasonShutdownLimit)
 		}
 	}
 }
 
-// closeIdle closes the connections between two requests, and those that have been open without a request for
+// closeIdleConns closes the connections between two requests, and those that have been open without a request for
 // MinIdleBeforeClose.
-func (t *ConnTracker) closeIdle() {
+func (t *ConnTracker) closeIdleConns() {
 	for _, conn := range t.all() {
 		mayClose := func() bool {
 			return conn.betweenRequests() && (conn.responsesFinished > 0 || time.Since(conn.openedAt) >= MinIdleBeforeClose)
 		}
 		if conn.markClosing(mayClose) {
-			conn.closeFor(reasonShutdownIdle)
+			conn.closeWithReason(reasonShutdownIdle)
 		}
 	}
 }
@@ -122,14 +122,14 @@
 // crowded reports whether so many connections wait for a request that no more may stay open after their response. It guards
 // against clients that cannot connect because the application, which has a limited number of descriptors too, has used them
 // up for connections that carried one request each and are still open.
-func (t *ConnTracker) crowded() bool {
+func (t *ConnTracker) tooManyInactive() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.queues.waiting() >= t.maxConns/idleDivisor
+	return t.queues.inactiveCount() >= t.maxConns/inactiveDivisor
 }
 
-// trackState is the ConnState hook of http.Server. It moves connections between the queues.
-func (t *ConnTracker) trackState(netConn net.Conn, state http.ConnState) {
+// handleStateChange is the ConnState hook of http.Server. It moves connections between the queues.
+func (t *ConnTracker) handleStateChange(netConn net.Conn, state http.ConnState) {
 	conn, ok := netConn.(*Conn)
 	if !ok {
 		return
@@ -138,15 +138,15 @@
 	defer t.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		t.queues.move(conn, &t.queues.active)
+		t.queues.move(conn, &t.queues.activeConns)
 	case http.StateIdle:
 		conn.finishResponse()
-		t.queues.move(conn, &t.queues.idle)
+		t.queues.move(conn, &t.queues.idleConns)
 	}
 }
 
-// waitEmpty returns when no connection is open, or when ctx ends.
-func (t *ConnTracker) waitEmpty(ctx context.Context) {
+// waitUntilEmpty returns when no connection is open, or when ctx ends.
+func (t *ConnTracker) waitUntilEmpty(ctx context.Context) {
 	for ctx.Err() == nil && !t.empty() {
 		timing.Sleep(ctx, drainPollInterval)
 	}
--- a/internal/downstream/tracker_test.go
+++ b/internal/downstream/tracker_test.go
@@ -18,11 +18,11 @@
 		return tracker.Add(accepted)
 	}
 	first := add()
-	tracker.trackState(first, http.StateActive)
+	tracker.handleStateChange(first, http.StateActive)
 	if add() != nil || tracker.open != 1 {
 		t.Errorf("second connection admitted beside one with an open request; %d open, want 1", tracker.open)
 	}
-	tracker.trackState(first, http.StateIdle)
+	tracker.handleStateChange(first, http.StateIdle)
 	second := add()
 	if second == nil || !first.closed || tracker.open != 1 {
 		t.Errorf("idle connection not evicted for a new one; %d open, want 1", tracker.open)
@@ -30,7 +30,7 @@
 	second.Close()
 	second.Close()
 	queues := &tracker.queues
-	if tracker.open != 0 || queues.fresh.Len()+queues.idle.Len()+queues.active.Len() != 0 {
+	if tracker.open != 0 || queues.newConns.Len()+queues.idleConns.Len()+queues.activeConns.Len() != 0 {
 		t.Errorf("%d connections open and %d in queues after all were closed", tracker.open, len(queues.all()))
 	}
 }
@@ -39,8 +39,8 @@
 // and considers the connection idle. One from which nothing was read is closed.
 func TestUnparsedRequestKeepsConnectionOpen(t *testing.T) {
 	for name, closeConns := range map[string]func(*ConnTracker){
-		"closeIdle":           (*ConnTracker).closeIdle,
-		"closeWithoutRequest": (*ConnTracker).closeWithoutRequest,
+		"closeIdle":           (*ConnTracker).closeIdleConns,
+		"closeWithoutRequest": (*ConnTracker).closeConnsWithoutRequest,
 		"Evict":               func(tracker *ConnTracker) { tracker.Evict(); tracker.Evict() },
 		"SetLimit":            func(tracker *ConnTracker) { tracker.SetLimit(0) },
 	} {
@@ -49,7 +49,7 @@
 			client, accepted := sidecartest.ConnPair(t)
 			conn := tracker.Add(accepted)
 			t.Cleanup(func() { conn.Close() })
-			tracker.trackState(conn, http.StateIdle)
+			tracker.handleStateChange(conn, http.StateIdle)
 			conn.responsesFinished = 0
 			conn.openedAt = time.Now().Add(-MinIdleBeforeClose)
 			return conn, client
