--- a/internal/downstream/api.go
+++ b/internal/downstream/api.go
@@ -8,7 +8,7 @@
 	"cindersaddle/internal/exchange"
 )
 
-// handleAPI passes a request to the handler and waits for its response.
+// handleAPI passes a request to the RequestHandler, waits for its response and writes it.
 func (s *Server) handleAPI(w http.ResponseWriter, r *http.Request, conn *Conn) {
 	request, err := s.parseRequest(w, r, conn)
 	if err == nil {
@@ -29,9 +29,9 @@
 	s.respond(w, r, conn, request.Message.Upload, response)
 }
 
-// awaitResponse returns the response to a request. If there is none, it panics with http.ErrAbortHandler, which closes the
-// connection. That guards against a client that accepts an empty response with status 200, which net/http sends when a
-// handler returns without one: a client that has closed only its sending side would read it.
+// awaitResponse waits for the response to a request and returns it. If there is none, it panics with
+// http.ErrAbortHandler, which closes the connection. If it returned instead, net/http would send an empty response with
+// status 200, and a client that has closed only its sending side would accept it.
 func (s *Server) awaitResponse(r *http.Request, conn *Conn, request *exchange.Exchange) *exchange.Response {
 	select {
 	case response := <-request.Responses:
@@ -48,9 +48,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// markAwaitingIfComplete records that a request awaits its response if its body has been read completely. A long body
-// does so itself at its end. It returns an error if bytes follow the request. That the client has disconnected is no error
-// here: the context of the request ends.
+// markAwaitingIfComplete records that a request awaits its response if its body has been read completely. For an
+// upload, this is recorded when its last byte has been read. It returns an error if bytes follow the request, but not
+// if the client has disconnected: the context of the request ends in that case.
 func markAwaitingIfComplete(request *exchange.Exchange, conn *Conn) error {
 	if request.Message.Upload != nil {
 		return nil
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -9,15 +9,17 @@
 	"cindersaddle/internal/http1"
 )
 
-// A body may take bodyGracePeriod and the time that its bytes take at minBodyRate. Clients send 64 kB a second at least; one that
-// stalls must get an error or a close within 3 s of connecting.
+// The time limit for reading a body is bodyGracePeriod plus the time that its bytes take at minBodyRate. Clients send
+// at least 64 kB per second; a client that stalls must get an error response or a closed connection within 3 s of
+// connecting.
 const (
 	bodyGracePeriod = 700 * time.Millisecond
-	minBodyRate     = 48 << 10 // bytes a second
+	minBodyRate     = 48 << 10 // bytes per second
 )
 
-// readBody reads the body of a request. It returns a body of up to http1.MaxBufferedBody bytes completely. Of a longer
-// one it reads the first part, and returns an upload that reads the rest. Errors are of type *exchange.RequestError.
+// readBody reads the body of a request. A body of up to http1.MaxBufferedBody bytes is read and returned completely. Of
+// a longer body only the first part is read; the returned upload reads the rest. Errors are of type
+// *exchange.RequestError.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, conn *Conn) ([]byte, *exchange.Upload, error) {
 	if r.ContentLength > http1.MaxBody {
 		return nil, nil, exchange.ErrBodyTooLarge
@@ -40,34 +42,34 @@
 	return nil, s.newUpload(r, conn, controller, limited, body), nil
 }
 
-// newUpload returns the upload of a long body, of which the first bytes were read from source.
+// newUpload returns the upload of a long body. firstBytes were already read; source provides the rest.
 func (s *Server) newUpload(
-	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, first []byte,
+	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, firstBytes []byte,
 ) *exchange.Upload {
-	number := conn.requestCount
-	controller.EnableFullDuplex() // the response may precede the end of the body
+	requestNumber := conn.requestCount
+	controller.EnableFullDuplex() // the response may start before the body has been read completely
 	conn.uploading.Store(true)
 	upload := &exchange.Upload{
 		Length:               r.ContentLength,
 		Source:               source,
 		Budget:               &s.replayBudget,
-		MarkAwaitingResponse: func() error { return conn.MarkAwaitingResponse(number) },
+		MarkAwaitingResponse: func() error { return conn.MarkAwaitingResponse(requestNumber) },
 		SetReadTimeout: func(timeout time.Duration) {
 			controller.SetReadDeadline(time.Now().Add(timeout))
 		},
 	}
-	upload.SetFirstBytes(first)
+	upload.SetFirstBytes(firstBytes)
 	upload.PauseReading(time.Now())
 	return upload
 }
 
-// pacedReader extends the read deadline of a body as its bytes arrive.
+// pacedReader reads a body and extends its read deadline as bytes arrive.
 type pacedReader struct {
 	source         io.Reader
-	startedAt      time.Time // when the head had been read
-	serverDeadline time.Time // the read deadline that http.Server has set; never shortened
+	startedAt      time.Time // when reading of the body started
+	serverDeadline time.Time // the read deadline that http.Server has set; it is never shortened
 	bytesRead      int64
-	setDeadline    func(time.Time) error
+	setDeadline    func(time.Time) error // sets the read deadline of the connection
 }
 
 // Read implements io.Reader.
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -14,38 +14,40 @@
 
 // Conn is a connection of a client. net/http reads requests from it and writes responses to it.
 //
-// Conn counts requests and responses itself. That guards against closing a connection on which a request has arrived:
-// net/http considers it new or idle until it has parsed a complete head. Requests are numbered from 1 on each connection.
+// Conn counts requests and responses itself, so that no connection is closed on which a request has arrived: net/http
+// considers the connection new or idle until it has parsed a complete request head. The requests of a connection are
+// numbered from 1.
 type Conn struct {
 	*net.TCPConn
 	tracker  *ConnTracker
 	openedAt time.Time
 	record   connRecord
 
-	// requests counts the requests that reached the handler. Only the serving goroutine uses it.
+	// requestCount is the number of requests that reached the HTTP handler, and so the number of the current request.
+	// Only the serving goroutine uses it.
 	requestCount int64
-	// uploading is set while a long body is being read after its request was passed on. Such a request does not count as
-	// incomplete.
+	// uploading is true while a long body is being read whose request may already be with the RequestHandler. Such a
+	// request does not count as incomplete.
 	uploading atomic.Bool
 
-	// readMu guards the fields below. It makes a read and its effect on scanner one step, and so an examination of that
-	// and the decision to close. Not guarded are the atomic fields of scanner, which any goroutine may read, scanner.Err
-	// for the reading goroutine, and scanner.Chunked for the serving one.
+	// readMu guards the fields below. A read and the update of scanner are one critical section, and so are a check of
+	// scanner and the decision to close the connection. Exceptions: the atomic fields of scanner may be read by any
+	// goroutine, scanner.Err by the reading goroutine and scanner.Chunked by the serving goroutine.
 	readMu            sync.Mutex
 	scanner           http1.RequestScanner
-	closing           bool  // decided to close: nothing is read any more
+	closing           bool  // the connection is about to be closed; nothing more is read from it
 	awaitingResponse  bool  // a complete request awaits its response
-	responsesStarted  int64 // the number of the last request whose response was decided
-	responsesFinished int64 // responses that were written completely
-	trailingBytes     int   // bytes that were discarded while a response was awaited
+	responsesStarted  int64 // number of the last request whose response was started; see startResponse
+	responsesFinished int64 // count of responses that were written completely
+	trailingBytes     int   // bytes that were discarded while a request awaited its response
 
 	// tracker.mu guards the fields below.
-	queue        *list.List    // the queue that the connection is in; nil once it is to be closed
-	queueElement *list.Element // in queue
+	queue        *list.List    // the queue that the connection is in; nil once the connection is about to be closed
+	queueElement *list.Element // the connection's element in queue
 	closed       bool
 }
 
-// lastActivity returns when the last byte arrived, or when the connection was accepted if none has.
+// lastActivity returns when the last byte arrived, or when the connection was accepted if no byte has arrived.
 func (c *Conn) lastActivity() time.Time {
 	if at, any := c.scanner.LastByteAt(); any {
 		return at
@@ -53,7 +55,7 @@
 	return c.openedAt
 }
 
-// countRequest counts a request that reached the handler. Only the serving goroutine may call it.
+// countRequest counts a request that reached the HTTP handler. Only the serving goroutine may call it.
 func (c *Conn) countRequest() { c.requestCount++ }
 
 // requestDeadline returns the read deadline that http.Server has set for the current request. Only the serving
@@ -75,13 +77,13 @@
 	return n, err
 }
 
-// closeWithReason closes the connection because of a decision of this side.
+// closeWithReason closes the connection and records why this side does so.
 func (c *Conn) closeWithReason(reason closeReason) {
 	c.record.setReason(reason, nil)
 	c.Close()
 }
 
-// Close closes the connection and removes it from its tracker. It may be called more than once.
+// Close closes the connection and removes it from its tracker. It may be called repeatedly.
 func (c *Conn) Close() error {
 	if c.tracker.remove(c) {
 		c.record.logIfIncomplete(c.tracker.Log, c.RemoteAddr().String())
--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -8,26 +8,27 @@
 )
 
 var (
-	// ErrSurplus means that bytes arrived after a request that awaits its response. Clients read its text.
+	// ErrTrailingData means that bytes arrived after a request that awaits its response. Its text is sent to the
+	// client.
 	ErrSurplus = errors.New("more than the request that was announced")
 	// ErrClientDisconnected means that the client closed or reset its connection.
 	ErrClientDisconnected = errors.New("client closed its connection")
 )
 
-// MarkAwaitingResponse records that the request with this number is complete and awaits its response; it does not wait
-// for it. Later bytes are surplus: a client sends one request at a time, so they mean that the length of the request is
-// wrong or that it hides another one.
+// MarkAwaitingResponse records that the request with this number is complete and awaits its response. It does not
+// block. Until the response starts, all further bytes are trailing data: clients send one request at a time, so such
+// bytes mean that the declared length of the request is wrong or that another request is smuggled in it.
 //
-// It returns exchange.ErrNoLongerAwaited if the response has been decided already, ErrSurplus if bytes have arrived after
-// the request, and ErrClientDisconnected if the client has closed its connection. Any goroutine may call it.
-func (c *Conn) MarkAwaitingResponse(number int64) error {
+// It returns exchange.ErrNoLongerAwaited if the response has already started, ErrTrailingData if bytes have arrived
+// after the request, and ErrClientDisconnected if the client has closed its connection. It is safe for concurrent use.
+func (c *Conn) MarkAwaitingResponse(requestNumber int64) error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	if c.responsesStarted >= number {
+	if c.responsesStarted >= requestNumber {
 		return exchange.ErrNoLongerAwaited
 	}
 	state := socket.Peek(c.TCPConn)
-	if c.trailingDataAfter(number) || state == socket.Readable {
+	if c.trailingDataAfter(requestNumber) || state == socket.Readable {
 		return ErrSurplus
 	}
 	if state == socket.Closed {
@@ -37,10 +38,10 @@
 	return nil
 }
 
-// startResponse records that the response to the current request is about to be written. From now on, bytes belong to
-// the next request. It reports whether bytes have arrived after the current one: the connection has to end with the
-// response then. Only the serving goroutine may call it.
-func (c *Conn) startResponse() (surplus bool) {
+// startResponse records that the response to the current request is about to be written. Bytes that are read from now
+// on belong to the next request. It reports whether bytes have already arrived after the current request; the
+// connection must be closed after the response then. Only the serving goroutine may call it.
+func (c *Conn) startResponse() (trailingData bool) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	c.awaitingResponse = false
@@ -49,8 +50,8 @@
 }
 
 // trailingDataAfter reports whether bytes were read after the request with this number. The caller holds readMu.
-func (c *Conn) trailingDataAfter(number int64) bool {
-	return c.trailingBytes > 0 || c.scanner.Started.Load() > number
+func (c *Conn) trailingDataAfter(requestNumber int64) bool {
+	return c.trailingBytes > 0 || c.scanner.Started.Load() > requestNumber
 }
 
 // finishResponse records that a response was written completely.
@@ -60,9 +61,9 @@
 	c.responsesFinished++
 }
 
-// CheckClientDisconnected discards the bytes that follow a request that awaits its response, and reports whether the client
-// has closed or reset its connection: the end of the stream comes after those bytes. If no request awaits its response, it
-// discards nothing. Any goroutine may call it, at the same time as Read.
+// CheckClientDisconnected reports whether the client has closed or reset its connection. If a request awaits its
+// response, it first discards the bytes that follow the request, because the end of the stream comes after them;
+// otherwise it discards nothing. It is safe for concurrent use, also with Read.
 func (c *Conn) CheckClientDisconnected() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -74,9 +75,9 @@
 	if err != nil {
 		return true
 	}
-	var endOfStream error
+	var readErr error
 	err = raw.Control(func(fd uintptr) {
-		_, endOfStream = c.discardTrailingData(int(fd))
+		_, readErr = c.discardTrailingData(int(fd))
 	})
-	return err != nil || endOfStream != nil && !socket.Transient(endOfStream)
+	return err != nil || readErr != nil && !socket.Transient(readErr)
 }
--- a/internal/downstream/conn_closing.go
+++ b/internal/downstream/conn_closing.go
@@ -2,12 +2,12 @@
 
 import "cindersaddle/internal/socket"
 
-// markClosing decides to close the connection if mayClose returns true and no bytes wait to be read, and reports
-// whether it did. mayClose is called while readMu is locked.
+// markClosing marks the connection as closing if mayClose returns true and no bytes are waiting to be read. It reports
+// whether it did; the caller must then close the connection. mayClose is called with readMu locked.
 //
-// It guards against the loss of a request that was read just before the close, which its client may not retry, as it could
-// have been executed. No byte is read after the decision: a request that still arrives was never read, and the client sees
-// its connection closed without a response.
+// This prevents the loss of a request that is read just before the close: its client may not retry it, because it could
+// have been executed. No byte is read from a connection that is marked: a request that still arrives is never executed,
+// and its client sees the connection closed without a response.
 func (c *Conn) markClosing(mayClose func() bool) bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -21,17 +21,17 @@
 	return true
 }
 
-// markClosingIfNoRequest is markClosing for a connection without a complete request.
+// markClosingIfNoRequest marks the connection as closing if no complete request is open on it; see markClosing.
 func (c *Conn) markClosingIfNoRequest() bool {
 	return c.markClosing(func() bool { return c.betweenRequests() || c.requestIncomplete() })
 }
 
-// betweenRequests reports whether no byte of a request was read since the last response. The caller holds readMu.
+// betweenRequests reports whether no byte has been read since the last response. The caller holds readMu.
 func (c *Conn) betweenRequests() bool {
 	return c.scanner.Started.Load() <= c.responsesFinished
 }
 
-// requestIncomplete reports whether a request was read in part, and is not being uploaded.
+// requestIncomplete reports whether only part of a request has been read and the request is not being uploaded.
 func (c *Conn) requestIncomplete() bool {
 	_, partial := c.scanner.Partial()
 	return partial && !c.uploading.Load()
--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -10,22 +10,23 @@
 	"cindersaddle/internal/socket"
 )
 
-// readMode is what Conn.Read does with the bytes of the client.
+// readMode says what Conn.Read does with the bytes that the client sends.
 type readMode int
 
 const (
 	// readModeForward passes bytes on to net/http.
 	readModeForward readMode = iota
-	// readModeDiscard discards bytes: a complete request awaits its response.
+	// readModeDiscard discards bytes, because a complete request awaits its response.
 	readModeDiscard
-	// setReadError returns the framing error of the last request.
+	// readModeFailed returns the framing error of the last request.
 	readModeFailed
-	// readModeClosing reads nothing: the connection is about to be closed.
+	// readModeClosing reads nothing, because the connection is about to be closed.
 	readModeClosing
 )
 
-// Read reads the bytes of requests. It returns an error of the scanner, which is not a net.Error, if the framing of a
-// request is ambiguous: net/http responds with 400 then. It returns net.ErrClosed if the connection is about to be closed.
+// Read reads the bytes of requests. If the framing of a request is ambiguous, it returns the scanner's error, which is
+// not a net.Error, so that net/http responds with status 400. If the connection is about to be closed, it returns an
+// error that wraps net.ErrClosed.
 func (c *Conn) Read(buffer []byte) (n int, err error) {
 	if c.tracker.BeforeRead != nil {
 		c.tracker.BeforeRead(c.RemoteAddr())
@@ -47,8 +48,8 @@
 	return n, err
 }
 
-// wrapReadError returns the error of a read as net/http knows it: a *net.OpError means that no response can be written, while
-// it ends the request after io.EOF, and responds with status 400 after an error of the scanner.
+// wrapReadError converts the error of a read to one that net/http handles correctly: after a *net.OpError it writes no
+// response, after io.EOF it ends the request, and after a scanner error it responds with status 400.
 func (c *Conn) wrapReadError(err error) error {
 	if err == io.EOF || err == c.scanner.Err {
 		return err
@@ -56,7 +57,8 @@
 	return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 }
 
-// readWhenReady waits until bytes or an error can be read, and reads once.
+// readWhenReady waits until the connection is readable and reads once. In readModeDiscard it waits until the read
+// fails, for instance at the end of the connection.
 func (c *Conn) readWhenReady(buffer []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -73,7 +75,7 @@
 	return n, err
 }
 
-// tryRead reads without waiting. It reports whether the read is done; if not, it has to be repeated when bytes arrive.
+// tryRead reads without blocking. If done is false, it must be called again when more bytes arrive.
 func (c *Conn) tryRead(fd int, buffer []byte) (n int, done bool, err error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -95,14 +97,14 @@
 	case n == 0 && len(buffer) > 0:
 		return 0, true, io.EOF
 	}
-	passed := c.scanner.Scan(buffer[:n], time.Now())
-	if passed == 0 && n > 0 {
+	accepted := c.scanner.Scan(buffer[:n], time.Now())
+	if accepted == 0 && n > 0 {
 		return 0, true, c.scanner.Err
 	}
-	return passed, true, nil
+	return accepted, true, nil
 }
 
-// readMode returns what a read has to do. The caller holds readMu.
+// currentReadMode returns what the next read does. The caller holds readMu.
 func (c *Conn) currentReadMode() readMode {
 	switch {
 	case c.closing:
--- a/internal/downstream/conn_trailing.go
+++ b/internal/downstream/conn_trailing.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// maxTrailingBytes is how many bytes may be discarded after a request that awaits its response. With more of them the client
-	// counts as gone: a wrong length of the request cannot explain more than a buffered body.
+	// maxTrailingBytes is how many bytes may be discarded after a request that awaits its response. A client that sends
+	// more is treated as disconnected: a request with a wrong length cannot leave more bytes than a buffered body has.
 	maxTrailingBytes = http1.MaxBufferedBody
-	// discardBufferSize is the number of bytes that are discarded in one read.
+	// discardBufferSize is the maximum number of bytes that one read discards.
 	discardBufferSize = 512
 )
 
-// errTooMuchTrailingData is the error of a read after maxTrailingBytes bytes.
+// errTooMuchTrailingData is returned by a read once more than maxTrailingBytes bytes were discarded.
 var errTooMuchTrailingData = fmt.Errorf("more than %d bytes after a request that awaits its response", maxTrailingBytes)
 
-// discardTrailingData reads the bytes that follow a request that awaits its response, until none wait. It reports whether
-// the read is done, which is always with an error: io.EOF if the client has closed the connection.
+// discardTrailingData reads and discards all bytes that have arrived after a request that awaits its response. It
+// returns false and no error if the connection is still open, and true with an error otherwise: io.EOF if the client
+// has closed the connection. The caller holds readMu.
 //
-// It guards against a request that is executed for a client that has disconnected: were the first of these bytes passed on,
-// net/http would stop watching the connection for its end, which comes after them. The caller holds readMu.
+// These bytes are not passed on, because net/http would then stop watching for the end of the connection, and the
+// request could be executed although its client has disconnected.
 func (c *Conn) discardTrailingData(fd int) (done bool, err error) {
 	var buffer [discardBufferSize]byte
 	for c.trailingBytes <= maxTrailingBytes {
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// MinIdleBeforeClose is how long a connection without a request must exist before it may be closed. It is closed
-	// earlier only if a new connection could not be admitted otherwise.
+	// MinIdleBeforeClose is how long a connection without a request must have been open before it may be closed. It is
+	// closed earlier only if a new connection could not be admitted otherwise.
 	MinIdleBeforeClose = 2 * time.Second
-	// maxVictimChecks bounds the system calls of one search for a connection to evict, for each group of candidates.
+	// maxVictimChecks is how many connections of a group of candidates one eviction examines. Each takes a system call.
 	maxVictimChecks = 32
 )
 
-// Evict closes the connection whose loss does the least harm, and reports whether there was one to close.
+// Evict closes the connection whose loss does the least harm; see takeVictim. It returns false if no connection can be
+// closed.
 func (t *ConnTracker) Evict() bool {
 	t.mu.Lock()
 	victim := t.takeVictim(time.Now())
@@ -25,8 +26,8 @@
 	return true
 }
 
-// SetLimit changes the number of connections that may be open. It evicts those beyond the limit, except connections
-// with complete requests.
+// SetLimit changes the maximum number of open connections. It evicts connections over the limit, except those with
+// complete requests.
 func (t *ConnTracker) SetLimit(maxConns int) {
 	t.mu.Lock()
 	t.maxConns = maxConns
@@ -37,12 +38,13 @@
 	}
 }
 
-// takeVictim marks the connection whose loss does the least harm as closing, takes it out of its queue and returns it; the
-// caller has to close it. It returns nil if all have complete requests. In this order:
-//  1. one that has been silent without a complete request for MinIdleBeforeClose;
-//  2. one between two requests, as its client can connect again;
-//  3. the one that has been silent for longest without a complete request: a client that writes slowly goes on writing,
-//     while one that never finishes its request stalls at some point.
+// takeVictim chooses the connection whose loss does the least harm, marks it as closing, removes it from its queue and
+// returns it; the caller must close it. It returns nil if no connection can be closed. The order of preference is:
+//
+//  1. a connection that has been silent for MinIdleBeforeClose without a complete request;
+//  2. a connection between two requests, because its client can connect again;
+//  3. the connection that has been silent for longest without a complete request: a client that writes slowly continues
+//     to write, while a client that never completes its request falls silent at some point.
 //
 // The caller holds mu.
 func (t *ConnTracker) takeVictim(now time.Time) *Conn {
@@ -57,8 +59,8 @@
 	return nil
 }
 
-// splitBySilentTime splits connections, of which the one that has been silent for longest is the first, into those that
-// have been silent for MinIdleBeforeClose and the others.
+// splitBySilentTime splits connections into those that have been silent for at least MinIdleBeforeClose and the others.
+// conns must be in the order of last activity, the longest silent connection first.
 func splitBySilentTime(conns []*Conn, now time.Time) (overdue, recent []*Conn) {
 	isRecent := func(conn *Conn) bool { return now.Sub(conn.lastActivity()) < MinIdleBeforeClose }
 	firstRecent := slices.IndexFunc(conns, isRecent)
@@ -68,8 +70,8 @@
 	return conns[:firstRecent], conns[firstRecent:]
 }
 
-// markFirstClosable marks the first of the candidates that may be closed as closing and returns it, or returns nil. It
-// examines at most maxVictimChecks of them.
+// markFirstClosable returns the first of the candidates that may be closed, after marking it as closing, or nil if
+// there is none. It examines at most maxVictimChecks candidates.
 func markFirstClosable(candidates []*Conn) *Conn {
 	for _, conn := range candidates[:min(len(candidates), maxVictimChecks)] {
 		if conn.markClosingIfNoRequest() {
--- a/internal/downstream/headers.go
+++ b/internal/downstream/headers.go
@@ -11,7 +11,7 @@
 	"cindersaddle/internal/exchange"
 )
 
-// The headers that describe a request.
+// The request headers that the sidecar reads; see also exchange.ExpiryHeader.
 const (
 	traceIDHeader        = "X-Trace-Id"
 	classHeader          = "X-Qos"
@@ -23,19 +23,20 @@
 )
 
 const (
-	// maxTokenLength limits the length of an identifier in bytes. Those in use have 16 and 32.
+	// maxTokenLength is the maximum length of an identifier in bytes. Clients use identifiers of 16 and 32 bytes.
 	maxTokenLength = 256
-	// workHintScale is the value of workHintHeader that means one unit of work.
+	// workHintScale is the value of workHintHeader that stands for one unit of work.
 	workHintScale = 1000
 )
 
-// singleValueHeaders must not be repeated, as it is unknown which of two values an endpoint would use.
+// singleValueHeaders are the headers that must not be repeated, because it is not known which of two values an endpoint
+// would use.
 var singleValueHeaders = []string{
 	traceIDHeader, classHeader, tenantHeader, stickyKeyHeader, exchange.ExpiryHeader, clientRetryHeader, workHintHeader,
 	idempotencyKeyHeader,
 }
 
-// parseHeaders validates the method and the headers of a request, and returns what the load balancer decides by.
+// parseHeaders validates the method and the headers of a request and returns the properties that the balancer uses.
 func parseHeaders(r *http.Request, settings *exchange.Settings) (balance.Request, error) {
 	if err := validateSingleValues(r.Header); err != nil {
 		return balance.Request{}, err
@@ -44,11 +45,11 @@
 	if err != nil {
 		return balance.Request{}, err
 	}
-	rules := settings.Classes[class]
-	if err := validateMethodAndTokens(r, rules.Idempotency); err != nil {
+	classSettings := settings.Classes[class]
+	if err := validateMethodAndTokens(r, classSettings.Idempotency); err != nil {
 		return balance.Request{}, err
 	}
-	remaining, err := exchange.ParseExpiry(r.Header.Get(exchange.ExpiryHeader), rules.Deadline)
+	remaining, err := exchange.ParseExpiry(r.Header.Get(exchange.ExpiryHeader), classSettings.Deadline)
 	if err != nil {
 		return balance.Request{}, err
 	}
@@ -62,7 +63,7 @@
 	}, nil
 }
 
-// validateSingleValues rejects repeated headers of singleValueHeaders.
+// validateSingleValues returns an error if one of singleValueHeaders is repeated.
 func validateSingleValues(header http.Header) error {
 	for _, name := range singleValueHeaders {
 		if len(header[name]) > 1 {
@@ -72,24 +73,24 @@
 	return nil
 }
 
-// parseClassAndTenant returns the indexes of the class and the tenant of a request in the settings. The tenant counts
-// only if tenants are configured.
+// parseClassAndTenant returns the indexes of the request's class and tenant in the settings. The tenant is not
+// validated if no tenants are configured.
 func parseClassAndTenant(header http.Header, settings *exchange.Settings) (class, tenant int, err error) {
 	className := header.Get(classHeader)
-	class, known := settings.ClassIndex[className]
-	if !known {
+	class, found := settings.ClassIndex[className]
+	if !found {
 		return 0, 0, exchange.BadRequestf("unknown class %q in %s", className, classHeader)
 	}
 	tenantName := header.Get(tenantHeader)
-	tenant, known = settings.TenantIndex[tenantName]
-	if !known && len(settings.TenantIndex) > 0 {
+	tenant, found = settings.TenantIndex[tenantName]
+	if !found && len(settings.TenantIndex) > 0 {
 		return 0, 0, exchange.BadRequestf("unknown tenant %q in %s", tenantName, tenantHeader)
 	}
 	return class, tenant, nil
 }
 
-// validateMethodAndTokens checks that the method is that of the class, and that the identifiers that endpoints need are
-// present.
+// validateMethodAndTokens checks that the request has the method of its class and the identifiers that endpoints need:
+// a trace ID, and an idempotency key if the class requires one.
 func validateMethodAndTokens(r *http.Request, idempotency balance.Idempotency) error {
 	method := http.MethodPost
 	if idempotency == balance.Idempotent {
@@ -107,8 +108,7 @@
 	return nil
 }
 
-// isToken reports whether text can be an identifier: visible ASCII characters without spaces, and at most
-// maxTokenLength of them.
+// isToken reports whether text is a valid identifier: 1 to maxTokenLength visible ASCII characters, without spaces.
 func isToken(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] > '~' {
@@ -118,7 +118,7 @@
 	return text != "" && len(text) <= maxTokenLength
 }
 
-// parseWorkHint returns the expected work of a request, or 0 if the client does not give a positive number.
+// parseWorkHint returns the expected work of a request in units of work, or 0 if text is not a positive finite number.
 func parseWorkHint(text string) float64 {
 	hint, _ := strconv.ParseFloat(text, 64)
 	if !(hint > 0) || math.IsInf(hint, 0) { // the negation also excludes NaN
@@ -127,8 +127,8 @@
 	return hint / workHintScale
 }
 
-// parseStickyKey returns a number that identifies the object of a request, or 0 if it has none. The number has no other
-// meaning.
+// parseStickyKey returns a number that identifies the object of a request, or 0 if text is empty. A hexadecimal text is
+// converted to its number, any other text is hashed.
 func parseStickyKey(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// nopEvictor is an Evictor without connections.
+// nopEvictor is an Evictor that has no connections to close.
 type nopEvictor struct{}
 
 func (nopEvictor) Evict() bool { return false }
 
-// newTestListener returns a listener with a tracker of its own, which has no upstream connections to evict.
+// newTestListener returns a listener with a new tracker and no upstream connections to evict.
 func newTestListener(inner net.Listener) *Listener {
 	return NewListener(inner, NewConnTracker(100), nopEvictor{})
 }
 
-// dialQueued opens connections that wait in the queue of a listener.
+// dialQueued opens count connections that stay in the listen queue of a listener until it accepts them.
 func dialQueued(t *testing.T, listener net.Listener, count int) {
 	t.Helper()
 	for range count {
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -18,14 +18,14 @@
 const (
 	// soReusePort is SO_REUSEPORT of Linux, which package syscall does not define.
 	soReusePort = 15
-	// acceptRetryDelay is how long Accept waits while no descriptor is available, and after other errors.
+	// acceptRetryDelay is the delay before Accept retries after an error, unless it has evicted a connection.
 	acceptRetryDelay = 2 * time.Millisecond
-	// acceptLogInterval is the least time between two log lines about connections that could not be accepted.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
 )
 
-// ListenShared listens at a TCP address with SO_REUSEPORT, so that a process that takes over in an upgrade can listen
-// at the same address. If the kernel rejects the option, this process alone can listen there.
+// ListenShared listens on a TCP address with SO_REUSEPORT, so that the successor in an upgrade can listen on the same
+// address. If the kernel rejects the option, only this process can listen there.
 func ListenShared(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -39,19 +39,19 @@
 	return ln, nil
 }
 
-// Evictor closes connections to free descriptors.
+// Evictor closes connections to free file descriptors.
 type Evictor interface {
-	// Evict closes the connection whose loss does the least harm, and reports whether there was one to close.
+	// Evict closes the connection whose loss does the least harm. It returns false if no connection can be closed.
 	Evict() bool
 }
 
-// Listener accepts the connections of clients. It guards against a process that stops serving after an error that passes:
-// net/http ends serving with the first error of Accept. Accept fails only if the listener cannot be used any more. When no
-// descriptor is available, it evicts another connection, or pauses for acceptRetryDelay, as clients consider a connection in the
-// listen queue accepted; any other error is that of one connection, or passes.
+// Listener accepts the connections of clients. http.Server stops serving after the first error from Accept, so Accept
+// fails only if the listener can no longer be used. If no file descriptor is available, it evicts another connection or
+// waits for acceptRetryDelay, because clients consider a connection in the listen queue accepted. Any other error
+// affects only one connection or is temporary, so Accept tries again.
 //
-// Drain accepts the connections that wait in the listen queue before the listener is closed. Accept must be called by one
-// goroutine only, the other methods by any.
+// Drain accepts the connections in the listen queue before the listener is closed. Accept must be called by one
+// goroutine only; the other methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
 	tracker  *ConnTracker
@@ -59,24 +59,24 @@
 
 	queueShared    atomic.Bool     // another process accepts from the same listen queue
 	draining       atomic.Bool     // Drain was called
-	drainCtx       context.Context // the limit of a drain; set before draining
-	acceptDone     chan struct{}   // closed when Accept returns net.ErrClosed, so that all drained connections are tracked
-	acceptDoneOnce sync.Once       // closes closed
+	drainCtx       context.Context // limits the drain; set before draining
+	acceptDone     chan struct{}   // closed when Accept returns net.ErrClosed; all drained connections are tracked then
+	acceptDoneOnce sync.Once       // closes acceptDone
 
-	// Only the accepting goroutine uses the fields below.
-	queueDrained bool       // the listen queue is empty and the listener closed
-	pendingConns []net.Conn // connections from the listen queue that Accept has not yet returned
-	lastErrorLog time.Time  // when a failed accept was logged last
+	// Only the goroutine that calls Accept uses the fields below.
+	queueDrained bool       // drainQueue was called: Accept returns pendingConns and then net.ErrClosed
+	pendingConns []net.Conn // drained connections that Accept has not yet returned
+	lastErrorLog time.Time  // when a failed accept was last logged
 }
 
-// NewListener returns a listener that accepts from ln and adds connections to conns. When no descriptor is available,
-// it evicts connections of upstream first.
-func NewListener(ln net.Listener, conns *ConnTracker, upstream Evictor) *Listener {
-	return &Listener{Listener: ln, tracker: conns, upstream: upstream, acceptDone: make(chan struct{})}
+// NewListener returns a listener that accepts connections from ln and adds them to tracker. If no file descriptor is
+// available, it evicts an upstream connection or, if there is none, a client connection.
+func NewListener(ln net.Listener, tracker *ConnTracker, upstream Evictor) *Listener {
+	return &Listener{Listener: ln, tracker: tracker, upstream: upstream, acceptDone: make(chan struct{})}
 }
 
-// Accept returns the next connection that the tracker admits, as a *Conn. After Drain it returns the connections that
-// were waiting, and then net.ErrClosed.
+// Accept returns the next connection that the tracker admits, as a *Conn. After a call to Drain it returns the
+// connections that were in the listen queue, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		netConn, err := l.nextConn()
@@ -94,7 +94,8 @@
 	}
 }
 
-// handleAcceptError prepares for another accept after one that failed.
+// handleAcceptError logs a failed accept, at most once per acceptLogInterval. It then frees a file descriptor if there
+// was none, or waits before the next accept.
 func (l *Listener) handleAcceptError(err error) {
 	if time.Since(l.lastErrorLog) >= acceptLogInterval {
 		l.lastErrorLog = time.Now()
@@ -107,7 +108,7 @@
 	}
 }
 
-// Close closes the listener. It returns nil if the listener is closed already.
+// Close closes the listener. It returns nil if the listener is already closed.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -116,7 +117,7 @@
 	return err
 }
 
-// freeDescriptor evicts a connection, or waits for acceptRetryDelay if there is none to evict.
+// freeDescriptor evicts a connection, or waits for acceptRetryDelay if no connection can be evicted.
 func (l *Listener) freeDescriptor() {
 	if l.upstream.Evict() || l.tracker.Evict() {
 		return
@@ -124,7 +125,8 @@
 	time.Sleep(acceptRetryDelay)
 }
 
-// nextConn returns the next connection, whether or not the tracker admits it.
+// nextConn returns the next connection of the listener, or of pendingConns after a drain. It does not add it to the
+// tracker.
 func (l *Listener) nextConn() (net.Conn, error) {
 	if !l.queueDrained {
 		conn, err := l.acceptOnce()
@@ -143,7 +145,7 @@
 	return conn, nil
 }
 
-// accept returns the next connection of the listener, and fails as the fault plan of a test says.
+// acceptOnce accepts one connection from the listener. Tests can inject errors.
 func (l *Listener) acceptOnce() (net.Conn, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return nil, err
--- a/internal/downstream/listener_drain.go
+++ b/internal/downstream/listener_drain.go
@@ -10,9 +10,9 @@
 	"cindersaddle/internal/socket"
 )
 
-// Drain makes Accept return the connections that wait in the listen queue, and then net.ErrClosed. It returns when the
-// listener is closed, or when ctx ends. It guards against clients whose connection is reset although they consider it
-// accepted, which is what the kernel does with the listen queue of a listener that is closed.
+// Drain makes Accept return the connections in the listen queue and then net.ErrClosed. It returns when Accept has done
+// so or when ctx ends. Closing the listener without a drain would lose connections that clients consider accepted: the
+// kernel resets all connections in the listen queue of a closed listener.
 func (l *Listener) Drain(ctx context.Context) {
 	if !l.draining.Load() {
 		l.drainCtx = ctx
@@ -27,19 +27,20 @@
 	}
 }
 
-// ShareQueue records that another process accepts from the same listen queue, and goes on doing so after Drain. It must be
-// called before Drain.
+// ShareQueue records that another process accepts from the same listen queue and continues to do so after Drain. It
+// must be called before Drain.
 func (l *Listener) ShareQueue() { l.queueShared.Store(true) }
 
-// drainQueue accepts all connections from the listen queue and closes the listener.
+// drainQueue accepts all connections in the listen queue and closes the listener.
 func (l *Listener) drainQueue(ln *net.TCPListener) {
 	l.queueDrained = true
 	defer ln.Close()
 	socket.Control(ln, func(fd uintptr) { l.acceptQueued(int(fd)) })
 }
 
-// acceptQueued accepts connections until the listen queue is empty, and stops listening at that moment. It goes on after
-// errors other than an empty queue or a broken listener, as they leave connections in the queue.
+// acceptQueued accepts connections until the listen queue is empty, and then stops listening. It continues after every
+// error except that of an empty queue or a broken listener, because connections may remain in the queue. It stops early
+// if the drain's context ends.
 func (l *Listener) acceptQueued(listenerFD int) {
 	for {
 		fd, err := acceptDescriptor(listenerFD)
@@ -55,12 +56,13 @@
 		}
 		l.handleAcceptError(err)
 	}
-	if !l.queueShared.Load() { // a shutdown would end the listening of the other process too
+	if !l.queueShared.Load() { // SHUT_RD would make the other process stop listening too
 		syscall.Shutdown(listenerFD, syscall.SHUT_RD)
 	}
 }
 
-// acceptDescriptor accepts a connection without waiting. The error is a syscall.Errno: EAGAIN if the queue is empty.
+// acceptDescriptor accepts a connection without blocking and returns its file descriptor. The error is a syscall.Errno:
+// EAGAIN if the queue is empty.
 func acceptDescriptor(listenerFD int) (int, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return 0, err
@@ -69,8 +71,9 @@
 	return fd, err
 }
 
-// addPending adds the connection of a descriptor to those that Accept returns. Its client considers it accepted: while no
-// descriptor is available for its duplicate, another connection is evicted.
+// addPending adds the connection of a file descriptor to pendingConns and closes the descriptor. The connection gets a
+// duplicate of the descriptor. While none is available, addPending evicts other connections, because the client of this
+// connection already considers it accepted.
 func (l *Listener) addPending(fd int) {
 	file := os.NewFile(uintptr(fd), "accepted")
 	defer file.Close()
@@ -87,7 +90,7 @@
 	}
 }
 
-// connFromFile returns the connection of a file, with a descriptor of its own.
+// connFromFile returns the connection of a file, which gets a duplicate of the file descriptor.
 func connFromFile(file *os.File) (net.Conn, error) {
 	if err := fault.Injected(fault.Duplicate); err != nil {
 		return nil, err
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -8,8 +8,8 @@
 	"cindersaddle/internal/http1"
 )
 
-// parseRequest validates a request and reads its body. Errors are of type *exchange.RequestError; clients read their
-// texts. It removes hop-by-hop headers from r.
+// parseRequest validates a request and reads its body, or the first part of a long body. Errors are of type
+// *exchange.RequestError; their texts are sent to the client. It removes the hop-by-hop headers from r.
 func (s *Server) parseRequest(w http.ResponseWriter, r *http.Request, conn *Conn) (*exchange.Exchange, error) {
 	settings := s.state.Settings.Load()
 	traceID := r.Header.Get(traceIDHeader)
@@ -33,7 +33,8 @@
 	}, nil
 }
 
-// newMessage returns what is sent to an endpoint. It removes hop-by-hop headers from r. upload is nil if body is complete.
+// newMessage returns the message that is sent to an endpoint. It removes the hop-by-hop headers from r. upload is nil
+// if body is complete.
 func newMessage(r *http.Request, body []byte, upload *exchange.Upload, conn *Conn) *exchange.Message {
 	http1.RemoveHopHeaders(r.Header)
 	return &exchange.Message{
@@ -47,8 +48,8 @@
 	}
 }
 
-// parseBody reads the body of a request, and rejects one in a GET request. It checks the announced length first, so
-// that such a body is not read.
+// parseBody reads the body of a request. It rejects a GET request with a body, without reading the body if the request
+// declares its length.
 func (s *Server) parseBody(w http.ResponseWriter, r *http.Request, conn *Conn) ([]byte, *exchange.Upload, error) {
 	if r.Method == http.MethodGet && r.ContentLength > 0 {
 		return nil, nil, errUnexpectedBody
@@ -63,5 +64,5 @@
 	return body, upload, nil
 }
 
-// errUnexpectedBody is the error of a GET request with a body.
+// errUnexpectedBody is the error for a GET request with a body.
 var errUnexpectedBody = exchange.BadRequestf("a body where none belongs")
--- a/internal/downstream/queues.go
+++ b/internal/downstream/queues.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// connQueues holds the open connections, each in the queue of its phase. The phases are those of net/http, which moves
-// a connection only after it has parsed a complete head. ConnTracker.mu guards it.
+// connQueues holds the open connections in one queue per http.ConnState. net/http changes the state of a connection
+// only after it has parsed a complete request head, so a connection in newConns or idleConns may already have received
+// a request. ConnTracker.mu guards all fields.
 type connQueues struct {
-	newConns    list.List // connections without a request so far, the oldest first
-	idleConns   list.List // connections between two requests, the one that has been idle for longest first
+	newConns    list.List // connections that have not had a request, oldest first
+	idleConns   list.List // connections between two requests, longest idle first
 	activeConns list.List // connections with a request whose head is complete
 }
 
-// move puts a connection at the end of a queue, out of the one that it is in. It does nothing if the connection is
-// closed.
+// move moves a connection from its current queue to the end of another one. If the connection is closed, it is only
+// removed.
 func (q *connQueues) move(conn *Conn, queue *list.List) {
 	q.remove(conn)
 	if conn.closed {
@@ -24,7 +25,7 @@
 	conn.queueElement = queue.PushBack(conn)
 }
 
-// remove takes a connection out of its queue, if it is in one.
+// remove removes a connection from its queue, if it is in one.
 func (q *connQueues) remove(conn *Conn) {
 	if conn.queue == nil {
 		return
@@ -39,11 +40,11 @@
 	return slices.Concat(connsOf(&q.newConns), connsOf(&q.idleConns), connsOf(&q.activeConns))
 }
 
-// waiting returns the number of connections without a request.
+// inactiveCount returns the number of new and idle connections.
 func (q *connQueues) inactiveCount() int { return q.newConns.Len() + q.idleConns.Len() }
 
-// stalled returns the connections without a request so far and those with an incomplete one, the one that has been
-// silent for longest first.
+// possiblyStalled returns the connections that have not had a request and those with an incomplete request. They are in
+// the order of their last activity, the longest silent one first.
 func (q *connQueues) possiblyStalled() []*Conn {
 	conns := connsOf(&q.newConns)
 	for _, queue := range []*list.List{&q.idleConns, &q.activeConns} {
@@ -59,7 +60,7 @@
 	return conns
 }
 
-// connsOf returns the connections of a queue in its order.
+// connsOf returns the connections of a queue, from front to back.
 func connsOf(queue *list.List) []*Conn {
 	conns := make([]*Conn, 0, queue.Len())
 	for element := queue.Front(); element != nil; element = element.Next() {
--- a/internal/downstream/record.go
+++ b/internal/downstream/record.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// requestPhase is how far the current request of a connection has come.
+// requestPhase is the progress of the current request of a connection.
 type requestPhase string
 
 // The phases of a request, in their order.
 const (
-	phaseNone       requestPhase = ""           // no request has reached the handler since the last response
-	phaseValidating requestPhase = "validating" // its head was read
-	phaseAwaiting   requestPhase = "awaiting"   // it was passed to the request handler
-	phaseResponding requestPhase = "responding" // its response is being written
-	phaseResponded  requestPhase = "responded"  // its response was handed to net/http completely
+	phaseNone       requestPhase = ""           // no request has reached the HTTP handler
+	phaseValidating requestPhase = "validating" // the head of the request has been read
+	phaseAwaiting   requestPhase = "awaiting"   // the request was passed to the RequestHandler
+	phaseResponding requestPhase = "responding" // the response is being written
+	phaseResponded  requestPhase = "responded"  // the complete response was passed to net/http
 )
 
-// closeReason is why this side decided to close a connection or to abort its request.
+// closeReason is why the sidecar closes a connection or aborts its request.
 type closeReason string
 
-// The reasons to close a connection while a request may be open on it.
+// The reasons to close a connection on which a request may be open.
 const (
 	reasonEvicted       closeReason = "evicted for a new connection"
 	reasonNotAdmitted   closeReason = "no capacity for a new connection"
 	reasonShutdownIdle  closeReason = "idle during the shutdown"
 	reasonShutdownLimit closeReason = "end of the shutdown"
-	// reasonDisconnectedBeforeSend: an attempt found it out before it was sent.
+	// reasonDisconnectedBeforeSend means that an attempt found the client disconnected before it sent the request.
 	reasonDisconnectedBeforeSend closeReason = "the client had left when the request was to be sent"
-	// reasonContextEnded: net/http noticed it while the response was awaited.
+	// reasonContextEnded means that net/http found the client disconnected while the request awaited its response.
 	reasonContextEnded closeReason = "the request's context ended"
 	reasonProcessEnds  closeReason = "the process ends"
 	reasonStreamBroken closeReason = "the streamed response broke off"
 )
 
-// connRecord holds what explains the end of a connection. Any goroutine may call its methods.
+// connRecord records how a connection and its current request ended, for the log. It is safe for concurrent use.
 type connRecord struct {
 	mu               sync.Mutex
 	phase            requestPhase
 	traceID          string      // of the current request
-	requestStartedAt time.Time   // when the current request reached the handler
-	reason           closeReason // empty: net/http or the client closes
-	cause            error       // of reason; may be nil
-	readErr          error       // the first failed read since the current request began; later ones follow from the end
-	writeErr         error       // the first failed write since then
+	requestStartedAt time.Time   // when the current request reached the HTTP handler
+	reason           closeReason // empty if net/http or the client closes the connection
+	cause            error       // the cause of reason; may be nil
+	readErr          error       // first read error since requestStartedAt; later ones only result from it
+	writeErr         error       // first write error since requestStartedAt
 }
 
-// begin records that a request reached the handler.
+// beginRequest records that a request reached the HTTP handler, and clears the errors of the previous request.
 func (r *connRecord) beginRequest(traceID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,14 +58,14 @@
 	r.readErr, r.writeErr = nil, nil
 }
 
-// enter records that the current request entered a phase.
+// setPhase records the phase of the current request.
 func (r *connRecord) setPhase(phase requestPhase) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phase = phase
 }
 
-// explain records why this side is about to close the connection. The first reason stays.
+// setReason records why the sidecar is about to close the connection. Only the first call has an effect.
 func (r *connRecord) setReason(reason closeReason, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,14 +74,14 @@
 	}
 }
 
-// setReadError records a failed read.
+// setReadError records the error of a read, unless one is already recorded.
 func (r *connRecord) setReadError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readErr = cmp.Or(r.readErr, err)
 }
 
-// setWriteError records a failed write.
+// setWriteError records the error of a write, unless one is already recorded.
 func (r *connRecord) setWriteError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +99,7 @@
 	return true
 }
 
-// logIfIncomplete logs the end of a connection whose current request has no complete response.
+// logIfIncomplete logs the close of the connection if the current request has no complete response.
 func (r *connRecord) logIfIncomplete(log *slog.Logger, client string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -10,11 +10,12 @@
 	"cindersaddle/internal/exchange"
 )
 
-// closeAfterResponse makes net/http close the connection after the response.
+// closeAfterResponse makes net/http close the connection after the response. It must be called before the response is
+// written.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// respondError responds to an invalid request with the text of err, and closes the connection: the bytes that follow
-// on it cannot be interpreted.
+// respondError responds to an invalid request with the text of err. It closes the connection, because the bytes that
+// follow an invalid request cannot be interpreted.
 func respondError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var requestErr *exchange.RequestError
@@ -25,13 +26,14 @@
 	http.Error(w, err.Error(), status)
 }
 
-// respond writes a response. upload is the long body of the request, or nil.
+// respond writes the response to a request. upload is nil unless the request has a long body.
 func (s *Server) respond(
 	w http.ResponseWriter, r *http.Request, conn *Conn, upload *exchange.Upload, response *exchange.Response,
 ) {
-	// Decided when the response is ready: many requests wait for theirs when a shutdown begins.
-	surplus := conn.startResponse()
-	if surplus || s.mustClose(conn, upload, response) {
+	// Whether to close the connection is decided only now, because many requests may be awaiting their response when a
+	// shutdown begins.
+	trailingData := conn.startResponse()
+	if trailingData || s.mustClose(conn, upload, response) {
 		closeAfterResponse(w)
 	}
 	if response.Download != nil {
@@ -42,7 +44,7 @@
 	writeResponse(w, response)
 }
 
-// mustClose reports whether the connection has to end with the response, surplus bytes of the client apart.
+// mustClose reports whether the connection must be closed after the response, for a reason other than trailing data.
 func (s *Server) mustClose(conn *Conn, upload *exchange.Upload, response *exchange.Response) bool {
 	uploadIncomplete := upload != nil && !upload.Received.Load()
 	return response.CloseConn ||
@@ -52,7 +54,7 @@
 		conn.tracker.tooManyInactive()
 }
 
-// writeResponse writes a response whose body is in memory.
+// writeResponse writes a response with a buffered body.
 func writeResponse(w http.ResponseWriter, response *exchange.Response) {
 	header := w.Header()
 	maps.Copy(header, response.Header)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -12,54 +12,55 @@
 	"cindersaddle/internal/exchange"
 )
 
-// A client that stalls must get an error or a close within 3 s of connecting. A request that is written at once takes a
-// moment; a connection may be silent for 2 s before its first request.
+// A client that stalls must get an error response or a closed connection within 3 s of connecting. Clients may stay
+// silent for 2 s before their first request, and then write a request without delay.
 const (
-	// headTimeout limits the time for the head of a request.
+	// headTimeout is the maximum time for reading the head of a request: the request line and the headers.
 	headTimeout = 2600 * time.Millisecond
-	// readTimeout limits the time for a complete request, unless its body is long.
+	// readTimeout is the maximum time for reading a complete request. pacedReader extends it for long bodies.
 	readTimeout = 2900 * time.Millisecond
-	// writeTimeout limits the time for a response whose body is in memory: a client that does not read it occupies that
-	// memory and a descriptor.
+	// writeTimeout is the maximum time for writing a buffered response. A client that does not read its response ties
+	// up the buffer and a file descriptor.
 	writeTimeout = 10 * time.Second
-	// idleTimeout is how long a connection may be idle while there are few. Clients that send one request and keep their
-	// connections open occupy descriptors, of which the application has a limited number too.
+	// idleTimeout is how long a connection may be idle between two requests; see also ConnTracker.tooManyInactive.
+	// Clients that send one request and keep their connection open use up file descriptors, also those of the
+	// application.
 	idleTimeout = 5 * time.Second
-	// maxHeaderBytes limits the size of the head of a request.
+	// maxHeaderBytes is http.Server.MaxHeaderBytes, the maximum size of a request head.
 	maxHeaderBytes = 32 << 10
 )
 
-// The paths that the server responds to.
+// The paths that the server handles.
 const (
-	apiPath   = "/api" // requests for the endpoints, with all paths below it
-	readyPath = "/up"  // whether the sidecar is ready
+	apiPath   = "/api" // this path and all paths below it: requests for the endpoints
+	readyPath = "/up"  // readiness of the sidecar
 )
 
-// RequestHandler receives the requests of clients. Its methods are called by the goroutine that serves the
-// connection of the request.
+// RequestHandler handles the requests of clients. Its methods are called by the goroutine that serves the connection of
+// the request.
 type RequestHandler interface {
 	// RequestArrived is called for each valid request. The handler sends the response to the Responses channel of the
 	// exchange, at most once.
 	RequestArrived(*exchange.Exchange)
-	// ClientDisconnected is called after RequestArrived if the client closes its connection before it has a response.
+	// ClientDisconnected is called after RequestArrived if the client closes its connection before it gets a response.
 	ClientDisconnected(*exchange.Exchange)
 }
 
-// Server serves the requests of clients. Its methods may be called by any goroutine.
+// Server serves the requests of clients. Its methods are safe for concurrent use.
 type Server struct {
-	handler      RequestHandler // receives the valid requests
+	handler      RequestHandler // handles the valid requests
 	state        *exchange.ServiceState
-	done         <-chan struct{} // closed when no more responses will be sent
+	done         <-chan struct{} // closed when handler sends no more responses
 	tracker      *ConnTracker
-	replayBudget exchange.BufferBudget // of all long request bodies
+	replayBudget exchange.BufferBudget // shared by the uploads of all requests
 }
 
-// NewServer returns a server that stores at most replayBytes of long request bodies for repeated attempts. Once done is
-// closed, it aborts the requests that await a response.
+// NewServer returns a server that buffers at most replayBytes of all uploads together for retries. Once done is closed,
+// it aborts the requests that await a response.
 func NewServer(
-	state *exchange.ServiceState, handler RequestHandler, conns *ConnTracker, replayBytes int64, done <-chan struct{},
+	state *exchange.ServiceState, handler RequestHandler, tracker *ConnTracker, replayBytes int64, done <-chan struct{},
 ) *Server {
-	server := &Server{state: state, handler: handler, tracker: conns, done: done}
+	server := &Server{state: state, handler: handler, tracker: tracker, done: done}
 	server.replayBudget.Remaining.Store(replayBytes)
 	return server
 }
@@ -67,7 +68,8 @@
 // connKey is the context key of the *Conn of a request.
 type connKey struct{}
 
-// HTTPServer returns an http.Server that serves s. It must be used with a Listener, and logs its errors.
+// HTTPServer returns an http.Server that uses s as its handler and writes its errors to log. It must be used with a
+// Listener.
 func (s *Server) HTTPServer(log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           s,
@@ -83,8 +85,8 @@
 	}
 }
 
-// ServeHTTP implements http.Handler. It matches paths as they are written: http.ServeMux would respond to some of them with
-// a redirect, which clients do not follow.
+// ServeHTTP implements http.Handler. It matches paths without cleaning them: http.ServeMux would respond to some paths
+// with a redirect, which clients do not follow.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := r.Context().Value(connKey{}).(*Conn)
 	conn.countRequest()
@@ -100,10 +102,10 @@
 	default:
 		respondError(w, &exchange.RequestError{Status: http.StatusNotFound, Text: "no such path"})
 	}
-	conn.record.setPhase(phaseResponded) // a handler that aborts does not return
+	conn.record.setPhase(phaseResponded) // not reached if the handler aborts: it panics
 }
 
-// handleReady responds whether the sidecar is ready for requests.
+// handleReady responds to a readiness check: with status 200 if the sidecar is ready for requests, otherwise with 503.
 func (s *Server) handleReady(w http.ResponseWriter) {
 	if !s.state.IsReady() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -9,36 +9,38 @@
 )
 
 const (
-	// drainPollInterval is how often a shutdown examines whether connections are open.
+	// drainPollInterval is the time between two checks for open connections during a shutdown.
 	drainPollInterval = 10 * time.Millisecond
-	// streamDrainTimeout is how long a shutdown waits for long responses; one that takes longer is considered stuck.
+	// streamDrainTimeout is how long a shutdown waits for long responses after its time limit. A response that takes
+	// longer is considered stuck.
 	streamDrainTimeout = time.Minute
 )
 
-// Shutdown accepts connections for another acceptFor, and then those that wait in the listen queue, responds to all
-// requests that have arrived, and closes the server. When ctx ends, it closes the connections without a complete
-// request, and waits for the responses that are still being written. It returns the error of http.Server.Close.
+// Shutdown keeps accepting connections for acceptFor, accepts those in the listen queue, and waits until all
+// connections are closed, so that every request that has arrived gets a response. Then it closes the server. When ctx
+// ends, it closes the connections without a complete request and waits only for the responses that are still being
+// written. It returns the error of http.Server.Close.
 func (s *Server) Shutdown(ctx context.Context, server *http.Server, listener *Listener, acceptFor time.Duration) error {
 	timing.Sleep(ctx, acceptFor)
 	listener.Drain(ctx)
 	return s.closeIdleUntilEmpty(ctx, server)
 }
 
-// ShutdownAfterUpgrade leaves new connections to the successor, and otherwise does what Shutdown does. It guards against
-// requests that are lost because their connection is closed while they are on their way, which clients see as a reset:
-// until ShutdownTimes.LateAfter it closes none, and each connection ends with its next response.
+// ShutdownAfterUpgrade is like Shutdown, except that it leaves new connections to the successor and closes no idle
+// connection before ShutdownTimes.LateAfter; until then, connections are closed only after their next response. A
+// request that is on its way when its connection is closed would be lost, and its client would see a reset connection.
 func (s *Server) ShutdownAfterUpgrade(ctx context.Context, server *http.Server, listener *Listener) error {
 	listener.ShareQueue()
 	listener.Drain(ctx)
-	early, cancel := context.WithDeadline(ctx, s.state.Shutdown.Load().LateAfter)
+	beforeLate, cancel := context.WithDeadline(ctx, s.state.Shutdown.Load().LateAfter)
 	defer cancel()
-	s.tracker.waitUntilEmpty(early)
+	s.tracker.waitUntilEmpty(beforeLate)
 	return s.closeIdleUntilEmpty(ctx, server)
 }
 
-// closeIdleUntilEmpty closes idle connections until no connection is open. It guards against the loss of a request that
-// http.Server.Shutdown would cause: that considers a connection idle of which it has read a request whose head it has not
-// parsed, while ConnTracker counts the bytes itself.
+// closeIdleUntilEmpty closes idle connections until no connection is open or ctx ends, and then closes the server; see
+// drainStreams. It does not use http.Server.Shutdown, which could lose a request: that considers a connection idle
+// while it has read a request but not yet parsed its head. ConnTracker takes the bytes that were read into account.
 func (s *Server) closeIdleUntilEmpty(ctx context.Context, server *http.Server) error {
 	for ctx.Err() == nil && !s.tracker.empty() {
 		s.tracker.closeIdleConns()
@@ -47,8 +49,9 @@
 	return s.drainStreams(server)
 }
 
-// drainStreams waits for the requests that are still open after the limit of the shutdown, which are those with long
-// responses. Closing their connections would break these off; it does that after streamDrainTimeout only.
+// drainStreams closes the connections without a complete request, waits until the remaining connections are closed, and
+// closes the server. The requests that are still open after the shutdown's time limit are those with long responses;
+// they are cut off only after streamDrainTimeout.
 func (s *Server) drainStreams(server *http.Server) error {
 	s.tracker.closeConnsWithoutRequest()
 	ctx, cancel := context.WithTimeout(context.Background(), streamDrainTimeout)
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -13,10 +13,10 @@
 	"cindersaddle/internal/exchange"
 )
 
-// streamBufferSize is how many bytes of a long response are read and written at a time.
+// streamBufferSize is the maximum number of bytes of a long response that are read and written at a time.
 const streamBufferSize = 32 << 10
 
-// streamBufferPool holds the buffers of streams that have ended, for further ones.
+// streamBufferPool holds buffers of streamBufferSize bytes for reuse.
 var streamBufferPool = sync.Pool{New: func() any {
 	buffer := make([]byte, streamBufferSize)
 	return &buffer
@@ -24,12 +24,12 @@
 
 // streamResponse writes a long response as fast as the client reads it, and flushes each part.
 //
-// It guards against a client that takes a response which broke off for a complete one: it panics with http.ErrAbortHandler,
-// which closes the connection before the announced length or the last chunk. To HTTP/1.0 a body of unknown length ends with
-// the connection, which is reset therefore.
+// If the response breaks off, it panics with http.ErrAbortHandler, so that the client does not take the response for a
+// complete one: net/http closes the connection before the declared length or the last chunk was written. In HTTP/1.0, a
+// body of unknown length ends with the connection, so the connection is reset in that case.
 func streamResponse(w http.ResponseWriter, r *http.Request, conn *Conn, response *exchange.Response) {
 	download := response.Download
-	stop := context.AfterFunc(r.Context(), download.Cancel) // releases the endpoint at once if the client disconnects
+	stop := context.AfterFunc(r.Context(), download.Cancel) // ends the attempt at once if the client disconnects
 	defer stop()
 	writeStreamHead(w, response)
 	err := copyDownload(w, download)
@@ -56,8 +56,8 @@
 	w.WriteHeader(response.Status)
 }
 
-// copyDownload writes the body of a long response. It returns exchange.ErrDownloadStopped, joined with the cause, if the
-// client stops reading, and otherwise the error that ended the body.
+// copyDownload writes the body of a long response. If the client stops reading, it returns exchange.ErrDownloadStopped
+// joined with the cause, and if the body cannot be read completely, the error of that read.
 func copyDownload(w http.ResponseWriter, download *exchange.Download) error {
 	controller := http.NewResponseController(w)
 	first := download.FirstBytes
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -11,36 +11,37 @@
 	"cindersaddle/internal/timing"
 )
 
-// inactiveDivisor bounds the connections that stay open for another request: one inactiveDivisor-th of the limit.
+// inactiveDivisor limits the inactive connections, which are those without a request: at most maxConns/inactiveDivisor
+// of them are kept open for another request.
 const inactiveDivisor = 4
 
-// ConnTracker limits the number of open connections of clients. It guards against connections that stay open and send
-// nothing: they would use up all descriptors, accept would fail, and no other client would be served. Below its limit
-// there are descriptors left, and at the limit a connection without a request is evicted for a new one. Its methods may be
-// called by any goroutine.
+// ConnTracker limits the number of open client connections. Without it, connections that stay open and send nothing
+// could use up all file descriptors, so that accept fails and no other client is served. The limit leaves descriptors
+// free; at the limit, a connection without a request is evicted for a new one. Its methods are safe for concurrent use.
 type ConnTracker struct {
 	mu       sync.Mutex
 	maxConns int
-	open     int // connections that are not closed, with those that are about to be
+	open     int // connections that are not closed, including those that are about to be closed
 	queues   connQueues
 
 	// BeforeRead, if set, is called before each read from a connection, with the address of the client. It is for tests
 	// and must be set before the first connection is added.
 	BeforeRead func(net.Addr)
-	// AfterRead, if set, is called after each read, before net/http knows of the bytes. It is for tests and must be set
+	// AfterRead, if set, is called after each read, before net/http gets the bytes. It is for tests and must be set
 	// before the first connection is added.
 	AfterRead func()
-	// Log receives why connections end. It must be set before the first connection is added.
+	// Log receives failed accepts and connections that end without a complete response. It must be set before the first
+	// connection is added.
 	Log *slog.Logger
 }
 
-// NewConnTracker returns a tracker of at most maxConns connections.
+// NewConnTracker returns a tracker that admits at most maxConns connections.
 func NewConnTracker(maxConns int) *ConnTracker {
 	return &ConnTracker{maxConns: maxConns, Log: slog.New(slog.DiscardHandler)}
 }
 
-// Add starts to track a new connection. At the limit it evicts another one; if all have complete requests, it closes
-// the new one and returns nil.
+// Add adds a new connection. At the limit it evicts another one. If no other connection can be evicted, because all
+// have complete requests, it closes the new one and returns nil.
 func (t *ConnTracker) Add(tcpConn *net.TCPConn) *Conn {
 	conn := &Conn{TCPConn: tcpConn, tracker: t, openedAt: time.Now()}
 	admitted, victim := t.admit(conn)
@@ -54,8 +55,8 @@
 	return conn
 }
 
-// admit counts a new connection and puts it into a queue. At the limit it does the latter only if there is a victim,
-// which the caller has to close.
+// admit counts a new connection and adds it to a queue. At the limit it admits the connection only if it finds a
+// victim, which the caller must close. A connection that is not admitted is counted until the caller closes it.
 func (t *ConnTracker) admit(conn *Conn) (admitted bool, victim *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +71,7 @@
 	return true, victim
 }
 
-// remove stops tracking a connection, and reports whether this is the first call for it.
+// remove removes a connection. It returns false if the connection was already removed.
 func (t *ConnTracker) remove(conn *Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +84,7 @@
 	return true
 }
 
-// closeConnsWithoutRequest closes the connections without a complete request.
+// closeConnsWithoutRequest closes all connections without a complete request, at the time limit of a shutdown.
 func (t *ConnTracker) closeConnsWithoutRequest() {
 	for _, conn := range t.all() {
 		if conn.markClosingIfNoRequest() {
@@ -92,8 +93,8 @@
 	}
 }
 
-// closeIdleConns closes the connections between two requests, and those that have been open without a request for
-// MinIdleBeforeClose.
+// closeIdleConns closes the connections between two requests, and those that have been open for MinIdleBeforeClose
+// without receiving any byte of a request.
 func (t *ConnTracker) closeIdleConns() {
 	for _, conn := range t.all() {
 		mayClose := func() bool {
@@ -105,7 +106,7 @@
 	}
 }
 
-// all returns the connections that are not about to be closed.
+// all returns the open connections, except those that are about to be closed.
 func (t *ConnTracker) all() []*Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,16 +120,16 @@
 	return t.open == 0
 }
 
-// crowded reports whether so many connections wait for a request that no more may stay open after their response. It guards
-// against clients that cannot connect because the application, which has a limited number of descriptors too, has used them
-// up for connections that carried one request each and are still open.
+// tooManyInactive reports whether there are so many connections without a request that connections must be closed after
+// their response. Otherwise an application that opens a connection per request and keeps it open could run out of file
+// descriptors, and its clients could not connect.
 func (t *ConnTracker) tooManyInactive() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.queues.inactiveCount() >= t.maxConns/inactiveDivisor
 }
 
-// handleStateChange is the ConnState hook of http.Server. It moves connections between the queues.
+// handleStateChange is the ConnState hook of http.Server. It moves a connection to the queue of its new state.
 func (t *ConnTracker) handleStateChange(netConn net.Conn, state http.ConnState) {
 	conn, ok := netConn.(*Conn)
 	if !ok {
@@ -145,7 +146,7 @@
 	}
 }
 
-// waitUntilEmpty returns when no connection is open, or when ctx ends.
+// waitUntilEmpty waits until no connection is open or ctx ends.
 func (t *ConnTracker) waitUntilEmpty(ctx context.Context) {
 	for ctx.Err() == nil && !t.empty() {
 		timing.Sleep(ctx, drainPollInterval)
