--- a/internal/downstream/abort_test.go
+++ b/internal/downstream/abort_test.go
@@ -13,7 +13,7 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// abortingHandler aborts every request.
+// abortingHandler is a RequestHandler that aborts every request.
 type abortingHandler struct{}
 
 func (abortingHandler) RequestArrived(request *exchange.Exchange) {
@@ -30,30 +30,31 @@
 	return len(p), nil
 }
 
-// TestAbortClosesTheConnection checks that a request which is aborted ends its connection without a byte of a response, although
-// the client has not closed it, and that this counts as no failure of the handler.
+// TestAbortClosesTheConnection checks that an aborted request closes its connection without a byte of a response,
+// although the client has not closed it, and that net/http does not log this as a failure of the handler.
 func TestAbortClosesTheConnection(t *testing.T) {
 	settings := exchange.NewSettings(sidecartest.Config(t), &metrics.Metrics{})
 	state := &exchange.ServiceState{}
 	state.Settings.Store(settings)
-	conns := NewConnTracker(10)
-	failures := &flagWriter{}
-	server := NewServer(state, abortingHandler{}, conns, 0, nil).HTTPServer(slog.New(slog.NewTextHandler(failures, nil)))
+	tracker := NewConnTracker(10)
+	errorLog := &flagWriter{}
+	server := NewServer(state, abortingHandler{}, tracker, 0, nil).HTTPServer(slog.New(slog.NewTextHandler(errorLog, nil)))
 	inner := sidecartest.Listen(t)
-	go server.Serve(NewListener(inner, conns, nopEvictor{}))
+	go server.Serve(NewListener(inner, tracker, nopEvictor{}))
 	t.Cleanup(func() { server.Close() })
 	client, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	io.WriteString(client, "GET /api HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: 7\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n")
+	const request = "GET /api HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: 7\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
+	io.WriteString(client, request)
 	client.SetReadDeadline(time.Now().Add(sidecartest.Timeout))
 	if got, err := io.ReadAll(client); len(got) > 0 || err != nil {
-		t.Errorf("read %q, %v, want the end of the connection", got, err)
+		t.Errorf("client got %q, error %v, want a closed connection without a byte", got, err)
 	}
-	sidecartest.WaitFor(t, "the connection is closed", conns.empty)
-	if failures.written.Load() {
-		t.Error("net/http reported a failure")
+	sidecartest.WaitFor(t, "the connection is closed", tracker.empty)
+	if errorLog.written.Load() {
+		t.Error("got an entry in the error log of net/http, want none")
 	}
 }
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -9,7 +9,8 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// Drain accepts the connections that wait in the listen queue, so that the kernel resets none, and closes the listener.
+// TestDrainAcceptsQueuedConnections checks that Drain accepts all connections in the listen queue, which the kernel
+// would reset otherwise, and closes the listener.
 func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	inner := sidecartest.Listen(t)
 	listener := newTestListener(inner)
@@ -26,24 +27,25 @@
 		conn.Close()
 	}
 	if accepted != queued {
-		t.Errorf("%d of %d queued connections accepted", accepted, queued)
+		t.Errorf("got %d accepted connections, want all %d queued ones", accepted, queued)
 	}
 	if _, err := net.Dial("tcp", inner.Addr().String()); err == nil {
-		t.Error("connection established after Drain, want the listener closed")
+		t.Error("got a connection after Drain, want the listener closed")
 	}
 }
 
-// Drain must not return before Accept has returned, and so tracked, every connection that was waiting: a shutdown that
-// finds no connection closes the server, and would reset those that are yet to come.
+// TestDrainWaitsForQueuedConnections checks that Drain does not return before Accept has returned every connection that
+// was in the listen queue. Accept adds them to the tracker; if Drain returned earlier, a shutdown that finds no tracked
+// connection would close the server and reset the connections that are still to be accepted.
 func TestDrainWaitsForQueuedConnections(t *testing.T) {
-	const waiting = 3
+	const queued = 3
 	inner := sidecartest.Listen(t)
 	listener := newTestListener(inner)
-	dialQueued(t, inner, waiting)
-	ended, cancel := context.WithCancel(t.Context())
+	dialQueued(t, inner, queued)
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	listener.Drain(ended) // has the next Accept drain the queue, and does not wait
-	for i := range waiting {
+	listener.Drain(canceled) // makes the next Accept drain the queue, and returns at once
+	for i := range queued {
 		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -51,12 +53,12 @@
 		defer conn.Close()
 		select {
 		case <-listener.acceptDone:
-			t.Fatalf("drained after %d of %d connections", i+1, waiting)
+			t.Fatalf("the drain ended after %d of %d connections, want it to end when Accept returns net.ErrClosed", i+1, queued)
 		default:
 		}
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Accept returns %v, want net.ErrClosed", err)
+		t.Errorf("Accept after the drain: got error %v, want net.ErrClosed", err)
 	}
-	listener.Drain(t.Context()) // returns, as all connections are tracked
+	listener.Drain(t.Context()) // returns, because all connections are tracked
 }
--- a/internal/downstream/tracker_test.go
+++ b/internal/downstream/tracker_test.go
@@ -10,7 +10,8 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// At the limit, a connection with an open request is not evicted: the new one is closed. An idle one is evicted.
+// TestTrackerKeepsConnectionsWithOpenRequests checks that at the limit a connection with an open request is not
+// evicted, so that the new connection is closed, and that an idle connection is evicted for a new one.
 func TestTrackerKeepsConnectionsWithOpenRequests(t *testing.T) {
 	tracker := NewConnTracker(1)
 	add := func() *Conn {
@@ -20,23 +21,25 @@
 	first := add()
 	tracker.handleStateChange(first, http.StateActive)
 	if add() != nil || tracker.open != 1 {
-		t.Errorf("second connection admitted beside one with an open request; %d open, want 1", tracker.open)
+		t.Errorf("new connection admitted or wrong count while a request is open: got %d open connections, want 1",
+			tracker.open)
 	}
 	tracker.handleStateChange(first, http.StateIdle)
 	second := add()
 	if second == nil || !first.closed || tracker.open != 1 {
-		t.Errorf("idle connection not evicted for a new one; %d open, want 1", tracker.open)
+		t.Errorf("idle connection not evicted for a new one or wrong count: got %d open connections, want 1", tracker.open)
 	}
 	second.Close()
 	second.Close()
 	queues := &tracker.queues
 	if tracker.open != 0 || queues.newConns.Len()+queues.idleConns.Len()+queues.activeConns.Len() != 0 {
-		t.Errorf("%d connections open and %d in queues after all were closed", tracker.open, len(queues.all()))
+		t.Errorf("after all were closed: got %d open connections and %d in queues, want 0", tracker.open, len(queues.all()))
 	}
 }
 
-// A connection from which a complete request has been read is not closed, even if net/http has not parsed the head yet
-// and considers the connection idle. One from which nothing was read is closed.
+// TestUnparsedRequestKeepsConnectionOpen checks that a connection from which a complete request has been read is not
+// closed, even if net/http has not parsed the head yet and considers the connection idle. A connection from which
+// nothing has been read is closed.
 func TestUnparsedRequestKeepsConnectionOpen(t *testing.T) {
 	for name, closeConns := range map[string]func(*ConnTracker){
 		"closeIdle":           (*ConnTracker).closeIdleConns,
@@ -59,17 +62,17 @@
 		_, silentClient := add()
 		io.WriteString(client, request)
 		if n, err := io.ReadFull(conn, make([]byte, len(request))); err != nil {
-			t.Fatalf("%s: read %d bytes of the request: %v", name, n, err)
+			t.Fatalf("%s: read %d of %d bytes of the request: %v", name, n, len(request), err)
 		}
 		closeConns(tracker)
 		io.WriteString(conn, "response")
 		conn.CloseWrite()
 		if got, err := io.ReadAll(client); err != nil || string(got) != "response" {
-			t.Errorf("%s: client with a request read %q, error %v, want the response", name, got, err)
+			t.Errorf("%s: client with a request got %q, error %v, want the response", name, got, err)
 		}
 		silentClient.SetReadDeadline(time.Now().Add(sidecartest.Timeout))
 		if got, err := io.ReadAll(silentClient); err != nil || len(got) > 0 {
-			t.Errorf("%s: client without a request read %q, error %v, want a close", name, got, err)
+			t.Errorf("%s: client without a request got %q, error %v, want a closed connection", name, got, err)
 		}
 	}
 }
