--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -26,8 +26,8 @@
 	// requestCount is the number of requests that reached the HTTP handler, and so the number of the current request.
 	// Only the serving goroutine uses it.
 	requestCount int64
-	// uploading is true while a long body is being read whose request may already be with the RequestHandler. Such a
-	// request does not count as incomplete.
+	// uploading is true while a long body is being received. Its request is passed on before the body is complete, so
+	// it does not count as incomplete.
 	uploading atomic.Bool
 
 	// readMu guards the fields below. A read and the update of scanner are one critical section, and so are a check of
@@ -49,7 +49,7 @@
 
 // lastActivity returns when the last byte arrived, or when the connection was accepted if no byte has arrived.
 func (c *Conn) lastActivity() time.Time {
-	if at, any := c.scanner.LastByteAt(); any {
+	if at, received := c.scanner.LastByteAt(); received {
 		return at
 	}
 	return c.openedAt
@@ -58,14 +58,15 @@
 // countRequest counts a request that reached the HTTP handler. Only the serving goroutine may call it.
 func (c *Conn) countRequest() { c.requestCount++ }
 
-// requestDeadline returns the read deadline that http.Server has set for the current request. Only the serving
-// goroutine may call it.
+// requestDeadline returns the read deadline that http.Server has set for the current request. It counts from the accept
+// for the first request of a connection, and from the first byte for later requests. Only the serving goroutine may
+// call it.
 func (c *Conn) requestDeadline() time.Time {
-	began := c.openedAt
+	startedAt := c.openedAt
 	if c.requestCount > 1 {
-		began, _ = c.scanner.Partial()
+		startedAt, _ = c.scanner.Partial()
 	}
-	return began.Add(readTimeout)
+	return startedAt.Add(readTimeout)
 }
 
 // Write implements net.Conn.
@@ -77,7 +78,7 @@
 	return n, err
 }
 
-// closeWithReason closes the connection and records why this side does so.
+// closeWithReason closes the connection and records why the sidecar does so.
 func (c *Conn) closeWithReason(reason closeReason) {
 	c.record.setReason(reason, nil)
 	c.Close()
--- a/internal/downstream/conn_trailing.go
+++ b/internal/downstream/conn_trailing.go
@@ -22,8 +22,8 @@
 var errTooMuchTrailingData = fmt.Errorf("more than %d bytes after a request that awaits its response", maxTrailingBytes)
 
 // discardTrailingData reads and discards all bytes that have arrived after a request that awaits its response. It
-// returns false and no error if the connection is still open, and true with an error otherwise: io.EOF if the client
-// has closed the connection. The caller holds readMu.
+// returns false and no error if the client may send more, and otherwise true and an error, which is io.EOF if the
+// client has closed the connection. The caller holds readMu.
 //
 // These bytes are not passed on, because net/http would then stop watching for the end of the connection, and the
 // request could be executed although its client has disconnected.
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -48,9 +48,9 @@
 //
 // The caller holds mu.
 func (t *ConnTracker) takeVictim(now time.Time) *Conn {
-	overdue, recent := splitBySilentTime(t.queues.possiblyStalled(), now)
+	longSilent, recentlyActive := splitBySilentTime(t.queues.possiblyStalled(), now)
 	idle := connsOf(&t.queues.idleConns)
-	for _, candidates := range [][]*Conn{overdue, idle, recent} {
+	for _, candidates := range [][]*Conn{longSilent, idle, recentlyActive} {
 		if victim := markFirstClosable(candidates); victim != nil {
 			t.queues.remove(victim)
 			return victim
@@ -61,7 +61,7 @@
 
 // splitBySilentTime splits connections into those that have been silent for at least MinIdleBeforeClose and the others.
 // conns must be in the order of last activity, the longest silent connection first.
-func splitBySilentTime(conns []*Conn, now time.Time) (overdue, recent []*Conn) {
+func splitBySilentTime(conns []*Conn, now time.Time) (longSilent, recentlyActive []*Conn) {
 	isRecent := func(conn *Conn) bool { return now.Sub(conn.lastActivity()) < MinIdleBeforeClose }
 	firstRecent := slices.IndexFunc(conns, isRecent)
 	if firstRecent < 0 {
--- a/internal/downstream/headers.go
+++ b/internal/downstream/headers.go
@@ -17,8 +17,8 @@
 	classHeader          = "X-Qos"
 	tenantHeader         = "X-Customer"
 	stickyKeyHeader      = "X-Object"
-	clientRetryHeader    = "X-Second-Try" // "1" if the client repeats a request
-	workHintHeader       = "X-Size-Hint"  // in thousandths of a unit of work
+	clientRetryHeader    = "X-Second-Try" // "1" if the request is a retry by the client
+	workHintHeader       = "X-Size-Hint"  // expected work in thousandths of a unit of work
 	idempotencyKeyHeader = "Idempotency-Key"
 )
 
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -145,7 +145,7 @@
 	return conn, nil
 }
 
-// acceptOnce accepts one connection from the listener. Tests can inject errors.
+// acceptOnce accepts one connection from the listener, unless a test injects an error.
 func (l *Listener) acceptOnce() (net.Conn, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return nil, err
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -122,7 +122,7 @@
 
 // tooManyInactive reports whether there are so many connections without a request that connections must be closed after
 // their response. Otherwise an application that opens a connection per request and keeps it open could run out of file
-// descriptors, and its clients could not connect.
+// descriptors, so that it could not connect any more.
 func (t *ConnTracker) tooManyInactive() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
