--- a/internal/downstream/conn_closing.go
+++ b/internal/downstream/conn_closing.go
@@ -26,7 +26,8 @@
 	return c.markClosing(func() bool { return c.betweenRequests() || c.requestIncomplete() })
 }
 
-// betweenRequests reports whether no byte has been read since the last response. The caller holds readMu.
+// betweenRequests reports whether no byte has been read since the last response, or since the connection was accepted
+// if there was none. The caller holds readMu.
 func (c *Conn) betweenRequests() bool {
 	return c.scanner.Started.Load() <= c.responsesFinished
 }
--- a/internal/downstream/headers.go
+++ b/internal/downstream/headers.go
@@ -25,7 +25,7 @@
 const (
 	// maxTokenLength is the maximum length of an identifier in bytes. Clients use identifiers of 16 and 32 bytes.
 	maxTokenLength = 256
-	// workHintScale is the value of workHintHeader that stands for one unit of work.
+	// workHintScale is the value of workHintHeader for one unit of work.
 	workHintScale = 1000
 )
 
@@ -128,7 +128,7 @@
 }
 
 // parseStickyKey returns a number that identifies the object of a request, or 0 if text is empty. A hexadecimal text is
-// converted to its number, any other text is hashed.
+// converted to its number, any other text is hashed. The number has no other meaning.
 func parseStickyKey(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -23,8 +23,8 @@
 	// up the buffer and a file descriptor.
 	writeTimeout = 10 * time.Second
 	// idleTimeout is how long a connection may be idle between two requests; see also ConnTracker.tooManyInactive.
-	// Clients that send one request and keep their connection open use up file descriptors, also those of the
-	// application.
+	// Clients that send one request and keep their connection open use up the file descriptors of the sidecar and
+	// of the application.
 	idleTimeout = 5 * time.Second
 	// maxHeaderBytes is http.Server.MaxHeaderBytes, the maximum size of a request head.
 	maxHeaderBytes = 32 << 10
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -121,8 +121,8 @@
 }
 
 // tooManyInactive reports whether there are so many connections without a request that connections must be closed after
-// their response. Otherwise an application that opens a connection per request and keeps it open could run out of file
-// descriptors, so that it could not connect any more.
+// their response. Otherwise an application that opens a connection for each request and keeps it open could use up its
+// limited number of file descriptors and be unable to connect.
 func (t *ConnTracker) tooManyInactive() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
