--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -10,22 +10,23 @@
 	"cindersaddle/internal/socket"
 )
 
-// readState is what Conn.Read does with the bytes of the client.
-type readState int
+// readMode says what Conn.Read does with the bytes that the client sends.
+type readMode int
 
 const (
-	// readRequests passes bytes on to net/http.
-	readRequests readState = iota
-	// readSurplus discards bytes: a complete request awaits its response.
-	readSurplus
-	// readFailed returns the framing error of the last request.
-	readFailed
-	// readClosing reads nothing: the connection is about to be closed.
-	readClosing
+	// readModeForward passes bytes on to net/http.
+	readModeForward readMode = iota
+	// readModeDiscard discards bytes, because a complete request awaits its response.
+	readModeDiscard
+	// readModeFailed returns the framing error of the last request.
+	readModeFailed
+	// readModeClosing reads nothing, because the connection is about to be closed.
+	readModeClosing
 )
 
-// Read reads the bytes of requests. It returns an error of the scanner, which is not a net.Error, if the framing of a
-// request is ambiguous: net/http responds with 400 then. It returns net.ErrClosed if the connection is about to be closed.
+// Read reads the bytes of requests. If the framing of a request is ambiguous, it returns the scanner's error, which is
+// not a net.Error, so that net/http responds with status 400. If the connection is about to be closed, it returns an
+// error that wraps net.ErrClosed.
 func (c *Conn) Read(buffer []byte) (n int, err error) {
 	if c.tracker.BeforeRead != nil {
 		c.tracker.BeforeRead(c.RemoteAddr())
@@ -41,22 +42,23 @@
 		c.tracker.AfterRead()
 	}
 	if err != nil {
-		err = c.readError(err)
-		c.record.readFailed(err)
+		err = c.wrapReadError(err)
+		c.record.setReadError(err)
 	}
 	return n, err
 }
 
-// readError returns the error of a read as net/http knows it: a *net.OpError means that no response can be written, while
-// it ends the request after io.EOF, and responds with status 400 after an error of the scanner.
-func (c *Conn) readError(err error) error {
+// wrapReadError converts the error of a read to one that net/http handles correctly: after a *net.OpError it writes no
+// response, after io.EOF it ends the request, and after a scanner error it responds with status 400.
+func (c *Conn) wrapReadError(err error) error {
 	if err == io.EOF || err == c.scanner.Err {
 		return err
 	}
 	return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 }
 
-// readWhenReady waits until bytes or an error can be read, and reads once.
+// readWhenReady waits until the connection is readable and reads once. In readModeDiscard it waits until the read
+// fails, for instance at the end of the connection.
 func (c *Conn) readWhenReady(buffer []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -64,7 +66,7 @@
 	}
 	waitErr := raw.Read(func(fd uintptr) bool {
 		var done bool
-		n, done, err = c.readNow(int(fd), buffer)
+		n, done, err = c.tryRead(int(fd), buffer)
 		return done
 	})
 	if waitErr != nil {
@@ -73,17 +75,17 @@
 	return n, err
 }
 
-// readNow reads without waiting. It reports whether the read is done; if not, it has to be repeated when bytes arrive.
-func (c *Conn) readNow(fd int, buffer []byte) (n int, done bool, err error) {
+// tryRead reads without blocking. If done is false, it must be called again when more bytes arrive.
+func (c *Conn) tryRead(fd int, buffer []byte) (n int, done bool, err error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	switch c.readState() {
-	case readClosing:
+	switch c.currentReadMode() {
+	case readModeClosing:
 		return 0, true, net.ErrClosed
-	case readFailed:
+	case readModeFailed:
 		return 0, true, c.scanner.Err
-	case readSurplus:
-		done, err = c.discardSurplus(fd)
+	case readModeDiscard:
+		done, err = c.discardTrailingData(fd)
 		return 0, done, err
 	}
 	n, err = socket.Read(fd, buffer)
@@ -95,22 +97,22 @@
 	case n == 0 && len(buffer) > 0:
 		return 0, true, io.EOF
 	}
-	passed := c.scanner.Scan(buffer[:n], time.Now())
-	if passed == 0 && n > 0 {
+	accepted := c.scanner.Scan(buffer[:n], time.Now())
+	if accepted == 0 && n > 0 {
 		return 0, true, c.scanner.Err
 	}
-	return passed, true, nil
+	return accepted, true, nil
 }
 
-// readState returns what a read has to do. The caller holds readMu.
-func (c *Conn) readState() readState {
+// currentReadMode returns what the next read does. The caller holds readMu.
+func (c *Conn) currentReadMode() readMode {
 	switch {
 	case c.closing:
-		return readClosing
+		return readModeClosing
 	case c.scanner.Err != nil:
-		return readFailed
+		return readModeFailed
 	case c.awaitingResponse:
-		return readSurplus
+		return readModeDiscard
 	}
-	return readRequests
+	return readModeForward
 }
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -18,14 +18,14 @@
 const (
 	// soReusePort is SO_REUSEPORT of Linux, which package syscall does not define.
 	soReusePort = 15
-	// acceptPause is how long Accept waits while no descriptor is available, and after other errors.
-	acceptPause = 2 * time.Millisecond
-	// acceptLogInterval is the least time between two log lines about connections that could not be accepted.
+	// acceptRetryDelay is the delay before Accept retries after an error, unless it has evicted a connection.
+	acceptRetryDelay = 2 * time.Millisecond
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
 )
 
-// ListenShared listens at a TCP address with SO_REUSEPORT, so that a process that takes over in an upgrade can listen
-// at the same address. If the kernel rejects the option, this process alone can listen there.
+// ListenShared listens on a TCP address with SO_REUSEPORT, so that the successor in an upgrade can listen on the same
+// address. If the kernel rejects the option, only this process can listen there.
 func ListenShared(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -39,49 +39,49 @@
 	return ln, nil
 }
 
-// Evictor closes connections to free descriptors.
+// Evictor closes connections to free file descriptors.
 type Evictor interface {
-	// Evict closes the connection whose loss does the least harm, and reports whether there was one to close.
+	// Evict closes the connection whose loss does the least harm. It returns false if no connection can be closed.
 	Evict() bool
 }
 
-// Listener accepts the connections of clients. It guards against a process that stops serving after an error that passes:
-// net/http ends serving with the first error of Accept. Accept fails only if the listener cannot be used any more. When no
-// descriptor is available, it evicts another connection, or pauses for acceptPause, as clients consider a connection in the
-// listen queue accepted; any other error is that of one connection, or passes.
+// Listener accepts the connections of clients. http.Server stops serving after the first error from Accept, so Accept
+// fails only if the listener can no longer be used. If no file descriptor is available, it evicts another connection or
+// waits for acceptRetryDelay, because clients consider a connection in the listen queue accepted. Any other error
+// affects only one connection or is temporary, so Accept tries again.
 //
-// Drain accepts the connections that wait in the listen queue before the listener is closed. Accept must be called by one
-// goroutine only, the other methods by any.
+// Drain accepts the connections in the listen queue before the listener is closed. Accept must be called by one
+// goroutine only; the other methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
-	conns    *ConnTracker
+	tracker  *ConnTracker
 	upstream Evictor
 
-	sharesQueue atomic.Bool     // another process accepts from the same listen queue
-	draining    atomic.Bool     // Drain was called
-	drainEnd    context.Context // the limit of a drain; set before draining
-	closed      chan struct{}   // closed when Accept returns net.ErrClosed, so that all drained connections are tracked
-	closing     sync.Once       // closes closed
+	queueShared    atomic.Bool     // another process accepts from the same listen queue
+	draining       atomic.Bool     // Drain was called
+	drainCtx       context.Context // limits the drain; set before draining
+	acceptDone     chan struct{}   // closed when Accept returns net.ErrClosed; all drained connections are tracked then
+	acceptDoneOnce sync.Once       // closes acceptDone
 
-	// Only the accepting goroutine uses the fields below.
-	queueDrained bool       // the listen queue is empty and the listener closed
-	drained      []net.Conn // connections from the listen queue that Accept has not yet returned
-	errorLogged  time.Time  // when a failed accept was logged last
+	// Only the goroutine that calls Accept uses the fields below.
+	queueDrained bool       // drainQueue was called: Accept returns pendingConns and then net.ErrClosed
+	pendingConns []net.Conn // drained connections that Accept has not yet returned
+	lastErrorLog time.Time  // when a failed accept was last logged
 }
 
-// NewListener returns a listener that accepts from ln and adds connections to conns. When no descriptor is available,
-// it evicts connections of upstream first.
-func NewListener(ln net.Listener, conns *ConnTracker, upstream Evictor) *Listener {
-	return &Listener{Listener: ln, conns: conns, upstream: upstream, closed: make(chan struct{})}
+// NewListener returns a listener that accepts connections from ln and adds them to tracker. If no file descriptor is
+// available, it evicts an upstream connection or, if there is none, a client connection.
+func NewListener(ln net.Listener, tracker *ConnTracker, upstream Evictor) *Listener {
+	return &Listener{Listener: ln, tracker: tracker, upstream: upstream, acceptDone: make(chan struct{})}
 }
 
-// Accept returns the next connection that the tracker admits, as a *Conn. After Drain it returns the connections that
-// were waiting, and then net.ErrClosed.
+// Accept returns the next connection that the tracker admits, as a *Conn. After a call to Drain it returns the
+// connections that were in the listen queue, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		netConn, err := l.acceptAny()
+		netConn, err := l.nextConn()
 		if err == nil {
-			conn := l.conns.Add(netConn.(*net.TCPConn))
+			conn := l.tracker.Add(netConn.(*net.TCPConn))
 			if conn != nil {
 				return conn, nil
 			}
@@ -94,20 +94,21 @@
 	}
 }
 
-// handleAcceptError prepares for another accept after one that failed.
+// handleAcceptError logs a failed accept, at most once per acceptLogInterval. It then frees a file descriptor if there
+// was none, or waits before the next accept.
 func (l *Listener) handleAcceptError(err error) {
-	if time.Since(l.errorLogged) >= acceptLogInterval {
-		l.errorLogged = time.Now()
-		l.conns.Log.Info("connection not accepted", "error", err)
+	if time.Since(l.lastErrorLog) >= acceptLogInterval {
+		l.lastErrorLog = time.Now()
+		l.tracker.Log.Info("connection not accepted", "error", err)
 	}
 	if socket.Exhausted(err) {
 		l.freeDescriptor()
 	} else {
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// Close closes the listener. It returns nil if the listener is closed already.
+// Close closes the listener. It returns nil if the listener is already closed.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -116,35 +117,36 @@
 	return err
 }
 
-// freeDescriptor evicts a connection, or waits for acceptPause if there is none to evict.
+// freeDescriptor evicts a connection, or waits for acceptRetryDelay if no connection can be evicted.
 func (l *Listener) freeDescriptor() {
-	if l.upstream.Evict() || l.conns.Evict() {
+	if l.upstream.Evict() || l.tracker.Evict() {
 		return
 	}
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryDelay)
 }
 
-// acceptAny returns the next connection, whether or not the tracker admits it.
-func (l *Listener) acceptAny() (net.Conn, error) {
+// nextConn returns the next connection of the listener, or of pendingConns after a drain. It does not add it to the
+// tracker.
+func (l *Listener) nextConn() (net.Conn, error) {
 	if !l.queueDrained {
-		conn, err := l.accept()
+		conn, err := l.acceptOnce()
 		interrupted := errors.Is(err, os.ErrDeadlineExceeded) && l.draining.Load()
 		if !interrupted {
 			return conn, err
 		}
 		l.drainQueue(l.Listener.(*net.TCPListener))
 	}
-	if len(l.drained) == 0 {
-		l.closing.Do(func() { close(l.closed) })
+	if len(l.pendingConns) == 0 {
+		l.acceptDoneOnce.Do(func() { close(l.acceptDone) })
 		return nil, net.ErrClosed
 	}
-	conn := l.drained[0]
-	l.drained = l.drained[1:]
+	conn := l.pendingConns[0]
+	l.pendingConns = l.pendingConns[1:]
 	return conn, nil
 }
 
-// accept returns the next connection of the listener, and fails as the fault plan of a test says.
-func (l *Listener) accept() (net.Conn, error) {
+// acceptOnce accepts one connection from the listener, unless a test injects an error.
+func (l *Listener) acceptOnce() (net.Conn, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return nil, err
 	}
--- a/internal/downstream/listener_drain.go
+++ b/internal/downstream/listener_drain.go
@@ -10,57 +10,59 @@
 	"cindersaddle/internal/socket"
 )
 
-// Drain makes Accept return the connections that wait in the listen queue, and then net.ErrClosed. It returns when the
-// listener is closed, or when ctx ends. It guards against clients whose connection is reset although they consider it
-// accepted, which is what the kernel does with the listen queue of a listener that is closed.
+// Drain makes Accept return the connections in the listen queue and then net.ErrClosed. It returns when Accept has done
+// so or when ctx ends. Closing the listener without a drain would lose connections that clients consider accepted: the
+// kernel resets all connections in the listen queue of a closed listener.
 func (l *Listener) Drain(ctx context.Context) {
 	if !l.draining.Load() {
-		l.drainEnd = ctx
+		l.drainCtx = ctx
 		l.draining.Store(true)
 	}
 	if ln, ok := l.Listener.(*net.TCPListener); ok {
 		ln.SetDeadline(socket.PastDeadline) // interrupts Accept
 	}
 	select {
-	case <-l.closed:
+	case <-l.acceptDone:
 	case <-ctx.Done():
 	}
 }
 
-// ShareQueue records that another process accepts from the same listen queue, and goes on doing so after Drain. It must be
-// called before Drain.
-func (l *Listener) ShareQueue() { l.sharesQueue.Store(true) }
+// ShareQueue records that another process accepts from the same listen queue and continues to do so after Drain. It
+// must be called before Drain.
+func (l *Listener) ShareQueue() { l.queueShared.Store(true) }
 
-// drainQueue accepts all connections from the listen queue and closes the listener.
+// drainQueue accepts all connections in the listen queue and closes the listener.
 func (l *Listener) drainQueue(ln *net.TCPListener) {
 	l.queueDrained = true
 	defer ln.Close()
-	socket.Control(ln, func(fd uintptr) { l.acceptPending(int(fd)) })
+	socket.Control(ln, func(fd uintptr) { l.acceptQueued(int(fd)) })
 }
 
-// acceptPending accepts connections until the listen queue is empty, and stops listening at that moment. It goes on after
-// errors other than an empty queue or a broken listener, as they leave connections in the queue.
-func (l *Listener) acceptPending(listenerFD int) {
+// acceptQueued accepts connections until the listen queue is empty, and then stops listening. It continues after every
+// error except that of an empty queue or a broken listener, because connections may remain in the queue. It stops early
+// if the drain's context ends.
+func (l *Listener) acceptQueued(listenerFD int) {
 	for {
 		fd, err := acceptDescriptor(listenerFD)
 		if err == nil {
-			l.addDrained(fd)
+			l.addPending(fd)
 			continue
 		}
 		if err == syscall.EINTR {
 			continue
 		}
-		if err == syscall.EAGAIN || socket.ListenerBroken(err) || l.drainEnd.Err() != nil {
+		if err == syscall.EAGAIN || socket.ListenerBroken(err) || l.drainCtx.Err() != nil {
 			break
 		}
 		l.handleAcceptError(err)
 	}
-	if !l.sharesQueue.Load() { // a shutdown would end the listening of the other process too
+	if !l.queueShared.Load() { // SHUT_RD would make the other process stop listening too
 		syscall.Shutdown(listenerFD, syscall.SHUT_RD)
 	}
 }
 
-// acceptDescriptor accepts a connection without waiting. The error is a syscall.Errno: EAGAIN if the queue is empty.
+// acceptDescriptor accepts a connection without blocking and returns its file descriptor. The error is a syscall.Errno:
+// EAGAIN if the queue is empty.
 func acceptDescriptor(listenerFD int) (int, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return 0, err
@@ -69,26 +71,27 @@
 	return fd, err
 }
 
-// addDrained adds the connection of a descriptor to those that Accept returns. Its client considers it accepted: while no
-// descriptor is available for its duplicate, another connection is evicted.
-func (l *Listener) addDrained(fd int) {
+// addPending adds the connection of a file descriptor to pendingConns and closes the descriptor. The connection gets a
+// duplicate of the descriptor. While none is available, addPending evicts other connections, because the client of this
+// connection already considers it accepted.
+func (l *Listener) addPending(fd int) {
 	file := os.NewFile(uintptr(fd), "accepted")
 	defer file.Close()
 	for {
-		conn, err := connOfFile(file)
+		conn, err := connFromFile(file)
 		if err == nil {
-			l.drained = append(l.drained, conn)
+			l.pendingConns = append(l.pendingConns, conn)
 			return
 		}
 		l.handleAcceptError(err)
-		if !socket.Exhausted(err) || l.drainEnd.Err() != nil {
+		if !socket.Exhausted(err) || l.drainCtx.Err() != nil {
 			return
 		}
 	}
 }
 
-// connOfFile returns the connection of a file, with a descriptor of its own.
-func connOfFile(file *os.File) (net.Conn, error) {
+// connFromFile returns the connection of a file, which gets a duplicate of the file descriptor.
+func connFromFile(file *os.File) (net.Conn, error) {
 	if err := fault.Injected(fault.Duplicate); err != nil {
 		return nil, err
 	}
