--- a/internal/downstream/api.go
+++ b/internal/downstream/api.go
@@ -55,7 +55,7 @@
 	if request.Message.Upload != nil {
 		return nil
 	}
-	if err := conn.MarkAwaitingResponse(conn.requestCount); errors.Is(err, ErrSurplus) {
+	if err := conn.MarkAwaitingResponse(conn.requestCount); errors.Is(err, ErrTrailingData) {
 		return exchange.BadRequestf("%v", err)
 	}
 	return nil
--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -10,7 +10,7 @@
 var (
 	// ErrTrailingData means that bytes arrived after a request that awaits its response. Its text is sent to the
 	// client.
-	ErrSurplus = errors.New("more than the request that was announced")
+	ErrTrailingData = errors.New("more than the request that was announced")
 	// ErrClientDisconnected means that the client closed or reset its connection.
 	ErrClientDisconnected = errors.New("client closed its connection")
 )
@@ -29,7 +29,7 @@
 	}
 	state := socket.Peek(c.TCPConn)
 	if c.trailingDataAfter(requestNumber) || state == socket.Readable {
-		return ErrSurplus
+		return ErrTrailingData
 	}
 	if state == socket.Closed {
 		return ErrClientDisconnected
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -123,7 +123,7 @@
 // TestUploadWithoutClientWithholdsLastByte checks that the last byte of a body is not sent if the client no longer
 // waits for the response when the body is complete, and that the outcome contains the reason.
 func TestUploadWithoutClientWithholdsLastByte(t *testing.T) {
-	for _, err := range []error{downstream.ErrClientDisconnected, downstream.ErrSurplus, exchange.ErrUploadStopped} {
+	for _, err := range []error{downstream.ErrClientDisconnected, downstream.ErrTrailingData, exchange.ErrUploadStopped} {
 		server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, ""))
 		client := newTestClient(t, testMaxConns)
 		unwrapped := func(tcp *net.TCPConn) net.Conn { return tcp }
