--- a/internal/upgrade/codec.go
+++ b/internal/upgrade/codec.go
@@ -8,13 +8,14 @@
 	"cindersaddle/internal/membership"
 )
 
-// maxStateBytes bounds the encoded state that a successor reads.
+// maxStateBytes is the maximum size of the encoded state that a successor reads.
 const maxStateBytes = 4 << 20
 
-// The types below are the encoded form of State. gob encodes fields by name, and the two processes of an upgrade may run
-// different versions: a field that is renamed is lost. New fields may be added, which earlier versions ignore. A
-// comment gives the field of the decoded type where the encoded name does not say it.
+// The types below are the encoded form of State. Their field names must not change: gob encodes fields by name, and
+// the two processes of an upgrade may run different versions, so a renamed field would be lost. Fields may be added;
+// earlier versions ignore them. Where a field is named differently in the decoded type, a comment gives that name.
 
+// encodedState is the encoded form of State.
 type encodedState struct {
 	Version   int
 	Listen    string
@@ -22,16 +23,18 @@
 	List      encodedList
 	Classes   []string
 	Tenants   []string
-	Memory    encodedLearnedState // State.Learned
-	WallAhead float64
+	Memory    encodedLearnedState // Learned
+	WallAhead float64             // WallClockOffset
 }
 
+// encodedList is the encoded form of membership.EndpointList.
 type encodedList struct {
 	Revision int64
 	Complete bool
 	Members  []encodedListEntry // Endpoints
 }
 
+// encodedListEntry is the encoded form of membership.Endpoint.
 type encodedListEntry struct {
 	ID       string
 	HostPort string // Address
@@ -43,6 +46,7 @@
 	UpSince  balance.Milliseconds // StartedAt
 }
 
+// encodedLearnedState is the encoded form of balance.LearnedState.
 type encodedLearnedState struct {
 	Started    balance.Milliseconds
 	AnsweredAt balance.Milliseconds // LastResponseAt
@@ -71,6 +75,7 @@
 	Servers []encodedEndpoint // Endpoints
 }
 
+// encodedClass is the encoded form of balance.LearnedClass.
 type encodedClass struct {
 	Asked    float64              // Requests
 	N        float64              // LatencySamples
@@ -81,10 +86,11 @@
 	Expected float64              // MeanScore
 }
 
+// encodedEndpoint is the encoded form of balance.LearnedEndpoint.
 type encodedEndpoint struct {
 	ID        balance.EndpointID
-	Size      float64 // CapacityLog
-	LastErr   balance.Milliseconds
+	Size      float64              // CapacityLog
+	LastErr   balance.Milliseconds // LastErrorAt
 	RestUntil balance.Milliseconds // EjectedUntil
 	Errs      int                  // ConsecutiveErrors
 	Rests     int                  // ConsecutiveEjections
@@ -94,11 +100,11 @@
 	TokensAt  balance.Milliseconds // TokensUpdatedAt
 	HeardAt   balance.Milliseconds // LastResponseAt
 	SlowUntil balance.Milliseconds
-	Scores    []float64
-	ScoredAt  []balance.Milliseconds // of Scores
+	Scores    []float64              // Value of each of ClassScores
+	ScoredAt  []balance.Milliseconds // UpdatedAt of each of ClassScores
 }
 
-// encode writes a state in the form that successors of all versions read.
+// encode writes the state in a form that successors of all versions can read.
 func encode(w io.Writer, state *State) error {
 	return gob.NewEncoder(w).Encode(&encodedState{
 		Version:   state.Version,
@@ -112,7 +118,7 @@
 	})
 }
 
-// decode reads the state of a predecessor, of this version or an earlier one.
+// decode reads the state of a predecessor that runs this version or an earlier one.
 func decode(r io.Reader) (*State, error) {
 	var encoded encodedState
 	if err := gob.NewDecoder(io.LimitReader(r, maxStateBytes)).Decode(&encoded); err != nil {
@@ -282,7 +288,7 @@
 	return encoded
 }
 
-// decode leaves out scores without a time, and times without a score: the state may be corrupt.
+// decode drops scores without a time and times without a score, because the state may be corrupt.
 func (e *encodedEndpoint) decode() balance.LearnedEndpoint {
 	endpoint := balance.LearnedEndpoint{
 		ID:                   e.ID,
--- a/internal/upgrade/doc.go
+++ b/internal/upgrade/doc.go
@@ -1,10 +1,12 @@
-// Package upgrade hands the state and the clients' listener of one sidecar process to the process that replaces it.
+// Package upgrade hands over the learned state and the client listener of a sidecar process to the process that
+// replaces it.
 //
-// The two processes meet at a Unix socket in the scratch directory: the successor requests the state, and as long as
-// the connection stays open each knows that the other runs, and keeps to its part of the descriptors and the memory.
-// The handover is best effort: without a predecessor, or with one that sends nonsense, a process starts without state.
+// The processes communicate over a Unix socket in the scratch directory. The successor connects and requests the
+// state. While the connection stays open, each process knows that the other one is running and limits itself to its
+// share of the file descriptors and the memory. The handover is best effort: without a predecessor, or with one that
+// sends invalid data, a process starts without learned state.
 //
-// A Handover belongs to one process and plays both roles in turn: first the successor, by RequestState, then the
-// predecessor, by Run. Run uses one goroutine for the predecessor and one for each successor, and returns when all of
-// them have ended. Only Retire may be called beside Run.
+// Each process has one Handover, which takes both roles in turn: first the successor, in RequestState, then the
+// predecessor, in Run. Run starts one goroutine for the predecessor and one for each successor, and returns when all
+// of them have ended. Only Retire may be called concurrently with Run.
 package upgrade
--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// predecessorTimeout bounds a handover on both sides. A new process has seconds to become ready: a predecessor
-	// that is silent costs it little of them.
-	predecessorTimeout = 700 * time.Millisecond
-	// StateTimeout bounds the time in which the event loop of the predecessor exports its state.
+	// handoverTimeout bounds a handover on both sides. It is short because a new process has only a few seconds to
+	// become ready, and an unresponsive predecessor must not use up much of them.
+	handoverTimeout = 700 * time.Millisecond
+	// StateTimeout is how long the event loop of the predecessor may take to export its state.
 	StateTimeout = 400 * time.Millisecond
-	// socketRetryDelay is the pause after the socket could not be opened.
+	// socketRetryDelay is the pause after a failure to open the socket.
 	socketRetryDelay = time.Second
 )
 
-// Process is what a process shares with its successors, and how it learns of them.
+// Process contains what a process shares with its successors, and the callback by which it learns of other processes.
 type Process struct {
-	// Listener listens at the clients' address.
+	// Listener listens on the client address.
 	Listener net.Listener
 	// ExportState returns the state for a successor. It may be called from several goroutines at once.
 	ExportState func() (*State, error)
-	// CountChanged is called with the number of processes that share the limits, this one included, whenever that
-	// changes. Calls do not overlap, and the last call has the last number.
+	// CountChanged is called with the number of processes that share the resource limits, including this one, whenever
+	// that number changes. Calls do not overlap, and the last call passes the current number.
 	CountChanged func(processes int)
 }
 
-// Handover joins this process with its predecessor and its successors.
+// Handover exchanges the state and the client listener with the predecessor and the successors of this process.
 type Handover struct {
-	listen    string // the clients' address
-	socket    unixSocket
-	log       *slog.Logger
-	processes processCount
+	listen         string // the client address, host:port
+	socket         unixSocket
+	log            *slog.Logger
+	processCounter processCounter
 
-	predecessor net.Conn // open while the predecessor runs; nil: there was none. Set before Run
-	socketError string   // why the socket could not be opened last; Run owns it
+	predecessor     net.Conn // open while the predecessor runs; nil if there was none; set before Run
+	lastSocketError string   // the last logged failure to open the socket; used by Run only
 }
 
-// NewHandover returns nil where there is no directory for the socket, or where no admin address would report that an
-// upgrade is ready.
+// NewHandover returns the handover of the process that cfg configures. It returns nil if upgrades are not possible: if
+// there is no directory for the socket, or no admin address that reports when the new process is ready.
 func NewHandover(cfg *config.Config, log *slog.Logger) *Handover {
 	if cfg.ScratchDir == "" || cfg.AdminListen == "" {
 		return nil
@@ -52,16 +52,16 @@
 	return &Handover{listen: cfg.Listen, socket: unixSocket(SocketPath(cfg.ScratchDir, cfg.Listen)), log: log}
 }
 
-// Run sends the state to successors until ctx is done or this process has retired, and watches the predecessor.
+// Run sends the state to successors until ctx is done or Retire was called, and monitors the predecessor.
 func (h *Handover) Run(ctx context.Context, process Process) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	h.processes.onChange(process.CountChanged)
+	h.processCounter.setCountChanged(process.CountChanged)
 	stopWatching := h.watchPredecessor(ctx, &tasks)
 	defer stopWatching()
-	for ctx.Err() == nil && !h.processes.isRetired() {
+	for ctx.Err() == nil && !h.processCounter.isRetired() {
 		listener, err := h.socket.open()
-		if err != nil { // it may pass: the next upgrade can be days away
+		if err != nil { // retry: the failure may be temporary, and the next upgrade may be days away
 			h.logSocketError(err)
 			timing.Sleep(ctx, socketRetryDelay)
 			continue
@@ -70,26 +70,27 @@
 	}
 }
 
-// Retire marks the end of this process and reports whether another one has taken over; from then on none can. When a
-// successor dies later, the socket is left to the successor's own successor, or to nobody. A nil Handover has no
-// successor. Any goroutine may call it.
-func (h *Handover) Retire() (succeeded bool) {
+// Retire stops handovers to further successors, because this process is about to end, and reports whether a successor
+// is running. The process does not reopen the socket afterwards, even if the successor ends: by then the socket may
+// belong to the successor of that successor. Retire returns false for a nil Handover. It may be called from any
+// goroutine.
+func (h *Handover) Retire() (hasSuccessor bool) {
 	if h == nil {
 		return false
 	}
-	return h.processes.retire()
+	return h.processCounter.retire()
 }
 
-// logSocketError logs why the socket could not be opened, once for each reason.
+// logSocketError logs why the socket could not be opened, unless the previous failure had the same reason.
 func (h *Handover) logSocketError(err error) {
-	if text := err.Error(); text != h.socketError {
-		h.socketError = text
+	if text := err.Error(); text != h.lastSocketError {
+		h.lastSocketError = text
 		h.log.Info("no upgrade can take over from this process", "error", err)
 	}
 }
 
-// waitClosed returns when the other side of a connection has closed it or has ended.
-func waitClosed(conn net.Conn) {
+// waitUntilClosed blocks until the peer closes the connection or ends, and then closes this side of it.
+func waitUntilClosed(conn net.Conn) {
 	var ignored [1]byte
 	for {
 		if _, err := conn.Read(ignored[:]); err != nil {
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -285,9 +285,9 @@
 
 // hasSuccessor reports whether another process has taken over and runs.
 func hasSuccessor(handover *Handover) bool {
-	handover.processes.mu.Lock()
-	defer handover.processes.mu.Unlock()
-	return handover.processes.successors > 0
+	handover.processCounter.mu.Lock()
+	defer handover.processCounter.mu.Unlock()
+	return handover.processCounter.runningSuccessors > 0
 }
 
 // runUntilCleanup runs a handover until the end of the test, and waits for its end before the directory of the socket is removed:
--- a/internal/upgrade/listener.go
+++ b/internal/upgrade/listener.go
@@ -9,14 +9,15 @@
 	"cindersaddle/internal/socket"
 )
 
-// descriptorSize is the size of one descriptor in a control message, in bytes.
-const descriptorSize = 4
+// descriptorBytes is the size of a file descriptor in a control message, in bytes.
+const descriptorBytes = 4
 
-// sendListener shares a listener over a Unix socket. Both processes then accept connections from one queue: none is
-// lost when the predecessor stops, as would be any whose handshake crosses the close of a listener of its own. Where the
-// descriptor cannot be sent, the version goes alone.
+// sendListener sends the version and the file descriptor of the listener over a Unix socket. Both processes then
+// accept connections from the same queue, so that no connection is lost when the predecessor stops. With a separate
+// listener for each process, closing one would lose the connections whose handshake is in progress. If the descriptor
+// cannot be sent, only the version is sent.
 func sendListener(conn *net.UnixConn, listener net.Listener) error {
-	err := errors.ErrUnsupported // of a listener without a descriptor
+	err := errors.ErrUnsupported // remains if the listener has no descriptor
 	socket.Control(listener, func(descriptor uintptr) {
 		err = sendVersion(conn, syscall.UnixRights(int(descriptor)))
 	})
@@ -26,16 +27,17 @@
 	return nil
 }
 
-// sendVersion sends the version together with a control message, which may be empty.
+// sendVersion sends the version of the state together with a control message, which may be empty.
 func sendVersion(conn *net.UnixConn, control []byte) error {
 	_, _, err := conn.WriteMsgUnix([]byte{StateVersion}, control, nil)
 	return err
 }
 
-// receiveListener returns the listener that the other side shares, or nil where it shares none for the address listen.
+// receiveListener checks the predecessor's version and returns the listener that it shares. The listener is nil if the
+// predecessor does not share one for the address listen.
 func receiveListener(conn *net.UnixConn, listen string) (net.Listener, error) {
 	var version [1]byte
-	control := make([]byte, syscall.CmsgSpace(descriptorSize))
+	control := make([]byte, syscall.CmsgSpace(descriptorBytes))
 	_, n, _, _, err := conn.ReadMsgUnix(version[:], control)
 	if err != nil {
 		return nil, err
@@ -43,15 +45,15 @@
 	if version[0] != StateVersion {
 		return nil, &VersionError{Version: int(version[0])}
 	}
-	descriptor, received := parseDescriptor(control[:n])
-	if !received {
+	descriptor, ok := parseDescriptor(control[:n])
+	if !ok {
 		return nil, nil
 	}
-	return listenerOf(descriptor, listen), nil
+	return listenerFromDescriptor(descriptor, listen), nil
 }
 
-// parseDescriptor returns the descriptor in a control message, if there is one.
-func parseDescriptor(control []byte) (descriptor int, received bool) {
+// parseDescriptor returns the file descriptor in a control message. ok is false if there is none.
+func parseDescriptor(control []byte) (descriptor int, ok bool) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil || len(messages) == 0 {
 		return 0, false
@@ -63,8 +65,9 @@
 	return descriptors[0], true
 }
 
-// listenerOf returns the listener of a descriptor, which it closes, or nil where it does not listen at the address.
-func listenerOf(descriptor int, listen string) net.Listener {
+// listenerFromDescriptor returns a listener for a file descriptor, or nil if the descriptor does not listen on the
+// address listen. It closes the descriptor.
+func listenerFromDescriptor(descriptor int, listen string) net.Listener {
 	file := os.NewFile(uintptr(descriptor), "listener")
 	defer file.Close() // net.FileListener duplicates the descriptor
 	listener, err := net.FileListener(file)
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -10,11 +10,11 @@
 	"cindersaddle/internal/timing"
 )
 
-// acceptRetryDelay is the pause after the socket fails to accept a connection.
+// acceptRetryDelay is the pause after a failure to accept a connection at the socket.
 const acceptRetryDelay = 400 * time.Millisecond
 
-// acceptSuccessors sends the state to successors until ctx is done, or until one has come and gone: then the path of the
-// socket has to be taken back from it.
+// acceptSuccessors sends the state to successors until ctx is done, a successor ends or accepting fails. After the end
+// of a successor, which has replaced the socket with its own, the caller has to open the socket again.
 func (h *Handover) acceptSuccessors(
 	ctx context.Context, listener *net.UnixListener, process *Process, tasks *sync.WaitGroup,
 ) {
@@ -37,28 +37,28 @@
 	}
 }
 
-// serveSuccessor sends the state to one successor and keeps the connection open as long as that runs. It reports whether
-// a successor has come and gone.
+// serveSuccessor sends the state to one successor and keeps the connection open until the successor ends. It reports
+// whether a successor took over and then ended while this process was still running.
 func (h *Handover) serveSuccessor(ctx context.Context, conn *net.UnixConn, process *Process) bool {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	conn.SetDeadline(time.Now().Add(predecessorTimeout))
-	if !receiveGreeting(conn) || !h.processes.addSuccessor() {
+	conn.SetDeadline(time.Now().Add(handoverTimeout))
+	if !receiveGreeting(conn) || !h.processCounter.addSuccessor() {
 		return false
 	}
-	defer h.processes.removeSuccessor()
+	defer h.processCounter.removeSuccessor()
 	if err := sendState(conn, process); err != nil {
 		h.log.Warn("nothing was handed over", "error", err)
 		return false
 	}
 	conn.SetDeadline(time.Time{})
 	h.log.Info("another process takes over")
-	waitClosed(conn)
+	waitUntilClosed(conn)
 	return ctx.Err() == nil
 }
 
-// sendState sends the listener and the state.
+// sendState sends the client listener and the state of the process.
 func sendState(conn *net.UnixConn, process *Process) error {
 	state, err := process.ExportState()
 	if err != nil {
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// socketNameFormat makes the name of the socket of the hash of the clients' address. Processes of earlier versions
-	// know it; it has the program's old name.
+	// socketNameFormat is the format of the socket's file name; its argument is a hash of the client address. It
+	// contains the program's former name and must not change, because processes of earlier versions use it.
 	socketNameFormat = "firplank-%016x.sock"
 
-	// maxSocketPath bounds the length of a Unix socket's path, in bytes; the kernel takes 107.
-	maxSocketPath = 100
+	// maxSocketPathBytes is the length up to which a Unix socket's path is passed to the kernel as it is. The kernel
+	// accepts at most 107 bytes.
+	maxSocketPathBytes = 100
 )
 
-// SocketPath returns the path at which a successor finds the process that serves the clients' address listen. The path may
-// be too long for the kernel.
+// SocketPath returns the path of the socket at which a successor finds the process that serves the client address
+// listen. The path may be too long for the kernel.
 func SocketPath(scratchDir, listen string) string {
 	hash := fnv.New64a()
 	io.WriteString(hash, listen)
@@ -29,8 +30,8 @@
 // unixSocket is the path of a Unix socket, which may be too long for the kernel.
 type unixSocket string
 
-// open listens at the socket, in place of whatever was there. The file stays when the listener is closed: by then the
-// path may be a successor's.
+// open listens on the socket, replacing any file at its path. Closing the listener does not remove the file, because
+// by then a successor may listen at the same path.
 func (s unixSocket) open() (*net.UnixListener, error) {
 	temporary := unixSocket(fmt.Sprintf("%s.%d", s, os.Getpid()))
 	os.Remove(string(temporary))
@@ -46,7 +47,7 @@
 	return listener, nil
 }
 
-// listen listens at the socket, whose file must not exist.
+// listen listens on the socket, whose file must not exist.
 func (s unixSocket) listen() (listener *net.UnixListener, err error) {
 	err = s.withShortPath(func(path string) error {
 		listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -55,12 +56,12 @@
 	return listener, err
 }
 
-// dial connects to the process that listens at the socket.
+// dial connects to the process that listens on the socket.
 func (s unixSocket) dial() (*net.UnixConn, error) {
 	var conn net.Conn
 	err := s.withShortPath(func(path string) error {
 		var err error
-		conn, err = net.DialTimeout("unix", path, predecessorTimeout)
+		conn, err = net.DialTimeout("unix", path, handoverTimeout)
 		return err
 	})
 	if err != nil {
@@ -69,9 +70,11 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// withShortPath calls use with a path of the socket that is short enough for the kernel.
+// withShortPath calls use with a path of the socket that is short enough for the kernel. In place of a path that is
+// too long it passes one that reaches the directory through its descriptor in /proc, which is valid only until use
+// returns.
 func (s unixSocket) withShortPath(use func(path string) error) error {
-	if len(s) <= maxSocketPath {
+	if len(s) <= maxSocketPathBytes {
 		return use(string(s))
 	}
 	dir, err := os.Open(filepath.Dir(string(s)))
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -7,31 +7,38 @@
 	"cindersaddle/internal/membership"
 )
 
-// StateVersion is the version of State and of the bytes around it.
+// StateVersion is the version of the encoded State and of the handover protocol.
 const StateVersion = 1
 
-// State is what a process hands to its successor. encode and decode map it to its encoded form.
+// State is the state that a process hands over to its successor. See encode and decode for its encoded form.
 type State struct {
 	Version   int
-	Listen    string // the clients' address
-	Discovery string // the discovery service that sent the list: a revision is valid there only
+	Listen    string // the client address
+	Discovery string // address of the discovery service that sent List; its revision is valid only there
 	List      membership.EndpointList
-	Classes   []string
-	Tenants   []string
+	Classes   []string // names, in the order of Learned.Classes
+	Tenants   []string // names, in the order of Learned.TenantRequests
 	Learned   balance.LearnedState
-	// WallAhead is by how many milliseconds the wall clock is ahead of the clock of Learned, because it was stepped. Earlier
-	// versions do not send it.
+	// WallAhead is the wall clock minus the clock of the times in Learned, in milliseconds. It differs from 0 after
+	// the wall clock was stepped. Earlier versions do not send it.
 	WallAhead balance.Milliseconds
 }
 
-// VersionError reports a predecessor of another version of the handover.
+// VersionError reports a predecessor whose state or handover protocol has another version than StateVersion.
 type VersionError struct{ Version int }
 
-// Error names the version.
-func (e *VersionError) Error() string { return fmt.Sprintf("state of version %d", e.Version) }
+// Error returns a message with the version received and the version supported.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("predecessor sent state of version %d, want version %d", e.Version, StateVersion)
+}
 
-// AddressError reports the state of a sidecar at another clients' address.
-type AddressError struct{ Listen string }
+// AddressError reports the state of a sidecar that serves another client address.
+type AddressError struct {
+	Listen string // the client address in the state
+	Want   string // the client address of this process
+}
 
-// Error names the address.
-func (e *AddressError) Error() string { return fmt.Sprintf("state of the sidecar at %q", e.Listen) }
+// Error returns a message with both addresses.
+func (e *AddressError) Error() string {
+	return fmt.Sprintf("predecessor sent state of the sidecar at %q, want that of %q", e.Listen, e.Want)
+}
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// RequestState requests the state of the process that serves now, and its listener at the clients' address, which is nil
-// where that could not be shared. The error is an os.ErrNotExist where there is no socket, that is, no predecessor. It
-// must be called before Run, once.
+// RequestState takes over from the running process, if there is one: it returns its state and its client listener,
+// which is nil if the listener could not be shared. The error wraps os.ErrNotExist if there is no socket and thus no
+// predecessor. RequestState must be called once, before Run.
 func (h *Handover) RequestState() (*State, net.Listener, error) {
 	conn, err := h.socket.dial()
 	if err != nil {
-		return nil, nil, fmt.Errorf("take over: %w", err)
+		return nil, nil, fmt.Errorf("connect to the predecessor: %w", err)
 	}
 	state, listener, err := receiveHandover(conn, h.listen)
 	if err != nil {
 		conn.Close()
-		return nil, nil, fmt.Errorf("take over: %w", err)
+		return nil, nil, fmt.Errorf("receive the state of the predecessor: %w", err)
 	}
 	h.predecessor = conn
 	return state, listener, nil
 }
 
-// receiveHandover greets the predecessor and receives its state and its listener, or nil.
+// receiveHandover sends the greeting to the predecessor and receives its state and its client listener, which may be
+// nil.
 func receiveHandover(conn *net.UnixConn, listen string) (*State, net.Listener, error) {
-	conn.SetDeadline(time.Now().Add(predecessorTimeout))
+	conn.SetDeadline(time.Now().Add(handoverTimeout))
 	if err := sendGreeting(conn); err != nil {
 		return nil, nil, err
 	}
@@ -47,7 +48,8 @@
 	return state, listener, nil
 }
 
-// receiveState reads the state and checks that it is for this version and for the clients' address listen.
+// receiveState reads the state and checks its version, that it belongs to the client address listen, and that its
+// endpoint list is valid.
 func receiveState(r io.Reader, listen string) (*State, error) {
 	state, err := decode(r)
 	if err != nil {
@@ -57,25 +59,25 @@
 		return nil, &VersionError{Version: state.Version}
 	}
 	if state.Listen != listen {
-		return nil, &AddressError{Listen: state.Listen}
+		return nil, &AddressError{Listen: state.Listen, Want: listen}
 	}
 	if err := state.List.Validate(); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("endpoint list of revision %d: %w", state.List.Revision, err)
 	}
 	return state, nil
 }
 
-// watchPredecessor counts the predecessor, if there is one, until it has ended. The connection is closed when ctx is
-// done, unless stop was called before.
+// watchPredecessor counts the predecessor, if there is one, as a running process until it ends. The connection is
+// closed when ctx is done, unless stop is called first.
 func (h *Handover) watchPredecessor(ctx context.Context, tasks *sync.WaitGroup) (stop func() bool) {
 	if h.predecessor == nil {
 		return func() bool { return false }
 	}
-	h.processes.addPredecessor()
+	h.processCounter.addPredecessor()
 	stop = context.AfterFunc(ctx, func() { h.predecessor.Close() })
 	tasks.Go(func() {
-		waitClosed(h.predecessor)
-		h.processes.removePredecessor()
+		waitUntilClosed(h.predecessor)
+		h.processCounter.removePredecessor()
 	})
 	return stop
 }
