--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// currentAddress is the address of discovery. When it changes, the calls to the previous one are cancelled: no list from
-// there may follow one from the new address.
+// currentAddress holds the address of discovery. A change of the address cancels the calls to the previous one, so
+// that no list from there is reported after one from the new address.
 type currentAddress struct {
 	mu      sync.Mutex
 	address string             // host and port
-	cancel  context.CancelFunc // cancels the calls to address; nil before the first begin
+	cancel  context.CancelFunc // cancels the calls to address; nil before the first beginCalls
 }
 
-// set changes the address. It may be called from any goroutine.
+// set changes the address and cancels the calls to the previous one. It may be called from any goroutine.
 func (a *currentAddress) set(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -26,9 +26,9 @@
 	}
 }
 
-// begin returns the address, and a context for the calls to it that is cancelled when the address changes, when begin is
-// called again, or when ctx is done.
-func (a *currentAddress) begin(ctx context.Context) (context.Context, string) {
+// beginCalls returns the address and a context for the calls to it. The context is cancelled when the address changes,
+// when beginCalls is called again, or when ctx is done.
+func (a *currentAddress) beginCalls(ctx context.Context) (context.Context, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cancel != nil {
@@ -38,8 +38,8 @@
 	return ctx, a.address
 }
 
-// end releases the context of the last begin.
-func (a *currentAddress) end() {
+// endCalls cancels the context that the last beginCalls returned.
+func (a *currentAddress) endCalls() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cancel != nil {
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// minCallInterval is the shortest time from one call to the next where the first returned no new list. A service that
-	// supports watches holds one for 200 ms or more.
+	// minCallInterval is the minimum time between the start of a call that returned no new list and the next call. It
+	// does not delay the calls to a service that supports watches, which holds a watch for 200 ms or more.
 	minCallInterval = 100 * time.Millisecond
-	// backoffBase is the longest pause after the first failed call.
-	backoffBase = 100 * time.Millisecond
-	// maxPolledDoublings bounds the pause, so that an address that comes up is noticed within a second.
+	// initialBackoff is the maximum pause after the first failed call.
+	initialBackoff = 100 * time.Millisecond
+	// maxPolledDoublings is how often the maximum pause doubles in polled mode. It limits the pause to 800 ms, so that
+	// the Watcher notices within a second that an address has become reachable.
 	maxPolledDoublings = 3
-	// maxAgentDoublings is 0 as an agent is on this machine, and a list that it gets takes effect at once.
+	// maxAgentDoublings is how often the maximum pause doubles in agent mode. It is 0 because an agent is on this
+	// machine and a list that it receives takes effect at once.
 	maxAgentDoublings = 0
 )
 
-// backoff gives the pauses between failed calls that nothing requests. The longest pause is backoffBase at first and
-// doubles with each failure.
+// backoff computes the pauses after failed calls that are repeated without a request by the balancer. The maximum
+// pause is initialBackoff at first and doubles with each failure, up to maxDoublings times.
 type backoff struct {
-	doublings    int // of the next pause
+	doublings    int // number of doublings for the next pause
 	maxDoublings int
 }
 
-// next returns the pause after one more failure.
+// next returns the pause after a failure and doubles the maximum of the following one.
 func (b *backoff) next() time.Duration {
-	pause := jittered(backoffBase << b.doublings)
+	pause := jittered(initialBackoff << b.doublings)
 	b.doublings = min(b.doublings+1, b.maxDoublings)
 	return pause
 }
 
-// reset starts again from the shortest pause, after a call that succeeded.
+// reset restores the initial maximum pause, after a successful call.
 func (b *backoff) reset() { b.doublings = 0 }
 
-// jittered returns a random pause between half of the longest one and the longest one, so that sidecars do not call in
-// step.
+// jittered returns a random pause between half of longest and longest, so that sidecars do not call at the same time.
 func jittered(longest time.Duration) time.Duration { return longest/2 + rand.N(longest/2) }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,46 +10,48 @@
 	"cindersaddle/internal/membership"
 )
 
-// listPath is the path of all calls.
+// listPath is the URL path of all calls.
 const listPath = "/discovery/hosts"
 
 // Query parameters of a watch.
 const (
-	queryRevision = "from"    // the revision of the latest list
+	queryRevision = "from"    // revision of the latest list
 	queryHold     = "hold_ms" // how long the watch may be held, in milliseconds
 )
 
-// call is one call to discovery.
+// call describes an HTTP call to discovery.
 type call struct {
 	address          string
-	query            url.Values    // nil: the call is for the complete list
-	firstByteTimeout time.Duration // by when the head of the response has to come
-	timeout          time.Duration // by when its last byte has to come
+	query            url.Values    // of a watch; nil for a call for the complete list
+	firstByteTimeout time.Duration // from the start of the call to the head of the response
+	timeout          time.Duration // from the start of the call to the end of the response
 }
 
 // newListCall returns a call for the complete list.
-func newListCall(address string, times timeouts) call {
-	return call{address: address, firstByteTimeout: times.firstByte, timeout: times.responseSlack}
+func newListCall(address string, timeouts timeouts) call {
+	return call{address: address, firstByteTimeout: timeouts.firstByte, timeout: timeouts.responseSlack}
 }
 
-// newWatchCall returns a call for what is newer than a revision. Discovery may hold it until there is something newer.
-func newWatchCall(address string, revision int64, times timeouts) call {
+// newWatchCall returns a call for a list that is newer than revision. Discovery may hold the response until there is
+// one.
+func newWatchCall(address string, revision int64, timeouts timeouts) call {
 	query := url.Values{
 		queryRevision: {strconv.FormatInt(revision, 10)},
-		queryHold:     {strconv.FormatInt(times.hold.Milliseconds(), 10)},
+		queryHold:     {strconv.FormatInt(timeouts.watchHold.Milliseconds(), 10)},
 	}
-	timeout := times.hold + times.responseSlack
+	timeout := timeouts.watchHold + timeouts.responseSlack
 	return call{address: address, query: query, firstByteTimeout: timeout, timeout: timeout}
 }
 
-// request returns the HTTP request of the call.
-func (c call) request(ctx context.Context) (*http.Request, error) {
+// httpRequest returns the HTTP request of the call.
+func (c call) httpRequest(ctx context.Context) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: c.address, Path: listPath, RawQuery: c.query.Encode()}
 	return http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 }
 
-// parse returns the list in the body of the response. Its error is an IncompleteListError or one of package membership.
-func (c call) parse(body []byte) (*membership.EndpointList, error) {
+// parseResponse parses the list in the body of the response. The error is an IncompleteListError or comes from package
+// membership.
+func (c call) parseResponse(body []byte) (*membership.EndpointList, error) {
 	list, err := membership.Parse(body)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -11,20 +11,21 @@
 	"cindersaddle/internal/membership"
 )
 
-// maxListBytes is the size of the longest list that is read; what exceeds it is cut off, which makes it invalid.
+// maxListBytes is the maximum size of a response body that is read. A longer one is cut off, which makes the list
+// invalid.
 const maxListBytes = 4 << 20
 
-// dialFunc opens connections as net.Dialer.DialContext does.
+// dialFunc is a function that opens connections, such as net.Dialer.DialContext.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// client makes the calls to discovery, over one connection.
+// client makes the calls to discovery over a single connection.
 type client struct {
 	http http.Client
 }
 
-// newClient returns a client that opens its connections by dial, each within timeout.
+// newClient returns a client that opens its connection with dial, which may take at most timeout.
 func newClient(dial dialFunc, timeout time.Duration) *client {
-	// The transport dials independently of the call that waits for the connection and of its timeout.
+	// The transport does not stop dialing when the call that waits for the connection times out.
 	dialWithTimeout := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
@@ -37,7 +38,8 @@
 	}}}
 }
 
-// do makes a call within its timeouts. Its errors are CallErrors; one of a timeout wraps context.DeadlineExceeded.
+// do makes a call and enforces its timeouts. Errors are of type *CallError, which wraps context.DeadlineExceeded after
+// a timeout.
 func (c *client) do(ctx context.Context, call call) (*membership.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
@@ -47,16 +49,16 @@
 	defer firstByteTimer.Stop()
 	list, err := c.fetch(ctx, call, func() { firstByteTimer.Stop() })
 	if err != nil {
-		// The transport goes on with the connection of a cancelled call, and the next call would wait for it.
+		// The transport goes on dialing for a cancelled call, and the next call would wait for that connection.
 		c.closeIdleConnections()
 		return nil, &CallError{Address: call.address, Err: cmp.Or(context.Cause(ctx), err)}
 	}
 	return list, nil
 }
 
-// fetch makes a call and reads the list. It calls responseStarted once the head of the response has come.
+// fetch makes a call and reads the list. It calls responseStarted when it has received the head of the response.
 func (c *client) fetch(ctx context.Context, call call, responseStarted func()) (*membership.EndpointList, error) {
-	request, err := call.request(ctx)
+	request, err := call.httpRequest(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -73,8 +75,8 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, &StatusError{Status: response.Status}
 	}
-	return call.parse(body)
+	return call.parseResponse(body)
 }
 
-// closeIdleConnections closes the connection if no call uses it.
+// closeIdleConnections closes the connection, or stops opening it, if no call uses it.
 func (c *client) closeIdleConnections() { c.http.CloseIdleConnections() }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -6,17 +6,17 @@
 	"fmt"
 )
 
-// CallError reports a failed call to an address of discovery.
+// CallError reports a failed call to discovery.
 type CallError struct {
 	Address string // host and port
 	Err     error
 }
 
-// Error names the address and the reason.
+// Error returns a message with the address and the cause.
 func (e *CallError) Error() string { return fmt.Sprintf("discovery at %s: %v", e.Address, e.Err) }
 
-// Unwrap returns the reason: of a timeout context.DeadlineExceeded, else an error of package net/http, a StatusError, an
-// IncompleteListError or an error of package membership.
+// Unwrap returns the cause: context.DeadlineExceeded after a timeout, and otherwise an error of package net/http, a
+// *StatusError, an *IncompleteListError or an error of package membership.
 func (e *CallError) Unwrap() error { return e.Err }
 
 // StatusError reports a response with a status other than 200.
@@ -24,16 +24,16 @@
 	Status string // as in the status line, such as "503 Service Unavailable"
 }
 
-// Error names the status.
-func (e *StatusError) Error() string { return "unexpected status " + e.Status }
+// Error returns a message with the status received and the one expected.
+func (e *StatusError) Error() string { return fmt.Sprintf("unexpected status %q, want 200", e.Status) }
 
-// IncompleteListError reports a list of changes in the response to a call for the complete list.
+// IncompleteListError reports that discovery responded with changes only to a call for the complete list.
 type IncompleteListError struct{ Revision int64 }
 
-// Error names the revision of the list.
+// Error returns a message with the revision of the list.
 func (e *IncompleteListError) Error() string {
-	return fmt.Sprintf("list of revision %d holds changes only, not the complete list", e.Revision)
+	return fmt.Sprintf("endpoint list of revision %d contains only changes, want the complete list", e.Revision)
 }
 
-// timedOut reports whether a call got no response in its time.
-func timedOut(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
+// isTimeout reports whether a call failed because its response did not arrive in time.
+func isTimeout(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
--- a/internal/discovery/liststate.go
+++ b/internal/discovery/liststate.go
@@ -2,36 +2,36 @@
 
 import "cindersaddle/internal/membership"
 
-// listState is what is known of the list at the current address. It decides between a watch and a call for the complete
-// list.
+// listState records which list the Watcher has received from the current address. It decides whether the next call is
+// a watch or a call for the complete list.
 type listState struct {
-	revision    int64 // of the latest list
-	synced      bool  // there is a list, of this revision, which may be 0
-	watchBroken bool  // the last watch failed: only the complete list contains what it missed
+	revision             int64 // of the latest list
+	hasList              bool  // a list has been received; its revision may be 0
+	mayHaveMissedChanges bool  // the last watch failed; only the complete list contains the changes that it missed
 }
 
-// canWatch reports whether a watch would miss no change: there is a list, and no watch has failed since.
-func (s *listState) canWatch() bool { return s.synced && !s.watchBroken }
+// canWatch reports whether a watch would return all changes: there is a list, and no watch has failed since it came.
+func (s *listState) canWatch() bool { return s.hasList && !s.mayHaveMissedChanges }
 
-// isNew reports whether a list is not the latest one.
+// isNew reports whether list differs from the latest list in its revision.
 func (s *listState) isNew(list *membership.EndpointList) bool {
-	return !s.synced || list.Revision != s.revision
+	return !s.hasList || list.Revision != s.revision
 }
 
-// canApply reports whether the latest list can be updated by a list. Changes of an older revision mean that discovery
-// has lost its state: only its complete list helps.
+// canApply reports whether list can be applied to the latest list. Changes with an older revision mean that discovery
+// has lost its state, so that the complete list is needed.
 func (s *listState) canApply(list *membership.EndpointList) bool {
 	return list.Complete || list.Revision >= s.revision
 }
 
-// listReceived records the latest list.
-func (s *listState) listReceived(list *membership.EndpointList) {
-	s.synced, s.watchBroken, s.revision = true, false, list.Revision
+// recordList records that list has been received.
+func (s *listState) recordList(list *membership.EndpointList) {
+	s.hasList, s.mayHaveMissedChanges, s.revision = true, false, list.Revision
 }
 
-// watchFailed records a failed watch.
-func (s *listState) watchFailed() { s.watchBroken = true }
+// recordWatchFailure records that a watch failed and may have missed changes.
+func (s *listState) recordWatchFailure() { s.mayHaveMissedChanges = true }
 
-// addressChanged records that the next list comes from another address. Each address has revisions of its own, so it
-// has to send its complete list first.
-func (s *listState) addressChanged() { s.synced, s.watchBroken = false, false }
+// reset prepares for another address. Revisions of different addresses are not comparable, so the next call must be
+// for the complete list.
+func (s *listState) reset() { s.hasList, s.mayHaveMissedChanges = false, false }
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -2,56 +2,64 @@
 
 import "time"
 
-// What an unresponsive watch misses has to be known 6 s after the other side became unresponsive, or 2 s after the hold
-// of the watch if that is later. By then the failure must have been noticed and the complete list received, even if the
-// first call for it fails: the hold, the slack, the time of a call for the list, and the pauses before this call and the
-// next one add up to less than that.
+// The timeouts below keep the following limit. If discovery becomes unresponsive during a watch, the changes that the
+// watch misses must be known 6 s later, or 2 s after the end of the hold if that is later. By then the failure must
+// have been noticed and the complete list received, even if the first call for it fails. Therefore the hold, the
+// response slack, the timeout of a call for the list, and the pauses before this call and the next one must add up to
+// less than the limit.
 
-// Times of the calls to an agent.
+// Timeouts of the calls to an agent.
 const (
 	// agentWatchHold is how long an agent may hold a watch.
 	agentWatchHold = 4 * time.Second
-	// AgentResponseSlack is how long an agent may take to respond to a call, beyond the hold of a watch. It responds at
-	// once; the time is for a busy machine.
+	// AgentResponseSlack is how long an agent may take to respond to a call, in addition to the hold of a watch. An
+	// agent normally responds at once; the slack allows for a busy machine.
 	AgentResponseSlack = 600 * time.Millisecond
-	// firstByteGraceFraction is the part of the drain grace that bounds the time to the first byte of the list. An
-	// agent that has lost discovery does not respond to the calls made meanwhile, and the list that it gets afterwards
-	// takes effect at once. Calls are repeated until one succeeds, so often that a drain is known in time.
-	firstByteGraceFraction = 0.6
-	// minFirstByteTimeout is the shortest time to the first byte of the list.
+	// firstByteDrainGraceFraction is the fraction of the drain grace after which a call for the complete list times
+	// out if no byte of the response has arrived. An agent that has lost its connection to discovery never responds to
+	// the calls made in that time, and the list that it receives afterwards takes effect at once. Calls are therefore
+	// repeated often enough for a drain to be known in time.
+	firstByteDrainGraceFraction = 0.6
+	// minFirstByteTimeout is the minimum timeout for the first byte of the complete list.
 	minFirstByteTimeout = 50 * time.Millisecond
 )
 
-// Times of the calls to polled discovery, where a call queues with those of other sidecars for up to 2 s. A call
-// cancelled before its turn is wasted work, and the next one waits as long. This leaves little time for the hold.
+// Timeouts of the calls to polled discovery.
 const (
-	polledWatchHold     = 1200 * time.Millisecond
+	// polledWatchHold is how long a polled service may hold a watch. The limit above leaves little time for it besides
+	// polledResponseSlack.
+	polledWatchHold = 1200 * time.Millisecond
+	// polledResponseSlack is how long a polled service may take to respond to a call, in addition to the hold of a
+	// watch. A call waits in a queue with those of other sidecars for up to 2 s. To cancel it earlier would waste that
+	// wait, because the next call would have to wait as long again.
 	polledResponseSlack = 2050 * time.Millisecond
 )
 
-// dialTimeoutDivisor is the part of the response slack that a connection to discovery may take. It opens at once or not
-// soon: the kernel retries only after 1 s, 3 s and 7 s, while a new call dials again at once.
+// dialTimeoutDivisor is the divisor that gives the dial timeout from the response slack. If a connection does not open
+// at once, it is faster to dial again with a new call than to wait for the kernel, which repeats a lost connection
+// request only after 1 s, 3 s and 7 s.
 const dialTimeoutDivisor = 3
 
-// timeouts are the times of the calls in one mode of discovery.
+// timeouts holds the timeouts of the calls in one mode of discovery.
 type timeouts struct {
-	hold          time.Duration // how long the other side may hold a watch
-	responseSlack time.Duration // how long a watch may take beyond that, and any other call in total
-	firstByte     time.Duration // how long the first byte of the response to any other call may take
+	watchHold     time.Duration // how long discovery may hold a watch
+	responseSlack time.Duration // timeout of a watch in addition to watchHold, and of any other call in total
+	firstByte     time.Duration // timeout of a call other than a watch for the first byte of its response
 }
 
-// agentTimeouts returns the times for an agent. Attempts to a draining endpoint must stop within drainGrace.
+// agentTimeouts returns the timeouts of calls to an agent. Attempts to a draining endpoint must stop within
+// drainGrace.
 func agentTimeouts(drainGrace time.Duration) timeouts {
-	firstByte := time.Duration(float64(drainGrace) * firstByteGraceFraction)
+	firstByte := time.Duration(float64(drainGrace) * firstByteDrainGraceFraction)
 	firstByte = max(firstByte, minFirstByteTimeout)
 	firstByte = min(firstByte, AgentResponseSlack)
-	return timeouts{hold: agentWatchHold, responseSlack: AgentResponseSlack, firstByte: firstByte}
+	return timeouts{watchHold: agentWatchHold, responseSlack: AgentResponseSlack, firstByte: firstByte}
 }
 
-// polledTimeouts returns the times for polled discovery.
+// polledTimeouts returns the timeouts of calls to polled discovery.
 func polledTimeouts() timeouts {
-	return timeouts{hold: polledWatchHold, responseSlack: polledResponseSlack, firstByte: polledResponseSlack}
+	return timeouts{watchHold: polledWatchHold, responseSlack: polledResponseSlack, firstByte: polledResponseSlack}
 }
 
-// dial returns how long a connection to discovery may take.
-func (t timeouts) dial() time.Duration { return t.responseSlack / dialTimeoutDivisor }
+// dialTimeout returns how long opening a connection to discovery may take.
+func (t timeouts) dialTimeout() time.Duration { return t.responseSlack / dialTimeoutDivisor }
--- a/internal/discovery/unresponsive_test.go
+++ b/internal/discovery/unresponsive_test.go
@@ -95,7 +95,7 @@
 						watcher.RequestWatch()
 					}
 				}
-				if took := time.Since(start); took >= limit || took >= watcher.timeouts.hold+2*time.Second && watcher.timeouts.hold >= 4*time.Second {
+				if took := time.Since(start); took >= limit || took >= watcher.timeouts.watchHold+2*time.Second && watcher.timeouts.watchHold >= 4*time.Second {
 					t.Errorf("the list came %v after the watch became unresponsive", took)
 				}
 				<-calls
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,37 +8,37 @@
 	"cindersaddle/internal/timing"
 )
 
-// Run follows the list until ctx is done. It may be called once.
+// Run keeps the list up to date until ctx is done. It may be called once.
 func (w *Watcher) Run(ctx context.Context) {
-	defer w.address.end()
+	defer w.address.endCalls()
 	for ctx.Err() == nil {
-		addressCtx, address := w.address.begin(ctx)
+		addressCtx, address := w.address.beginCalls(ctx)
 		w.followAddress(addressCtx, address)
 		w.client.closeIdleConnections()
-		w.list.addressChanged()
+		w.list.reset()
 		w.addressChanged = true
 	}
 }
 
-// followAddress follows the list at one address until ctx is done.
+// followAddress keeps the list up to date with calls to one address until ctx is done.
 func (w *Watcher) followAddress(ctx context.Context, address string) {
-	pauses := w.newBackoff()
+	callBackoff := w.newBackoff()
 	for ctx.Err() == nil {
 		needsRequest := w.needsRequest()
 		if needsRequest && !w.awaitRequest(ctx) {
 			return
 		}
-		end := w.watchUntilFailure(ctx, address)
-		if end.listReceived {
-			pauses.reset()
+		result := w.watchUntilFailure(ctx, address)
+		if result.listReceived {
+			callBackoff.reset()
 		}
-		if !needsRequest && !end.timedOut {
-			timing.Sleep(ctx, pauses.next())
+		if !needsRequest && !result.timedOut {
+			timing.Sleep(ctx, callBackoff.next())
 		}
 	}
 }
 
-// newBackoff returns the pauses between failed calls to one address.
+// newBackoff returns a backoff for the calls to one address.
 func (w *Watcher) newBackoff() backoff {
 	if w.mode == agentMode {
 		return backoff{maxDoublings: maxAgentDoublings}
@@ -46,56 +46,59 @@
 	return backoff{maxDoublings: maxPolledDoublings}
 }
 
-// needsRequest reports whether the next call has to wait until the balancer requests it, as it does with polled
-// discovery. After a change of the address, calls are made without requests until a list has come: the balancer does not
-// know of failures there, and would wait for long after earlier ones.
+// needsRequest reports whether the next call has to wait for a request of the balancer, which is the rule in polled
+// mode. After a change of the address, calls are made without requests until a list has been received: the balancer
+// does not distinguish the addresses, and might pause for long because of earlier failures.
 func (w *Watcher) needsRequest() bool {
-	return w.mode == polledMode && (w.list.synced || !w.addressChanged)
+	return w.mode == polledMode && (w.list.hasList || !w.addressChanged)
 }
 
-// awaitRequest waits for a requested watch. It returns false if ctx is done.
+// awaitRequest blocks until the balancer requests a watch. It returns false if ctx is done first.
 func (w *Watcher) awaitRequest(ctx context.Context) bool {
 	select {
-	case <-w.requested:
+	case <-w.watchRequested:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// watchEnd describes a sequence of calls that ended with a failed one.
-type watchEnd struct {
+// watchResult describes the calls of watchUntilFailure.
+type watchResult struct {
 	listReceived bool // at least one call succeeded
-	// timedOut is set if the last call got no response in its time. The next call must follow without a pause: what an
-	// agent that was unresponsive has to report takes effect as soon as it is back, and only an open call receives it.
+	// timedOut is true if the last call timed out. The next call must then follow without a pause: when an
+	// unresponsive agent recovers, the changes that it reports take effect at once, and only an open call receives
+	// them.
 	timedOut bool
 }
 
-// watchUntilFailure makes one call after the other until one fails or ctx is done. A watch that fails is not reported,
-// but replaced at once by a call for the complete list: what the watch missed is to be known soon.
-func (w *Watcher) watchUntilFailure(ctx context.Context, address string) watchEnd {
-	var end watchEnd
+// watchUntilFailure makes one call after another until a call for the complete list fails or ctx is done. A failed
+// watch is not reported. A call for the complete list follows it instead, because the changes that the watch missed
+// must be known soon.
+func (w *Watcher) watchUntilFailure(ctx context.Context, address string) watchResult {
+	var result watchResult
 	for {
 		start := time.Now()
 		watched := w.list.canWatch()
 		list, err := w.nextList(ctx, address)
 		switch {
 		case ctx.Err() != nil:
-			return end
+			return result
 		case err == nil:
-			end.listReceived = true
-			w.receive(ctx, list, address, start)
+			result.listReceived = true
+			w.handleList(ctx, list, address, start)
 		case watched:
-			w.breakWatch(ctx, err)
+			w.handleWatchFailure(ctx, err)
 		default:
 			w.observer.ListFailed(err)
-			end.timedOut = timedOut(err)
-			return end
+			result.timedOut = isTimeout(err)
+			return result
 		}
 	}
 }
 
-// nextList waits for a list newer than the latest one, or gets the complete list if a watch could miss changes.
+// nextList returns the response to a watch, or the complete list if a watch would miss changes or its response cannot
+// be applied to the latest list.
 func (w *Watcher) nextList(ctx context.Context, address string) (*membership.EndpointList, error) {
 	listCall := newListCall(address, w.timeouts)
 	if !w.list.canWatch() {
@@ -108,21 +111,21 @@
 	return list, err
 }
 
-// receive reports the list of a call that began at start. It pauses after one that is not new: an agent may respond to
-// each call at once.
-func (w *Watcher) receive(ctx context.Context, list *membership.EndpointList, address string, start time.Time) {
+// handleList reports the list of a call that started at start. It pauses after a list that is not new, because an
+// agent may respond to each call at once.
+func (w *Watcher) handleList(ctx context.Context, list *membership.EndpointList, address string, start time.Time) {
 	isNew := w.list.isNew(list)
-	w.list.listReceived(list)
+	w.list.recordList(list)
 	w.observer.ListReceived(list, address)
 	if !isNew {
 		timing.Sleep(ctx, minCallInterval-time.Since(start))
 	}
 }
 
-// breakWatch records that a watch failed. It pauses unless the watch timed out.
-func (w *Watcher) breakWatch(ctx context.Context, err error) {
-	w.list.watchFailed()
-	if !timedOut(err) {
-		timing.Sleep(ctx, jittered(backoffBase))
+// handleWatchFailure records that a watch failed, and pauses unless the watch timed out.
+func (w *Watcher) handleWatchFailure(ctx context.Context, err error) {
+	w.list.recordWatchFailure()
+	if !isTimeout(err) {
+		timing.Sleep(ctx, jittered(initialBackoff))
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -8,73 +8,74 @@
 	"cindersaddle/internal/membership"
 )
 
-// Observer receives what a Watcher learns, on the goroutine of Run.
+// Observer is notified of lists and failed calls. Its methods are called on the goroutine of Run.
 type Observer interface {
-	// ListReceived receives a valid list, complete or of changes, from an address of discovery.
+	// ListReceived is called with each valid list, complete or with changes only, and the address that sent it.
 	ListReceived(list *membership.EndpointList, address string)
-	// ListFailed receives the error of a failed call, which is a *CallError.
+	// ListFailed is called with the error of a failed call, which is a *CallError.
 	ListFailed(err error)
 }
 
-// mode is the form of discovery.
+// mode is the mode of discovery; see the package comment.
 type mode int
 
 const (
-	agentMode  mode = iota // an agent on this machine, to which the list is pushed
-	polledMode             // a service that is called when the balancer requests it
+	agentMode  mode = iota // calls go to an agent on this machine, to which the list is pushed
+	polledMode             // calls go to a remote service, when the balancer requests them
 )
 
-// Watcher follows the list of endpoints at one address of discovery at a time.
+// Watcher receives the endpoint list, and the changes to it, from one address of discovery at a time.
 type Watcher struct {
-	// Dial opens the connections to discovery. It may be replaced until Run is called.
+	// Dial opens the connections to discovery. It may be replaced before Run is called.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mode      mode
-	timeouts  timeouts
-	client    *client
-	observer  Observer
-	address   currentAddress
-	requested chan struct{} // holds one element while the balancer waits for a watch to start
+	mode           mode
+	timeouts       timeouts
+	client         *client
+	observer       Observer
+	address        currentAddress
+	watchRequested chan struct{} // holds an element while a request of the balancer is pending
 
-	// The fields below are Run's.
+	// The fields below are owned by Run.
 
 	list           listState
-	addressChanged bool // since the start
+	addressChanged bool // the address has changed since Run was called
 }
 
-// NewWatcher returns a watcher of the configured address, which starts from the list that the configuration knows.
+// NewWatcher returns a Watcher for the configured address. It continues from the list in the configuration, if that is
+// complete.
 func NewWatcher(cfg *config.Config, observer Observer) *Watcher {
 	w := &Watcher{
-		Dial:      (&net.Dialer{}).DialContext,
-		mode:      polledMode,
-		timeouts:  polledTimeouts(),
-		observer:  observer,
-		address:   currentAddress{address: cfg.Discovery},
-		requested: make(chan struct{}, 1),
-		list:      listState{revision: cfg.KnownEndpoints.Revision, synced: cfg.KnownEndpoints.Complete},
+		Dial:           (&net.Dialer{}).DialContext,
+		mode:           polledMode,
+		timeouts:       polledTimeouts(),
+		observer:       observer,
+		address:        currentAddress{address: cfg.Discovery},
+		watchRequested: make(chan struct{}, 1),
+		list:           listState{revision: cfg.KnownEndpoints.Revision, hasList: cfg.KnownEndpoints.Complete},
 	}
 	if !cfg.Balance.PolledDiscovery {
 		w.mode = agentMode
 		w.timeouts = agentTimeouts(cfg.Balance.DrainGrace.Duration())
-		w.list.watchBroken = true // a new process has no watch open, and the agent may be unresponsive
+		w.list.mayHaveMissedChanges = true // a new process has no open watch, and the agent may be unresponsive
 	}
-	w.client = newClient(w.dial, w.timeouts.dial())
+	w.client = newClient(w.dial, w.timeouts.dialTimeout())
 	return w
 }
 
-// dial opens a connection by Dial, which may be another one than when the client was built.
+// dial opens a connection with the current value of Dial, which may have been replaced after the client was created.
 func (w *Watcher) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return w.Dial(ctx, network, address)
 }
 
-// RequestWatch starts a watch of polled discovery; if one is open or requested already, the request is for the time
-// after it. It does not block.
+// RequestWatch starts a watch in polled mode. If a watch is open already, the request takes effect when that has
+// failed. While a request is pending, another one has no effect. RequestWatch does not block.
 func (w *Watcher) RequestWatch() {
 	select {
-	case w.requested <- struct{}{}:
+	case w.watchRequested <- struct{}{}:
 	default:
 	}
 }
 
-// SetAddress switches to another address at once: open calls to the previous one are cancelled and their lists dropped.
+// SetAddress switches to another address at once. An open call to the previous one is cancelled and its list dropped.
 func (w *Watcher) SetAddress(address string) { w.address.set(address) }
