--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,3 +1,3 @@
-// Package membership holds the list of endpoints as discovery sends it: it parses it, validates it, and maps the names
-// of its JSON keys to the terms of the code. The package keeps no state and starts no goroutines.
+// Package membership contains the endpoint list in the form in which discovery sends it. It parses and validates the
+// list, and maps its JSON keys to the names used in the code. The package has no state and starts no goroutines.
 package membership
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -5,32 +5,33 @@
 	"fmt"
 )
 
-// Keys that a list must have.
+// Required JSON keys of an endpoint list.
 const (
 	keyRevision  = "revision"
 	keyComplete  = "complete"
 	keyEndpoints = "members"
 )
 
-// document is a list with its keys optional, which distinguishes a missing one from a zero value.
-type document struct {
+// rawEndpointList is an EndpointList whose keys are optional, to distinguish a missing key from a zero value.
+type rawEndpointList struct {
 	Revision  *int64          `json:"revision"`
 	Complete  *bool           `json:"complete"`
 	Endpoints json.RawMessage `json:"members"`
 }
 
-// Parse reads a list and validates it. Its errors wrap those of package json, a MissingKeyError, or those of Validate. A
-// missing key is an error as the list, read as an empty one, would end all traffic or hide that an endpoint is draining.
-func Parse(text []byte) (*EndpointList, error) {
-	var parsed document
-	if err := json.Unmarshal(text, &parsed); err != nil {
+// Parse parses and validates an endpoint list. Its errors are or wrap an error of package json, a *MissingKeyError or
+// an error of Validate. A missing key is an error because its zero value, such as an empty list, could end all traffic
+// or hide that an endpoint is draining.
+func Parse(data []byte) (*EndpointList, error) {
+	var raw rawEndpointList
+	if err := json.Unmarshal(data, &raw); err != nil {
 		return nil, fmt.Errorf("parse the endpoint list: %w", err)
 	}
-	if err := parsed.checkKeys(); err != nil {
+	if err := raw.checkRequiredKeys(); err != nil {
 		return nil, err
 	}
-	list := &EndpointList{Revision: *parsed.Revision, Complete: *parsed.Complete}
-	if err := json.Unmarshal(parsed.Endpoints, &list.Endpoints); err != nil {
+	list := &EndpointList{Revision: *raw.Revision, Complete: *raw.Complete}
+	if err := json.Unmarshal(raw.Endpoints, &list.Endpoints); err != nil {
 		return nil, fmt.Errorf("parse the endpoints of revision %d: %w", list.Revision, err)
 	}
 	if err := list.Validate(); err != nil {
@@ -39,14 +40,14 @@
 	return list, nil
 }
 
-// checkKeys returns an error that names the first key that the document lacks.
-func (d *document) checkKeys() error {
+// checkRequiredKeys returns a *MissingKeyError for the first required key that is missing.
+func (l *rawEndpointList) checkRequiredKeys() error {
 	switch {
-	case d.Revision == nil:
+	case l.Revision == nil:
 		return &MissingKeyError{Key: keyRevision}
-	case d.Complete == nil:
+	case l.Complete == nil:
 		return &MissingKeyError{Key: keyComplete}
-	case d.Endpoints == nil:
+	case l.Endpoints == nil:
 		return &MissingKeyError{Key: keyEndpoints}
 	}
 	return nil
