--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -10,19 +10,20 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestNoListFromOldAddressAfterNew checks an address change while the old address responds: whether or not its list is still reported,
-// none from there follows one from the new address.
+// TestNoListFromOldAddressAfterNew checks that no list from the old address is reported after one from the new
+// address, if the address changes while the old one responds. Whether the list of that response is reported does not
+// matter.
 func TestNoListFromOldAddressAfterNew(t *testing.T) {
 	for range 50 {
 		cfg := sidecartest.Config(t)
 		events := make(listRecorder, 10)
 		watcher := NewWatcher(cfg, events)
 		watcher.mode = agentMode
-		moving := make(chan bool)
-		var moved sync.Once
+		responding := make(chan bool)
+		var firstResponse sync.Once
 		watcher.client.http.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 			if req.URL.Host == cfg.Discovery {
-				moved.Do(func() { close(moving) }) // coincides with the response
+				firstResponse.Do(func() { close(responding) }) // so that the address changes during the response
 			} else if req.URL.RawQuery != "" {
 				<-req.Context().Done()
 				return nil, req.Context().Err()
@@ -30,7 +31,7 @@
 			return emptyListResponse(), nil
 		})
 		runWatcher(t, watcher)
-		<-moving
+		<-responding
 		watcher.SetAddress("127.0.0.1:2")
 		for address := ""; address != "127.0.0.1:2"; {
 			address = sidecartest.Next(t, events).address
@@ -38,15 +39,15 @@
 		select {
 		case event := <-events:
 			if event.address == cfg.Discovery {
-				t.Fatal("a list from the old address came after one from the new address")
+				t.Fatalf("after a list from the new address: got the event %v, want none from the old address", event)
 			}
 		default:
 		}
 	}
 }
 
-// TestAddressChangeRetriesRefusedConnection checks that a new address that is not up yet is called again soon and without a request: the
-// balancer waits for long after many failures.
+// TestAddressChangeRetriesRefusedConnection checks that after a change to an address that is not reachable yet, calls
+// are repeated soon and without requests. The balancer would pause for long after many failures.
 func TestAddressChangeRetriesRefusedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,9 +64,9 @@
 	watcher.RequestWatch()
 	sidecartest.Next(t, server.Queries)
 	watcher.SetAddress(refusing)
-	for range 3 { // none of the calls was requested
+	for range 3 { // without requests
 		if event := sidecartest.Next(t, events); event.err == nil {
-			t.Error("the refused connection was not reported")
+			t.Errorf("got the event %v, want the failure of a refused connection", event)
 		}
 	}
 	watcher.SetAddress(server.Addr)
@@ -74,10 +75,12 @@
 	}
 }
 
-// TestLastAddressChangeWins checks that several address changes in a row, one of them before the first list, end at the last
-// address.
+// TestLastAddressChangeWins checks that after several address changes in quick succession, the first of them before
+// Run, the list comes from the last address.
 func TestLastAddressChangeWins(t *testing.T) {
-	first, second, third := sidecartest.NewDiscoveryServer(t), sidecartest.NewDiscoveryServer(t), sidecartest.NewDiscoveryServer(t)
+	first := sidecartest.NewDiscoveryServer(t)
+	second := sidecartest.NewDiscoveryServer(t)
+	third := sidecartest.NewDiscoveryServer(t)
 	cfg := sidecartest.Config(t)
 	cfg.Discovery, cfg.KnownEndpoints = first.Addr, membership.EndpointList{}
 	events := make(eventRecorder, 100)
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -13,14 +13,14 @@
 	"cindersaddle/internal/membership"
 )
 
-// event is one call of an Observer: of ListReceived, or of ListFailed if err is set.
+// event is one call of an Observer's method: of ListFailed if err is not nil, and otherwise of ListReceived.
 type event struct {
 	list    *membership.EndpointList
 	address string
 	err     error
 }
 
-// isList reports whether the event is a list of a revision.
+// isList reports whether the event is a list with the given revision.
 func (e event) isList(revision int64) bool { return e.list != nil && e.list.Revision == revision }
 
 // String describes the event for the message of a failed test.
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("list %+v from %s", *e.list, e.address)
 }
 
-// eventRecorder is an observer that records each call.
+// eventRecorder is an Observer that sends each call to a channel.
 type eventRecorder chan event
 
 func (r eventRecorder) ListReceived(list *membership.EndpointList, address string) {
@@ -40,7 +40,7 @@
 
 func (r eventRecorder) ListFailed(err error) { r <- event{err: err} }
 
-// listRecorder is an observer that records lists only.
+// listRecorder is an Observer that sends each list to a channel and ignores failed calls.
 type listRecorder chan event
 
 func (r listRecorder) ListReceived(list *membership.EndpointList, address string) {
@@ -49,14 +49,14 @@
 
 func (r listRecorder) ListFailed(error) {}
 
-// ignoringObserver is an observer that ignores every call.
+// ignoringObserver is an Observer that ignores lists and failed calls.
 type ignoringObserver struct{}
 
 func (ignoringObserver) ListReceived(*membership.EndpointList, string) {}
 
 func (ignoringObserver) ListFailed(error) {}
 
-// startWatcher runs a watcher with a requested watch until the test ends, and returns what it reports.
+// startWatcher runs a Watcher until the test ends, requests a watch, and returns the recorded events.
 func startWatcher(t *testing.T, cfg *config.Config) eventRecorder {
 	t.Helper()
 	events := make(eventRecorder, 100)
@@ -66,13 +66,13 @@
 	return events
 }
 
-// runWatcher runs a watcher until the test ends.
+// runWatcher runs a Watcher until the test ends.
 func runWatcher(t *testing.T, watcher *Watcher) {
 	t.Helper()
 	t.Cleanup(run(context.Background(), watcher))
 }
 
-// run runs a watcher until stop is called, which waits until Run returns.
+// run runs a Watcher until stop is called. stop waits until Run returns.
 func run(ctx context.Context, watcher *Watcher) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -89,17 +89,18 @@
 // emptyList is a complete list of revision 42 without endpoints.
 const emptyList = `{"revision": 42, "complete": true, "members": []}`
 
-// emptyListResponse returns the response of discovery that sends emptyList.
+// emptyListResponse returns a response of discovery with emptyList.
 func emptyListResponse() *http.Response {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(emptyList))}
 }
 
-// roundTripFunc is a transport made of a function.
+// roundTripFunc is a function used as an http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
-// unresponsiveTransport is a transport that accepts calls, sends the time of each, and responds to none.
+// unresponsiveTransport is an http.RoundTripper that sends the start time of each call to the channel and never
+// responds.
 type unresponsiveTransport chan time.Time
 
 func (t unresponsiveTransport) RoundTrip(req *http.Request) (*http.Response, error) {
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -11,10 +11,12 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestIndentedAndTruncatedLists checks that an indented list is read, and that a truncated response is dropped and followed by a call
-// for the complete list.
+// TestIndentedAndTruncatedLists checks that an indented list is accepted, and that a truncated response is dropped and
+// followed by a call for the complete list.
 func TestIndentedAndTruncatedLists(t *testing.T) {
-	complete := membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2")}}
+	complete := membership.EndpointList{Revision: 42, Complete: true, Endpoints: []membership.Endpoint{
+		sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"), sidecartest.ReadyEndpoint("s-2", "127.0.0.1:2"),
+	}}
 	text, err := json.MarshalIndent(complete, "\t", "    ")
 	if err != nil {
 		t.Fatal(err)
@@ -53,8 +55,8 @@
 	}
 }
 
-// TestInvalidListIsRejected checks that an invalid list is rejected as a whole and reported as a failed call, and that the next list is
-// received.
+// TestInvalidListIsRejected checks that an invalid list is rejected as a whole and reported as a failed call, and that
+// the next list is accepted.
 func TestInvalidListIsRejected(t *testing.T) {
 	endpoint := `{"id": "s-1", "host_port": "127.0.0.1:1", "phase": "ready"}`
 	for name, text := range map[string]string{
@@ -93,7 +95,7 @@
 				t.Fatalf("got the event %v, want a failure", event)
 			}
 			if event := sidecartest.Next(t, events); !event.isList(42) || len(event.list.Endpoints) != 1 {
-				t.Errorf("then got the event %v, want revision 42 with 1 endpoint", event)
+				t.Errorf("after the failure: got the event %v, want revision 42 with 1 endpoint", event)
 			}
 		})
 	}
--- a/internal/discovery/unresponsive_test.go
+++ b/internal/discovery/unresponsive_test.go
@@ -13,8 +13,9 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestUnresponsiveDiscoveryIsReported checks that discovery that becomes unresponsive on an open connection is noticed within seconds.
-// A watch held for 20 s missed the replacement of the complete fleet.
+// TestUnresponsiveDiscoveryIsReported checks that a failure is reported within seconds if discovery becomes
+// unresponsive while the connection stays open. With watches of 20 s, the Watcher missed the replacement of all
+// endpoints.
 func TestUnresponsiveDiscoveryIsReported(t *testing.T) {
 	t.Parallel()
 	server := sidecartest.NewDiscoveryServer(t)
@@ -31,8 +32,9 @@
 	}
 }
 
-// TestUnresponsiveAgentIsCalledAgainInTime checks that an agent that becomes unresponsive during a call is called again in time, or a
-// drain is missed: changes have to be known 2 s after the hold of a watch, and 4 s after a reload.
+// TestUnresponsiveAgentIsCalledAgainInTime checks that an agent that becomes unresponsive during a call is called
+// again in time. Otherwise a drain is missed: changes have to be known 2 s after the hold of a watch, and 4 s after a
+// reload.
 func TestUnresponsiveAgentIsCalledAgainInTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		synced bool
@@ -49,8 +51,8 @@
 				calls := make(chan time.Time)
 				watcher.client.http.Transport = unresponsiveTransport(calls)
 				stop := run(t.Context(), watcher)
-				first := <-calls
-				if took := (<-calls).Sub(first); took >= test.within {
+				firstCall := <-calls
+				if took := (<-calls).Sub(firstCall); took >= test.within {
 					t.Errorf("called again after %v, want less than %v", took, test.within)
 				}
 				stop()
@@ -59,10 +61,15 @@
 	}
 }
 
-// TestListInTimeAfterUnresponsiveWatch checks that a list arrives in time after a watch became unresponsive, in both forms of
-// discovery: within 6 s, and within 2 s of the hold of a long watch. It does even if the first call afterwards fails as well.
+// TestListInTimeAfterUnresponsiveWatch checks that a list arrives in time if discovery becomes unresponsive at the
+// start of a watch, even if the first call after the watch fails as well: within 6 s, and for a long watch also within
+// 2 s after the end of its hold.
 func TestListInTimeAfterUnresponsiveWatch(t *testing.T) {
-	const limit = 6 * time.Second
+	const (
+		limit          = 6 * time.Second
+		limitAfterHold = 2 * time.Second // applies to watches with a hold of at least longHold
+		longHold       = 4 * time.Second
+	)
 	for name, polled := range map[string]bool{"pushed": false, "polled": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -71,14 +78,14 @@
 				events := make(eventRecorder, 10)
 				watcher := NewWatcher(cfg, events)
 				calls := make(chan string, 10)
-				unresponsive := 2
+				unresponsiveCalls := 2 // number of further calls that get no response
 				watcher.client.http.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 					calls <- req.URL.RawQuery
-					if unresponsive--; unresponsive >= 0 {
+					if unresponsiveCalls--; unresponsiveCalls >= 0 {
 						<-req.Context().Done()
 						return nil, req.Context().Err()
 					}
-					if len(calls) > 3 { // the next watch stays open
+					if len(calls) > 3 { // the watch after the list stays open
 						<-req.Context().Done()
 					}
 					return emptyListResponse(), nil
@@ -91,16 +98,19 @@
 						break
 					}
 					if polled {
-						time.Sleep(500 * time.Millisecond) // the longest pause of the balancer after one failure
+						time.Sleep(500 * time.Millisecond) // the maximum pause of the balancer after a failure
 						watcher.RequestWatch()
 					}
 				}
-				if took := time.Since(start); took >= limit || took >= watcher.timeouts.watchHold+2*time.Second && watcher.timeouts.watchHold >= 4*time.Second {
-					t.Errorf("the list came %v after the watch became unresponsive", took)
+				took, hold := time.Since(start), watcher.timeouts.watchHold
+				if took >= limit || took >= hold+limitAfterHold && hold >= longHold {
+					t.Errorf("the list came %v after the start of the unresponsive watch, whose hold is %v; "+
+						"want less than %v, and less than %v after the hold if that is at least %v",
+						took, hold, limit, limitAfterHold, longHold)
 				}
 				<-calls
 				if first, second := <-calls, <-calls; first != "" || second != "" {
-					t.Errorf("the calls after the watch have the queries %q and %q, want none", first, second)
+					t.Errorf("the calls after the watch have the queries %q and %q, want no queries", first, second)
 				}
 				stop()
 			})
@@ -108,37 +118,38 @@
 	}
 }
 
-// TestCallAlwaysOpenToUnresponsiveAgent checks that a call to an unresponsive agent is open at any moment: what it has to report takes
-// effect as soon as it is back, and only an open call receives it.
+// TestCallAlwaysOpenToUnresponsiveAgent checks that a call to an unresponsive agent is open at all times. When the
+// agent recovers, the changes that it reports take effect at once, and only an open call receives them.
 func TestCallAlwaysOpenToUnresponsiveAgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := sidecartest.Config(t)
 		cfg.Balance.PolledDiscovery, cfg.KnownEndpoints.Complete = false, true
 		watcher := NewWatcher(cfg, ignoringObserver{})
-		calls := make(chan time.Duration) // how long none was open before each one
-		var ended time.Time
+		calls := make(chan time.Duration) // for how long no call was open before each call
+		var lastEnd time.Time
 		watcher.client.http.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 			gap := time.Duration(0)
-			if !ended.IsZero() {
-				gap = time.Since(ended)
+			if !lastEnd.IsZero() {
+				gap = time.Since(lastEnd)
 			}
 			calls <- gap
 			<-req.Context().Done()
-			ended = time.Now()
+			lastEnd = time.Now()
 			return nil, req.Context().Err()
 		})
 		stop := run(t.Context(), watcher)
 		for i := range 20 {
 			if gap := <-calls; gap > 0 {
-				t.Errorf("no call was open for %v before call %d", gap, i)
+				t.Errorf("no call was open for %v before call %d, want no gap", gap, i)
 			}
 		}
 		stop()
 	})
 }
 
-// TestCancelledCallClosesConnection checks that no call waits for the connection of a cancelled one while discovery is down and
-// connection requests are lost: the kernel repeats them so seldom that a drain was known only seconds after discovery was back.
+// TestCancelledCallClosesConnection checks that no call waits for a connection that was being opened for a cancelled
+// call, while discovery is down and connection requests are lost. The kernel repeats a connection request so rarely
+// that a drain was known only seconds after discovery was reachable again.
 func TestCancelledCallClosesConnection(t *testing.T) {
 	for name, polled := range map[string]bool{"pushed": false, "polled": true} {
 		for down := 500 * time.Millisecond; down < 20*time.Second; down += 1500 * time.Millisecond {
@@ -164,13 +175,13 @@
 						if event.list != nil {
 							break
 						}
-						watcher.RequestWatch() // as the balancer does in the end
+						watcher.RequestWatch() // as the balancer does after a pause
 					}
 					if late := time.Since(dialer.ReachableAt); late > watcher.timeouts.responseSlack {
-						t.Errorf("the list came %v after discovery was back, want at most %v", late, watcher.timeouts.responseSlack)
+						t.Errorf("the list came %v after discovery was reachable, want at most %v", late, watcher.timeouts.responseSlack)
 					}
-					if most := dialer.MaxPending.Load(); most > 1 {
-						t.Errorf("%d connections were being opened at a time, want 1", most)
+					if maxPending := dialer.MaxPending.Load(); maxPending > 1 {
+						t.Errorf("got %d connections being opened at a time, want at most 1", maxPending)
 					}
 					cancel()
 					stop()
--- a/internal/upgrade/compatibility_test.go
+++ b/internal/upgrade/compatibility_test.go
@@ -11,11 +11,13 @@
 	"cindersaddle/internal/membership"
 )
 
-// recordedState is what a process of the version before the renaming encoded into testdata/state-v1.gob.
+// recordedState is the decoded content of testdata/state-v1.gob, which an earlier version of the program encoded. The
+// values in Learned are all different, so that mixed-up fields are detected.
 var recordedState = State{
 	Version: 1, Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500",
 	List: membership.EndpointList{Revision: 41, Complete: true, Endpoints: []membership.Endpoint{{
-		ID: "s-1", Address: "127.0.0.1:9", Zone: "room-1", MachineType: "small", Cell: 2, Phase: "draining", Rating: 1.5, StartedAt: 77,
+		ID: "s-1", Address: "127.0.0.1:9", Zone: "room-1", MachineType: "small", Cell: 2, Phase: "draining", Rating: 1.5,
+		StartedAt: 77,
 	}}},
 	Classes: []string{"read", "pay"}, Tenants: []string{"acme"},
 	Learned: balance.LearnedState{
@@ -38,22 +40,24 @@
 	},
 }
 
-// A process that runs an earlier version hands its state over in its own encoding: every field has to arrive.
+// TestReadsStateOfEarlierVersion checks that no field is lost when a process of an earlier version hands over its
+// state. A renamed field would be, because gob encodes fields by name.
 func TestReadsStateOfEarlierVersion(t *testing.T) {
-	text, err := os.ReadFile("testdata/state-v1.gob")
+	encoded, err := os.ReadFile("testdata/state-v1.gob")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decode(bytes.NewReader(text))
+	got, err := decode(bytes.NewReader(encoded))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(*got, recordedState) {
-		t.Errorf("decoded %+v\nwant    %+v", *got, recordedState)
+		t.Errorf("decoded state: got %+v\nwant %+v", *got, recordedState)
 	}
 }
 
-// An upgrade may go back to an earlier version, which reads what this one encodes: the names of all fields count.
+// TestStateKeepsItsEncodedNames checks that an earlier version can read every field of the state that this version
+// encodes, as in a downgrade. The field names of earlierState are those of the earlier version.
 func TestStateKeepsItsEncodedNames(t *testing.T) {
 	type earlierState struct {
 		Version           int
@@ -74,9 +78,11 @@
 			Answers, Latest, Unconnected, PerHeld, HeldN, Busy float64
 			Learned, Drift, Steady                             float64
 			Kinds, Zones                                       map[int]float64
-			Classes                                            []struct{ Asked, N, Mean, Dev, Longest, FailedAt, Expected float64 }
-			Tenants                                            []float64
-			Servers                                            []struct {
+			Classes                                            []struct {
+				Asked, N, Mean, Dev, Longest, FailedAt, Expected float64
+			}
+			Tenants []float64
+			Servers []struct {
 				ID                          uint64
 				Size, LastErr, RestUntil    float64
 				Errs, Rests, Downs          int
@@ -86,22 +92,22 @@
 			}
 		}
 	}
-	var now, earlier bytes.Buffer
-	if err := encode(&now, &recordedState); err != nil {
+	var current, earlier bytes.Buffer
+	if err := encode(&current, &recordedState); err != nil {
 		t.Fatal(err)
 	}
-	var read earlierState
-	if err := gob.NewDecoder(&now).Decode(&read); err != nil {
+	var decoded earlierState
+	if err := gob.NewDecoder(&current).Decode(&decoded); err != nil {
 		t.Fatal(err)
 	}
-	if err := gob.NewEncoder(&earlier).Encode(&read); err != nil {
+	if err := gob.NewEncoder(&earlier).Encode(&decoded); err != nil {
 		t.Fatal(err)
 	}
-	back, err := decode(&earlier)
+	got, err := decode(&earlier)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(*back, recordedState) {
-		t.Errorf("an earlier version reads %+v\nof %+v", *back, recordedState)
+	if !reflect.DeepEqual(*got, recordedState) {
+		t.Errorf("state read by an earlier version: got %+v\nwant %+v", *got, recordedState)
 	}
 }
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -18,8 +18,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// TestSuccessorThatDiesIsReplaced checks that a process whose successor dies is counted as alone and can be found by the
-// next successor. The path is longer than the address of a Unix socket.
+// TestSuccessorThatDiesIsReplaced checks that a process stops counting a successor that has ended, and hands over to
+// the next one. The path of the socket is too long for the kernel.
 func TestSuccessorThatDiesIsReplaced(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40))
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -40,18 +40,20 @@
 		successor := NewHandover(cfg, slog.New(slog.DiscardHandler))
 		requestState(t, successor)
 		if got := sidecartest.Next(t, counts); got != 2 || !hasSuccessor(handover) {
-			t.Errorf("%d processes, has a successor: %v", got, hasSuccessor(handover))
+			t.Errorf("got %d processes, has a successor: %v, want 2 and true", got, hasSuccessor(handover))
 		}
 		successor.predecessor.Close()
 		if got := sidecartest.Next(t, counts); got != 1 || hasSuccessor(handover) {
-			t.Errorf("after the successor's end: %d processes, has a successor: %v", got, hasSuccessor(handover))
+			t.Errorf("after the successor's end: got %d processes, has a successor: %v, want 1 and false",
+				got, hasSuccessor(handover))
 		}
 	}
 	cancel()
 	sidecartest.Next(t, done)
 }
 
-// TestSocketIsOpenedWhenItCanBe checks that a successor can take over although the socket could not be opened at first.
+// TestSocketIsOpenedWhenItCanBe checks that a process retries opening the socket after a failure, so that a successor
+// can take over later.
 func TestSocketIsOpenedWhenItCanBe(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	cfg := &config.Config{Listen: "127.0.0.1:1", AdminListen: "x", ScratchDir: dir}
@@ -62,7 +64,7 @@
 		defer close(done)
 		handover.Run(ctx, newProcess(cfg, nil))
 	}()
-	time.Sleep(50 * time.Millisecond) // the first attempt fails
+	time.Sleep(50 * time.Millisecond) // time for the first attempt to fail
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -73,8 +75,9 @@
 	sidecartest.Next(t, done)
 }
 
-// TestSuccessorAcceptsFromSharedQueue checks that both processes accept from one queue: the successor accepts the
-// connections that wait in it when the predecessor stops.
+// TestSuccessorAcceptsFromSharedQueue checks that both processes accept connections from the same queue. The successor
+// has to accept a connection that waits in the queue when the predecessor stops, and one that is opened later. With
+// separate queues the first one would be lost.
 func TestSuccessorAcceptsFromSharedQueue(t *testing.T) {
 	listener := sidecartest.Listen(t)
 	cfg := &config.Config{Listen: listener.Addr().String(), AdminListen: "x", ScratchDir: t.TempDir()}
@@ -83,7 +86,7 @@
 	successor := NewHandover(cfg, handover.log)
 	shared := requestState(t, successor)
 	if shared == nil {
-		t.Fatal("no listener came with the state")
+		t.Fatal("got no listener with the state, want the predecessor's")
 	}
 	defer shared.Close()
 	defer successor.predecessor.Close()
@@ -101,13 +104,13 @@
 	for _, c := range []net.Conn{waiting, late} {
 		got, err := shared.Accept()
 		if err != nil || got.RemoteAddr().String() != c.LocalAddr().String() {
-			t.Errorf("accepted %v, error %v", got, err)
+			t.Errorf("got connection %v and error %v, want one from %v", got, err, c.LocalAddr())
 		}
 	}
 }
 
-// TestRetiredProcessLeavesSocket checks that a retired process does not take the socket back when its successor ends: it
-// may belong to another process by then.
+// TestRetiredProcessLeavesSocket checks that a retired process does not reopen the socket when its successor ends,
+// because by then the socket may belong to another process.
 func TestRetiredProcessLeavesSocket(t *testing.T) {
 	cfg := &config.Config{Listen: "127.0.0.1:1", AdminListen: "x", ScratchDir: t.TempDir()}
 	handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
@@ -122,12 +125,12 @@
 	successor.predecessor.Close()
 	sidecartest.Next(t, done)
 	if _, _, err := NewHandover(cfg, handover.log).RequestState(); err == nil {
-		t.Error("the retired process took the socket back")
+		t.Error("a state was received after Retire, want an error because nothing listens on the socket")
 	}
 }
 
-// TestTwoSuccessorsAtOnce checks that all processes are counted when two take over at once, and that the predecessor has a
-// successor while either runs.
+// TestTwoSuccessorsAtOnce checks that all processes are counted when two successors run at once, and that Retire
+// reports a successor while one of them still runs.
 func TestTwoSuccessorsAtOnce(t *testing.T) {
 	cfg := &config.Config{Listen: "127.0.0.1:1", AdminListen: "x", ScratchDir: t.TempDir()}
 	handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
@@ -140,18 +143,19 @@
 		successors[i] = NewHandover(cfg, handover.log)
 		requestState(t, successors[i])
 		if got := sidecartest.Next(t, counts); got != i+2 {
-			t.Errorf("with successor %d there are %d processes", i+1, got)
+			t.Errorf("after successor %d took over: got %d processes, want %d", i+1, got, i+2)
 		}
 	}
 	successors[0].predecessor.Close()
 	if got := sidecartest.Next(t, counts); got != 2 || !handover.Retire() {
-		t.Errorf("after the end of one successor there are %d processes", got)
+		t.Errorf("after the end of one successor: got %d processes, want 2 and Retire to return true", got)
 	}
 	successors[1].predecessor.Close()
 }
 
-// TestRetireDuringHandover checks a process that retires while it hands over: either the successor gets its listener,
-// which is then not stopped, or it gets nothing and has to listen by itself.
+// TestRetireDuringHandover checks that a process which retires during a handover either shares its listener, which it
+// then does not stop, or sends nothing, so that the successor opens its own listener. If it stopped a shared listener,
+// the successor could not accept connections.
 func TestRetireDuringHandover(t *testing.T) {
 	for name, retireFirst := range map[string]bool{"handover first": false, "retire first": true} {
 		t.Run(name, func(t *testing.T) {
@@ -160,15 +164,16 @@
 			handover := NewHandover(cfg, slog.New(slog.DiscardHandler))
 			successor := NewHandover(cfg, handover.log)
 			outcome := retireDuringHandover(t, handover, successor, newProcess(cfg, listener), retireFirst)
-			if retireFirst != (outcome.err != nil) || outcome.succeeded != (outcome.err == nil) {
-				t.Fatalf("the successor's request: error %v; the process has a successor: %v", outcome.err, outcome.succeeded)
+			if retireFirst != (outcome.err != nil) || outcome.hasSuccessor != (outcome.err == nil) {
+				t.Fatalf("RequestState: got error %v, want one: %v; Retire: got %v, want %v",
+					outcome.err, retireFirst, outcome.hasSuccessor, outcome.err == nil)
 			}
 			if outcome.err != nil {
 				return
 			}
 			defer successor.predecessor.Close()
 			defer outcome.listener.Close()
-			drain(t, listener, outcome.succeeded)
+			drain(t, listener, outcome.hasSuccessor)
 			conn, err := net.Dial("tcp", cfg.Listen)
 			if err != nil {
 				t.Fatal(err)
@@ -176,7 +181,7 @@
 			defer conn.Close()
 			got, err := outcome.listener.Accept()
 			if err != nil || got.RemoteAddr().String() != conn.LocalAddr().String() {
-				t.Errorf("the successor accepted %v, error %v", got, err)
+				t.Errorf("the successor got connection %v and error %v, want one from %v", got, err, conn.LocalAddr())
 			}
 		})
 	}
@@ -184,13 +189,15 @@
 
 // retirement is the outcome of a process that retires while a successor requests its state.
 type retirement struct {
-	succeeded bool         // what Retire returned
-	listener  net.Listener // what the successor received
-	err       error        // of the request
+	hasSuccessor bool         // result of Retire
+	listener     net.Listener // received by the successor
+	err          error        // of the successor's RequestState
 }
 
-// retireDuringHandover retires a process before the successor requests its state, or while it exports that.
-func retireDuringHandover(t *testing.T, handover, successor *Handover, process Process, retireFirst bool) (outcome retirement) {
+// retireDuringHandover retires a process before the successor requests the state, or while the process exports it.
+func retireDuringHandover(
+	t *testing.T, handover, successor *Handover, process Process, retireFirst bool,
+) (outcome retirement) {
 	t.Helper()
 	exporting, release := make(chan bool), make(chan bool)
 	exportState := process.ExportState
@@ -200,9 +207,12 @@
 		return exportState()
 	}
 	runUntilCleanup(t, handover, process)
-	sidecartest.WaitFor(t, "the socket is there", func() bool { _, err := os.Stat(string(handover.socket)); return err == nil })
+	sidecartest.WaitFor(t, "the socket is there", func() bool {
+		_, err := os.Stat(string(handover.socket))
+		return err == nil
+	})
 	if retireFirst {
-		outcome.succeeded = handover.Retire()
+		outcome.hasSuccessor = handover.Retire()
 	}
 	requested := make(chan bool)
 	go func() {
@@ -211,18 +221,20 @@
 	}()
 	if !retireFirst {
 		sidecartest.Next(t, exporting)
-		outcome.succeeded = handover.Retire()
+		outcome.hasSuccessor = handover.Retire()
 		close(release)
 	}
 	sidecartest.Next(t, requested)
 	return outcome
 }
 
-// drain drains a listener as the sidecar does after Retire, and returns when it accepts no more.
+// drain drains a listener as the sidecar does after Retire, and returns when no more connections are accepted from it.
+// shared tells whether a successor accepts from the same queue.
 func drain(t *testing.T, listener net.Listener, shared bool) {
 	t.Helper()
 	tracker := downstream.NewConnTracker(10)
-	clientListener := downstream.NewListener(listener, tracker, upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38}))
+	pool := upstream.NewPool(upstream.PoolConfig{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 38})
+	clientListener := downstream.NewListener(listener, tracker, pool)
 	if shared {
 		clientListener.ShareQueue()
 	}
@@ -234,8 +246,8 @@
 	}
 }
 
-// TestForeignStateIsRejected checks that a state for another address, of another version or with an invalid list is an
-// error.
+// TestForeignStateIsRejected checks that RequestState returns an error for a state of another client address, of
+// another version or with an invalid endpoint list.
 func TestForeignStateIsRejected(t *testing.T) {
 	for _, state := range []State{
 		{Version: StateVersion, Listen: "127.0.0.1:2"}, {Version: StateVersion + 1, Listen: "127.0.0.1:1"},
@@ -256,14 +268,14 @@
 			return !errors.Is(err, os.ErrNotExist)
 		})
 		if err == nil {
-			t.Errorf("no error for %+v", state)
+			t.Errorf("got no error for the state %+v, want one", state)
 		}
 		cancel()
 		sidecartest.Next(t, done)
 	}
 }
 
-// requestState requests the state of the predecessor until it comes, and returns the listener that comes with it.
+// requestState requests the state of the predecessor until that succeeds, and returns the listener that it shares.
 func requestState(t *testing.T, successor *Handover) (shared net.Listener) {
 	t.Helper()
 	sidecartest.WaitFor(t, "the socket is there", func() bool {
@@ -274,7 +286,7 @@
 	return shared
 }
 
-// newProcess returns a process that shares a listener, or none if that is nil, and a state without endpoints.
+// newProcess returns a process with the listener, which may be nil, and with a state that has no endpoints.
 func newProcess(cfg *config.Config, listener net.Listener) Process {
 	return Process{
 		Listener:     listener,
@@ -283,15 +295,15 @@
 	}
 }
 
-// hasSuccessor reports whether another process has taken over and runs.
+// hasSuccessor reports whether a successor is running.
 func hasSuccessor(handover *Handover) bool {
 	handover.processCounter.mu.Lock()
 	defer handover.processCounter.mu.Unlock()
 	return handover.processCounter.runningSuccessors > 0
 }
 
-// runUntilCleanup runs a handover until the end of the test, and waits for its end before the directory of the socket is removed:
-// it may be opening the socket again.
+// runUntilCleanup runs a handover until the end of the test. It waits until Run returns before the directory of the
+// socket is removed, because Run may be opening the socket again.
 func runUntilCleanup(t *testing.T, handover *Handover, process Process) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
