--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -72,8 +72,8 @@
 
 // Retire stops handovers to further successors, because this process is about to end, and reports whether a successor
 // is running. The process does not reopen the socket afterwards, even if the successor ends: by then the socket may
-// belong to the successor of that successor. Retire returns false for a nil Handover. It may be called from any
-// goroutine.
+// belong to the successor of that successor; otherwise it belongs to no process. Retire returns false for a nil
+// Handover. It may be called from any goroutine.
 func (h *Handover) Retire() (hasSuccessor bool) {
 	if h == nil {
 		return false
