--- a/internal/eventloop/handover.go
+++ b/internal/eventloop/handover.go
@@ -44,14 +44,14 @@
 func (l *Loop) exportState() *upgrade.State {
 	l.observeClocks()
 	state := &upgrade.State{
-		Version:   upgrade.StateVersion,
-		Listen:    l.cfg.Listen,
-		Discovery: l.listVersion.source,
-		List:      membership.EndpointList{Revision: l.listVersion.revision, Complete: l.listVersion.complete},
-		Classes:   l.settings.ClassNames,
-		Tenants:   l.settings.TenantNames,
-		Learned:   l.balancer.ExportState(l.clock.now),
-		WallAhead: l.clockOffsets.wallAhead(),
+		Version:         upgrade.StateVersion,
+		Listen:          l.cfg.Listen,
+		Discovery:       l.listVersion.source,
+		List:            membership.EndpointList{Revision: l.listVersion.revision, Complete: l.listVersion.complete},
+		Classes:         l.settings.ClassNames,
+		Tenants:         l.settings.TenantNames,
+		Learned:         l.balancer.ExportState(l.clock.now),
+		WallClockOffset: l.clockOffsets.wallAhead(),
 	}
 	for _, endpoint := range l.endpoints.sorted() {
 		state.List.Endpoints = append(state.List.Endpoints, endpoint.ListEntry)
@@ -65,7 +65,7 @@
 		return
 	}
 	// The learned times are on the predecessor's clock, which does not follow steps of the wall clock.
-	l.predecessorState.Learned.ShiftTimes(l.predecessorState.WallAhead - l.clockOffsets.wallAhead())
+	l.predecessorState.Learned.ShiftTimes(l.predecessorState.WallClockOffset - l.clockOffsets.wallAhead())
 	l.balancer.ImportState(
 		l.clock.now,
 		l.predecessorState.Learned,
--- a/internal/upgrade/codec.go
+++ b/internal/upgrade/codec.go
@@ -114,7 +114,7 @@
 		Classes:   state.Classes,
 		Tenants:   state.Tenants,
 		Memory:    encodeLearned(&state.Learned),
-		WallAhead: float64(state.WallAhead),
+		WallAhead: float64(state.WallClockOffset),
 	})
 }
 
@@ -125,14 +125,14 @@
 		return nil, err
 	}
 	return &State{
-		Version:   encoded.Version,
-		Listen:    encoded.Listen,
-		Discovery: encoded.Discovery,
-		List:      encoded.List.decode(),
-		Classes:   encoded.Classes,
-		Tenants:   encoded.Tenants,
-		Learned:   encoded.Memory.decode(),
-		WallAhead: balance.Milliseconds(encoded.WallAhead),
+		Version:         encoded.Version,
+		Listen:          encoded.Listen,
+		Discovery:       encoded.Discovery,
+		List:            encoded.List.decode(),
+		Classes:         encoded.Classes,
+		Tenants:         encoded.Tenants,
+		Learned:         encoded.Memory.decode(),
+		WallClockOffset: balance.Milliseconds(encoded.WallAhead),
 	}, nil
 }
 
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -19,9 +19,9 @@
 	Classes   []string // names, in the order of Learned.Classes
 	Tenants   []string // names, in the order of Learned.TenantRequests
 	Learned   balance.LearnedState
-	// WallAhead is the wall clock minus the clock of the times in Learned, in milliseconds. It differs from 0 after
+	// WallClockOffset is the wall clock minus the clock of the times in Learned, in milliseconds. It differs from 0 after
 	// the wall clock was stepped. Earlier versions do not send it.
-	WallAhead balance.Milliseconds
+	WallClockOffset balance.Milliseconds
 }
 
 // VersionError reports a predecessor whose state or handover protocol has another version than StateVersion.
