--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -10,8 +10,8 @@
 	"cindersaddle/internal/socket"
 )
 
-// acceptPause is the time between two attempts to accept a connection.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the time between two attempts to accept a connection.
+const acceptRetryDelay = 5 * time.Millisecond
 
 // limitedListener limits the number of open connections. It guards against connections that stay open and send nothing:
 // they would use up all descriptors, and a scrape or a readiness check could not connect. For a new connection the oldest
@@ -21,7 +21,7 @@
 	maxConns int
 
 	mu   sync.Mutex
-	open []*limitedConn // the oldest first
+	conns []*limitedConn // the oldest first
 }
 
 // Accept returns the next connection. When the process has no descriptors left it closes the oldest one and accepts
@@ -35,7 +35,7 @@
 		case socket.ListenerBroken(err):
 			return nil, err
 		case !socket.Exhausted(err) || !l.closeOldest():
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
@@ -52,10 +52,10 @@
 func (l *limitedListener) add(conn net.Conn) net.Conn {
 	limited := &limitedConn{Conn: conn, listener: l}
 	l.mu.Lock()
-	l.open = append(l.open, limited)
-	full := len(l.open) > l.maxConns
+	l.conns = append(l.conns, limited)
+	overLimit := len(l.conns) > l.maxConns
 	l.mu.Unlock()
-	if full {
+	if overLimit {
 		l.closeOldest()
 	}
 	return limited
@@ -65,7 +65,7 @@
 func (l *limitedListener) remove(conn *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open = slices.DeleteFunc(l.open, func(open *limitedConn) bool { return open == conn })
+	l.conns = slices.DeleteFunc(l.conns, func(open *limitedConn) bool { return open == conn })
 }
 
 // closeOldest closes the oldest connection and reports whether there was one.
@@ -82,10 +82,10 @@
 func (l *limitedListener) oldest() *limitedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.open) == 0 {
+	if len(l.conns) == 0 {
 		return nil
 	}
-	return l.open[0]
+	return l.conns[0]
 }
 
 // limitedConn is a connection of a limitedListener.
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -13,8 +13,8 @@
 	envScratchDir = "TMPDIR"
 )
 
-// environmentWithPath returns an environment that holds the path of the configuration file and nothing else.
-func environmentWithPath(path string) Getenv {
+// configPathEnvironment returns an environment that holds the path of the configuration file and nothing else.
+func configPathEnvironment(path string) Getenv {
 	return func(name string) string {
 		if name == envConfigPath {
 			return path
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -14,9 +14,9 @@
 
 	defaultSockets = 1024
 	bytesPerMB     = 1 << 20
-	// heapFraction is the part of the memory limit that the Go runtime may use; the rest is for what it does not
+	// goMemoryFraction is the part of the memory limit that the Go runtime may use; the rest is for what it does not
 	// count: the program's text and the kernel's socket buffers.
-	heapFraction = 0.75
+	goMemoryFraction = 0.75
 )
 
 // Limits bound the machine resources that the sidecar may use.
@@ -37,6 +37,6 @@
 // ApplyMemory sets this process's part of the memory limit, which all processes of this sidecar share.
 func (l Limits) ApplyMemory(processes int) {
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(l.MemoryMB * heapFraction * bytesPerMB / float64(processes)))
+		debug.SetMemoryLimit(int64(l.MemoryMB * goMemoryFraction * bytesPerMB / float64(processes)))
 	}
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -20,6 +20,6 @@
 	if err != nil {
 		return nil, &FileError{Path: path, Err: err}
 	}
-	cfg.Reload = func() (*Config, error) { return Load(environmentWithPath(path)) }
+	cfg.Reload = func() (*Config, error) { return Load(configPathEnvironment(path)) }
 	return cfg, nil
 }
--- a/internal/config/missing.go
+++ b/internal/config/missing.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// notAList stands, in the path of a missing key, for a list that another value has replaced.
-const notAList = "its list"
+// missingList stands, in the path of a missing key, for a list that another value has replaced.
+const missingList = "its list"
 
 // CheckReload returns a *MissingKeyError for a key that the configuration file in use has and the next one lacks:
 // a default in its place could break a rule.
@@ -22,15 +22,15 @@
 func missingKey(current, next any) string {
 	switch current := current.(type) {
 	case map[string]any:
-		return missingInObject(current, next)
+		return missingKeyInObject(current, next)
 	case []any:
-		return missingInList(current, next)
+		return missingKeyInList(current, next)
 	}
 	return ""
 }
 
-// missingInObject compares an object with the value that takes its place, key by key in sorted order.
-func missingInObject(current map[string]any, next any) string {
+// missingKeyInObject compares an object with the value that takes its place, key by key in sorted order.
+func missingKeyInObject(current map[string]any, next any) string {
 	nextObject, isObject := next.(map[string]any)
 	for _, key := range slices.Sorted(maps.Keys(current)) {
 		if !isObject {
@@ -46,16 +46,16 @@
 	return ""
 }
 
-// missingInList compares a list with the value that takes its place. The entries may be others now: each must have the
+// missingKeyInList compares a list with the value that takes its place. The entries may be others now: each must have the
 // keys that all entries of the current list have.
-func missingInList(current []any, next any) string {
+func missingKeyInList(current []any, next any) string {
 	nextList, isList := next.([]any)
 	if !isList {
-		return notAList
+		return missingList
 	}
 	required := commonKeys(current)
 	for i, entry := range nextList {
-		if missing := missingInObject(required, entry); missing != "" {
+		if missing := missingKeyInObject(required, entry); missing != "" {
 			return strconv.Itoa(i) + "." + missing
 		}
 	}
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -23,9 +23,9 @@
 type ChunkedReader struct {
 	Source *bufio.Reader // positioned at the size line of the first chunk
 
-	chunkLeft uint64 // bytes of the current chunk that are not yet read
-	chunkOpen bool   // a chunk has begun, and the line end after its data is not yet read
-	lastChunk bool   // the chunk of size zero, which ends the body, was read
+	chunkRemaining uint64 // bytes of the current chunk that are not yet read
+	inChunk bool   // a chunk has begun, and the line end after its data is not yet read
+	lastChunkSeen bool   // the chunk of size zero, which ends the body, was read
 	err       error  // how the body ended
 }
 
@@ -33,7 +33,7 @@
 // connection ends earlier, and errMalformedChunk if the framing is invalid. After a deadline of the connection has
 // passed, reading may continue under another deadline; all other errors are permanent.
 func (c *ChunkedReader) Read(buffer []byte) (n int, err error) {
-	if c.err == nil && c.chunkLeft == 0 {
+	if c.err == nil && c.chunkRemaining == 0 {
 		if err := c.nextChunk(); err != nil {
 			return 0, c.recordError(err)
 		}
@@ -41,8 +41,8 @@
 	if c.err != nil || len(buffer) == 0 {
 		return 0, c.err
 	}
-	n, err = c.Source.Read(buffer[:min(uint64(len(buffer)), c.chunkLeft)])
-	c.chunkLeft -= uint64(n)
+	n, err = c.Source.Read(buffer[:min(uint64(len(buffer)), c.chunkRemaining)])
+	c.chunkRemaining -= uint64(n)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
@@ -64,30 +64,30 @@
 
 // nextChunk reads up to the data of the next chunk. It returns io.EOF at the end of the body.
 func (c *ChunkedReader) nextChunk() error {
-	if c.chunkOpen {
-		if err := c.endChunk(); err != nil {
+	if c.inChunk {
+		if err := c.readChunkEnd(); err != nil {
 			return err
 		}
 	}
-	if !c.lastChunk {
+	if !c.lastChunkSeen {
 		if err := c.readChunkSize(); err != nil {
 			return err
 		}
 	}
-	if c.lastChunk {
+	if c.lastChunkSeen {
 		return c.skipTrailers()
 	}
-	c.chunkOpen = true
+	c.inChunk = true
 	return nil
 }
 
-// endChunk reads the line end that follows the data of a chunk.
-func (c *ChunkedReader) endChunk() error {
+// readChunkEnd reads the line end that follows the data of a chunk.
+func (c *ChunkedReader) readChunkEnd() error {
 	line, err := c.readLine()
 	if err != nil || len(line) > 0 {
 		return cmp.Or(err, errMalformedChunk)
 	}
-	c.chunkOpen = false
+	c.inChunk = false
 	return nil
 }
 
@@ -102,8 +102,8 @@
 	if err != nil {
 		return errMalformedChunk
 	}
-	c.chunkLeft = size
-	c.lastChunk = size == 0
+	c.chunkRemaining = size
+	c.lastChunkSeen = size == 0
 	return nil
 }
 
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// errUnterminated is the error of a response that does not say where it ends.
-var errUnterminated = errors.New("response without Content-Length, Transfer-Encoding or Connection: close")
+// errBodyEndUnknown is the error of a response that does not say where it ends.
+var errBodyEndUnknown = errors.New("response without Content-Length, Transfer-Encoding or Connection: close")
 
 // ignoreBody handles a response that does not say where its body ends. With status 200 it is an error; with another one
 // the head is sufficient, and the connection must not be used again.
 func ignoreBody(resp *http.Response) (*http.Response, error) {
 	if resp.StatusCode == http.StatusOK {
-		return nil, errUnterminated
+		return nil, errBodyEndUnknown
 	}
 	resp.Close = true
 	resp.Body = http.NoBody
@@ -51,7 +51,7 @@
 
 // unterminated reports whether the body of a response extends to the end of the connection, which HTTP/1.1 does not close
 // by itself: reading such a body may never finish, unless the endpoint announced that it would close the connection.
-func unterminated(resp *http.Response) bool {
+func bodyEndUnknown(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.ProtoAtLeast(1, 1)
 }
 
--- a/internal/http1/limitedreader.go
+++ b/internal/http1/limitedreader.go
@@ -7,12 +7,12 @@
 )
 
 // Part is a part of a response that has a limit.
-type Part string
+type ResponsePart string
 
 // The parts of a response.
 const (
-	PartHead Part = "head"
-	PartBody Part = "body"
+	PartHead ResponsePart = "head"
+	PartBody ResponsePart = "body"
 )
 
 // noLimit lets a limitedReader read any number of bytes.
@@ -20,7 +20,7 @@
 
 // SizeError means that a part of a response exceeds its limit.
 type SizeError struct {
-	Part  Part
+	Part  ResponsePart
 	Limit int // in bytes
 }
 
@@ -34,19 +34,19 @@
 type limitedReader struct {
 	source    io.Reader
 	remaining int // bytes that may still be read
-	exceeded  SizeError
+	sizeError  SizeError
 }
 
 // setLimit lets a part of a response have limit bytes from now on.
-func (l *limitedReader) setLimit(part Part, limit int) {
+func (l *limitedReader) setLimit(part ResponsePart, limit int) {
 	l.remaining = limit
-	l.exceeded = SizeError{Part: part, Limit: limit}
+	l.sizeError = SizeError{Part: part, Limit: limit}
 }
 
 // Read implements io.Reader.
 func (l *limitedReader) Read(buffer []byte) (int, error) {
 	if l.remaining <= 0 {
-		exceeded := l.exceeded
+		exceeded := l.sizeError
 		return 0, &exceeded
 	}
 	n, err := l.source.Read(buffer[:min(len(buffer), l.remaining)])
--- a/internal/http1/requestscanner.go
+++ b/internal/http1/requestscanner.go
@@ -11,8 +11,8 @@
 
 // The errors of a request whose length cannot be trusted.
 var (
-	errTwoLengths   = errors.New("request with both Content-Length and Transfer-Encoding")
-	errBadLength    = errors.New("request whose Content-Length is repeated or not a number")
+	errConflictingLengths   = errors.New("request with both Content-Length and Transfer-Encoding")
+	errInvalidLength    = errors.New("request whose Content-Length is repeated or not a number")
 	errFoldedHeader = errors.New("request with a folded header line")
 )
 
@@ -36,12 +36,12 @@
 // goroutines may call Partial and read the atomic fields at any time, and the other fields only in synchronization with
 // Scan.
 type RequestScanner struct {
-	line            []byte // the first bytes of the current header line
+	linePrefix            []byte // the first bytes of the current header line
 	inHead          bool   // a request line or header line is being read
-	firstLine       bool   // the current line is the request line
+	inRequestLine       bool   // the current line is the request line
 	contentLength   int64  // of the current head, or unknownLength
-	transferEncoded bool   // the current head has a Transfer-Encoding header
-	bodyLeft        int64  // bytes of the current body that have not arrived
+	hasTransferEncoding bool   // the current head has a Transfer-Encoding header
+	bodyRemaining        int64  // bytes of the current body that have not arrived
 
 	// Chunked is set after the head of a chunked request. The scanner does not parse what follows: the connection has
 	// to end with this request.
@@ -58,7 +58,7 @@
 }
 
 // LastByteAt returns when the last byte arrived, and whether any has.
-func (s *RequestScanner) LastByteAt() (at time.Time, any bool) { return loadTime(&s.lastByteAt) }
+func (s *RequestScanner) LastByteAt() (at time.Time, received bool) { return loadTime(&s.lastByteAt) }
 
 // loadTime returns a time, and whether it is set.
 func loadTime(stored *atomic.Pointer[time.Time]) (at time.Time, set bool) {
@@ -85,7 +85,7 @@
 		switch {
 		case s.Chunked:
 			return len(data)
-		case s.bodyLeft > 0:
+		case s.bodyRemaining > 0:
 			rest = s.scanBody(rest)
 		default:
 			end := bytes.IndexByte(rest, '\n')
@@ -106,9 +106,9 @@
 
 // scanBody skips bytes of a body with a Content-Length and returns the bytes that follow it.
 func (s *RequestScanner) scanBody(data []byte) (rest []byte) {
-	n := min(s.bodyLeft, int64(len(data)))
-	s.bodyLeft -= n
-	if s.bodyLeft == 0 {
+	n := min(s.bodyRemaining, int64(len(data)))
+	s.bodyRemaining -= n
+	if s.bodyRemaining == 0 {
 		s.completed.Add(1)
 	}
 	return data[n:]
@@ -119,30 +119,30 @@
 	if !s.inHead {
 		s.beginHead(now)
 	}
-	remaining := maxLinePrefix - len(s.line)
-	s.line = append(s.line, part[:min(len(part), remaining)]...)
+	remaining := maxLinePrefix - len(s.linePrefix)
+	s.linePrefix = append(s.linePrefix, part[:min(len(part), remaining)]...)
 }
 
 // beginHead starts a new request.
 func (s *RequestScanner) beginHead(now time.Time) {
 	s.inHead = true
-	s.firstLine = true
-	s.transferEncoded = false
+	s.inRequestLine = true
+	s.hasTransferEncoding = false
 	s.contentLength = unknownLength
-	s.line = s.line[:0]
+	s.linePrefix = s.linePrefix[:0]
 	s.startedAt.Store(&now)
 	s.Started.Add(1)
 }
 
 // endLine processes a complete line of a head. An empty line ends the head.
 func (s *RequestScanner) endLine() error {
-	line := strings.TrimSuffix(string(s.line), "\r")
-	s.line = s.line[:0]
+	line := strings.TrimSuffix(string(s.linePrefix), "\r")
+	s.linePrefix = s.linePrefix[:0]
 	if line == "" {
 		return s.endHead()
 	}
-	if s.firstLine {
-		s.firstLine = false
+	if s.inRequestLine {
+		s.inRequestLine = false
 		return nil
 	}
 	if line[0] == ' ' || line[0] == '\t' {
@@ -156,11 +156,11 @@
 	name, value, _ := strings.Cut(line, ":")
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "transfer-encoding":
-		s.transferEncoded = true
+		s.hasTransferEncoding = true
 	case "content-length":
 		length, err := strconv.ParseUint(strings.TrimSpace(value), 10, maxLengthBits)
 		if err != nil || s.contentLength != unknownLength {
-			return errBadLength
+			return errInvalidLength
 		}
 		s.contentLength = int64(length)
 	}
@@ -171,14 +171,14 @@
 func (s *RequestScanner) endHead() error {
 	s.inHead = false
 	switch {
-	case s.transferEncoded && s.contentLength != unknownLength:
-		return errTwoLengths
-	case s.transferEncoded:
+	case s.hasTransferEncoding && s.contentLength != unknownLength:
+		return errConflictingLengths
+	case s.hasTransferEncoding:
 		s.Chunked = true
 	default:
-		s.bodyLeft = max(s.contentLength, 0)
+		s.bodyRemaining = max(s.contentLength, 0)
 	}
-	if s.bodyLeft == 0 {
+	if s.bodyRemaining == 0 {
 		s.completed.Add(1)
 	}
 	return nil
--- a/internal/http1/requestscanner_test.go
+++ b/internal/http1/requestscanner_test.go
@@ -21,13 +21,13 @@
 		"body":                               {"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcde" + get, nil, 2},
 		"body that looks like a head":        {"POST / HTTP/1.1\r\ncontent-length:23\r\n\r\nTransfer-Encoding: x\r\n\n", nil, 1},
 		"chunked":                            {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, nil, 1},
-		"both lengths":                       {"POST / HTTP/1.1\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n", errTwoLengths, 1},
-		"both lengths, other order":          {"POST / HTTP/1.1\nTRANSFER-ENCODING: x\nContent-Length: 9\n\n", errTwoLengths, 1},
-		"both lengths in the second request": {get + "POST / HTTP/1.1\r\nTransfer-Encoding : a\r\nContent-Length : 0\r\n\r\n", errTwoLengths, 2},
-		"both lengths, long header":          {"POST / HTTP/1.1\r\nTransfer-Encoding: " + strings.Repeat("x", 500) + "\r\nContent-Length: 1\r\n\r\n", errTwoLengths, 1},
-		"repeated Content-Length":            {"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", errBadLength, 1},
-		"negative Content-Length":            {"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", errBadLength, 1},
-		"Content-Length out of range":        {"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", errBadLength, 1},
+		"both lengths":                       {"POST / HTTP/1.1\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n", errConflictingLengths, 1},
+		"both lengths, other order":          {"POST / HTTP/1.1\nTRANSFER-ENCODING: x\nContent-Length: 9\n\n", errConflictingLengths, 1},
+		"both lengths in the second request": {get + "POST / HTTP/1.1\r\nTransfer-Encoding : a\r\nContent-Length : 0\r\n\r\n", errConflictingLengths, 2},
+		"both lengths, long header":          {"POST / HTTP/1.1\r\nTransfer-Encoding: " + strings.Repeat("x", 500) + "\r\nContent-Length: 1\r\n\r\n", errConflictingLengths, 1},
+		"repeated Content-Length":            {"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", errInvalidLength, 1},
+		"negative Content-Length":            {"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", errInvalidLength, 1},
+		"Content-Length out of range":        {"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", errInvalidLength, 1},
 		"folded header":                      {"POST / HTTP/1.1\r\nX: 1\r\n Content-Length: 1\r\n\r\n", errFoldedHeader, 1},
 	} {
 		for _, step := range []int{1, 7, len(test.text)} {
@@ -68,8 +68,8 @@
 		if passedInParts != passedAtOnce || !errors.Is(inParts.Err, atOnce.Err) || inParts.Started.Load() != atOnce.Started.Load() {
 			t.Errorf("in one read: %d bytes, error %v; in parts: %d bytes, error %v", passedAtOnce, atOnce.Err, passedInParts, inParts.Err)
 		}
-		if len(atOnce.line) > maxLinePrefix {
-			t.Errorf("%d bytes of a header line stored, want at most %d", len(atOnce.line), maxLinePrefix)
+		if len(atOnce.linePrefix) > maxLinePrefix {
+			t.Errorf("%d bytes of a header line stored, want at most %d", len(atOnce.linePrefix), maxLinePrefix)
 		}
 	})
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -11,8 +11,8 @@
 const (
 	// maxResponseHead bounds the bytes of the head of a response, with the interim responses ahead of it.
 	maxResponseHead = 32 << 10
-	// maxChunkOverhead bounds how many times larger than its data a chunked body may be: a chunk may hold one byte.
-	maxChunkOverhead = 8
+	// maxChunkedSizeRatio bounds how many times larger than its data a chunked body may be: a chunk may hold one byte.
+	maxChunkedSizeRatio = 8
 	// firstFinalStatus is the lowest status code that is not the one of an interim response.
 	firstFinalStatus = 200
 )
@@ -59,7 +59,7 @@
 	if resp.StatusCode == http.StatusOK && !r.bufferHoldsBody(resp) {
 		observer.ResponseStarted()
 	}
-	r.limit.setLimit(PartBody, maxChunkOverhead*MaxBufferedBody)
+	r.limit.setLimit(PartBody, maxChunkedSizeRatio*MaxBufferedBody)
 	if resp.ContentLength > MaxBufferedBody {
 		return Response{Head: resp, Streaming: true}, r.awaitBody()
 	}
@@ -106,7 +106,7 @@
 		if resp.StatusCode < firstFinalStatus {
 			continue
 		}
-		if unterminated(resp) && !closes {
+		if bodyEndUnknown(resp) && !closes {
 			return ignoreBody(resp)
 		}
 		if len(resp.TransferEncoding) > 0 { // "chunked": ReadResponse rejects all others
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxWaitingLines is how many lines wait at most.
-	maxWaitingLines = 4096
+	// maxQueuedLines is how many lines wait at most.
+	maxQueuedLines = 4096
 	// closeTimeout is how long Close waits for the lines that have not been written.
 	closeTimeout = 200 * time.Millisecond
 )
@@ -25,10 +25,10 @@
 // Writer writes lines to another writer without waiting for it. Any goroutine may call its methods.
 type Writer struct {
 	out     io.Writer
-	lines   chan []byte
+	queue   chan []byte
 	dropped atomic.Int64
 	closing chan struct{}
-	closed  sync.Once
+	closeOnce  sync.Once
 	done    chan struct{} // closed when the goroutine has ended
 }
 
@@ -36,7 +36,7 @@
 func New(out io.Writer) (*slog.Logger, *Writer) {
 	w := &Writer{
 		out:     out,
-		lines:   make(chan []byte, maxWaitingLines),
+		queue:   make(chan []byte, maxQueuedLines),
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -47,7 +47,7 @@
 // Write hands over a line, or drops it if too many wait. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
-	case w.lines <- bytes.Clone(line):
+	case w.queue <- bytes.Clone(line):
 	default:
 		w.dropped.Add(1)
 	}
@@ -56,7 +56,7 @@
 
 // Close waits until the lines that wait are written, for closeTimeout at most.
 func (w *Writer) Close() {
-	w.closed.Do(func() { close(w.closing) })
+	w.closeOnce.Do(func() { close(w.closing) })
 	select {
 	case <-w.done:
 	case <-time.After(closeTimeout):
@@ -68,20 +68,20 @@
 	defer close(w.done)
 	for {
 		select {
-		case line := <-w.lines:
+		case line := <-w.queue:
 			w.writeLine(line)
 		case <-w.closing:
-			w.writeWaiting()
+			w.writeQueued()
 			return
 		}
 	}
 }
 
-// writeWaiting writes the lines that wait.
-func (w *Writer) writeWaiting() {
+// writeQueued writes the lines that wait.
+func (w *Writer) writeQueued() {
 	for {
 		select {
-		case line := <-w.lines:
+		case line := <-w.queue:
 			w.writeLine(line)
 		default:
 			return
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -27,7 +27,7 @@
 func TestLoggingNeverWaits(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	log, writer := New(out)
-	const lines = 2 * maxWaitingLines
+	const lines = 2 * maxQueuedLines
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
@@ -44,7 +44,7 @@
 	writer.Close()
 	<-writer.done
 	text := out.text.String()
-	if written := strings.Count(text, "msg=line"); written < maxWaitingLines || written == lines {
+	if written := strings.Count(text, "msg=line"); written < maxQueuedLines || written == lines {
 		t.Errorf("%d of %d lines written, want those that could wait", written, lines)
 	}
 	if !strings.Contains(text, "log lines dropped") {
--- a/internal/socket/descriptor.go
+++ b/internal/socket/descriptor.go
@@ -27,7 +27,7 @@
 }
 
 // Control calls do with the descriptor of a listener. It does nothing if the listener has none or is closed.
-func Control(ln net.Listener, do func(fd uintptr)) {
+func Control(ln net.Listener, f func(fd uintptr)) {
 	conn, ok := ln.(syscall.Conn)
 	if !ok {
 		return
@@ -36,5 +36,5 @@
 	if err != nil {
 		return
 	}
-	raw.Control(do)
+	raw.Control(f)
 }
