--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads the platform's configuration file and the NODE_ environment variables, and checks both.
 //
-// Load and Parse return a Config that their caller owns; only UsePredecessor changes it here. A reload returns a new
-// Config, which CheckReload compares with the one in use. The package keeps no state of its own and starts no
-// goroutines; only Limits.Apply and Limits.ApplyMemory change the process, through the Go runtime.
+// The caller owns the Config that Load or Parse returns; within this package only UsePredecessor changes it. A reload
+// returns a new Config, and CheckReload compares it with the one in use. The package keeps no state and starts no
+// goroutines. Limits.Apply and Limits.ApplyMemory change settings of the Go runtime, which affect the whole process.
 package config
 
 import (
@@ -13,8 +13,9 @@
 )
 
 const (
-	// DefaultConnReuseDelay is the default of Config.ConnReuseDelay. An endpoint may send more than the response,
-	// in a packet of its own; bytes that arrive after the next request was written would be taken for its response.
+	// DefaultConnReuseDelay is the default of Config.ConnReuseDelay. An endpoint may send surplus bytes after a
+	// response, in a separate packet. If they arrived after the next request was written, they would be taken for
+	// the response to that request.
 	DefaultConnReuseDelay = 3 * time.Millisecond
 	// DefaultAcceptDuringShutdown is the default of Config.AcceptDuringShutdown.
 	DefaultAcceptDuringShutdown = 500 * time.Millisecond
@@ -22,34 +23,38 @@
 
 // Config is the checked configuration of one sidecar.
 type Config struct {
-	Name           string // of this instance
-	Listen         string // host and port for clients
-	AdminListen    string // host and port for readiness and metrics; empty: none
+	Name           string // name of this instance
+	Listen         string // host and port to listen on for clients
+	AdminListen    string // host and port of the admin address (readiness and metrics); empty: none
 	Discovery      string // host and port of the discovery service
 	Limits         Limits
 	KnownEndpoints membership.EndpointList // as listed in the file, which may be out of date
 
 	Balance          balance.Config
 	ClassNames       []string       // in the order of Balance.Classes
-	ClassIndex       map[string]int // by name, into Balance.Classes
+	ClassIndex       map[string]int // class name to index in Balance.Classes
 	TenantNames      []string       // in the order of Balance.Tenants
-	TenantIndex      map[string]int // by name, into Balance.Tenants
-	ZoneIndex        map[string]int // by name, the number of the zone in package balance
-	MachineTypeIndex map[string]int // by name, the number of the machine type in package balance
-	LoadReportFields []string       // names of the values in a load report, in the order of Balance.LoadReportFields
+	TenantIndex      map[string]int // tenant name to index in Balance.Tenants
+	ZoneIndex        map[string]int // zone name to the zone's number in package balance
+	MachineTypeIndex map[string]int // machine type name to its number in package balance
+	LoadReportFields []string       // names of the fields of a load report, in the order of Balance.LoadReportFields
 
-	ScratchDir           string                  // a directory that both processes of an upgrade see; empty: none
+	ScratchDir           string                  // directory that both processes of an upgrade can access; empty: none
 	Reload               func() (*Config, error) // reads the file again, without environment overrides; nil after Parse
-	ConnReuseDelay       time.Duration           // how long an upstream connection rests between two requests
+	ConnReuseDelay       time.Duration           // minimum idle time of an upstream connection between two requests
 	AcceptDuringShutdown time.Duration           // how long new connections are accepted after the shutdown signal
 
 	fileDiscovery string         // the discovery address in the file, before environment overrides
 	document      map[string]any // the parsed file, without the known endpoints
 }
 
-// UsePredecessor applies what the predecessor process of an upgrade knew, where that is newer than the file: the
-// endpoints and, as the environment does not change with a reload, the discovery address that the file names. It must be
-// called before any other goroutine uses the configuration.
+// UsePredecessor applies the discovery address and the endpoint list of the predecessor in an upgrade.
+//
+// The predecessor may have switched to the discovery address in the file by a reload, which ignores the environment.
+// If it uses that address, the address also replaces an override from the environment. The predecessor's endpoint list
+// replaces the one in the file, unless it is empty.
+//
+// UsePredecessor must be called before any other goroutine uses the configuration.
 func (c *Config) UsePredecessor(discovery string, known membership.EndpointList) {
 	if discovery != "" && discovery == c.fileDiscovery {
 		c.Discovery = discovery
@@ -59,6 +64,6 @@
 	}
 	c.KnownEndpoints = known
 	if discovery != c.Discovery {
-		c.KnownEndpoints.Complete = false // the revision was issued by another discovery service
+		c.KnownEndpoints.Complete = false // the revision comes from another discovery service
 	}
 }
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -1,19 +1,19 @@
 package config
 
-// Getenv returns the value of an environment variable, or an empty text where it is not set, as os.Getenv does.
+// Getenv returns the value of an environment variable, or an empty string if it is not set, as os.Getenv does.
 type Getenv func(name string) string
 
-// Environment variables. Each of the overrides replaces a key of the file.
+// Environment variables that the configuration depends on.
 const (
-	envConfigPath = "NODE_CONFIG" // the path of the configuration file
-	envName       = "NODE_NAME"
-	envListen     = "NODE_LISTEN"
-	envAdmin      = "NODE_MGMT"
-	envDiscovery  = "NODE_DISCOVERY"
-	envScratchDir = "TMPDIR"
+	envConfigPath = "NODE_CONFIG"    // the path of the configuration file
+	envName       = "NODE_NAME"      // overrides the key name
+	envListen     = "NODE_LISTEN"    // overrides the key listen
+	envAdmin      = "NODE_MGMT"      // overrides the key mgmt
+	envDiscovery  = "NODE_DISCOVERY" // overrides the key discovery
+	envScratchDir = "TMPDIR"         // the value of Config.ScratchDir
 )
 
-// configPathEnvironment returns an environment that holds the path of the configuration file and nothing else.
+// configPathEnvironment returns an environment in which only the path of the configuration file is set.
 func configPathEnvironment(path string) Getenv {
 	return func(name string) string {
 		if name == envConfigPath {
--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -12,8 +12,8 @@
 	"cindersaddle/internal/fault"
 )
 
-// TestLoadReadsAgainAfterPassingErrors checks that a configuration is read in spite of errors that pass, and rejected at once
-// for one of the file itself.
+// TestLoadReadsAgainAfterPassingErrors checks that Load retries after transient errors of the machine, and fails at
+// once after an error caused by the file.
 func TestLoadReadsAgainAfterPassingErrors(t *testing.T) {
 	getenv := func(name string) string {
 		if name == envConfigPath {
@@ -39,11 +39,11 @@
 		_, err := Load(getenv)
 		fault.Use(nil)
 		if loaded := err == nil; loaded != test.loads || calls.Load() != test.calls {
-			t.Errorf("%v: loaded %v after %d calls (%v), want %v after %d", test.err, loaded, calls.Load(), err, test.loads, test.calls)
+			t.Errorf("%v: got loaded %v after %d calls (error %v), want %v after %d", test.err, loaded, calls.Load(), err, test.loads, test.calls)
 		}
 		var fileError *FileError
 		if err != nil && !errors.As(err, &fileError) {
-			t.Errorf("%v: error %v is no FileError", test.err, err)
+			t.Errorf("%v: got error %v (%T), want a *FileError", test.err, err, err)
 		}
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -11,7 +11,7 @@
 	"cindersaddle/internal/settings"
 )
 
-// Keys of the configuration file that errors name or that the code looks up by name.
+// Keys of the configuration file that appear in errors or are looked up in the parsed document.
 const (
 	keyListen    = "listen"
 	keyAdmin     = "mgmt"
@@ -22,10 +22,10 @@
 	keySettings  = "settings"
 )
 
-// errMissing is the error of a key that the file lacks.
+// errMissing is the reason in a KeyError for a required key that is not in the file.
 var errMissing = errors.New("missing")
 
-// fileDocument is the form of the configuration file. Other keys are ignored.
+// fileDocument is the structure of the configuration file. Keys not listed here are ignored.
 type fileDocument struct {
 	Name      string                  `json:"name"`
 	Listen    string                  `json:"listen"`
@@ -37,8 +37,8 @@
 	Settings  json.RawMessage         `json:"settings"`
 }
 
-// Parse checks the text of a configuration file, with the NODE_ variables of an environment as overrides. An error
-// about one key is a *KeyError or comes from package settings. The result has no Reload function.
+// Parse parses and checks the text of a configuration file, whose keys the NODE_ variables override. An error about a
+// single key is a *KeyError of this package or of package settings. Config.Reload is nil in the result.
 func Parse(text []byte, getenv Getenv) (*Config, error) {
 	var file fileDocument
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -58,7 +58,7 @@
 	return cfg, nil
 }
 
-// newConfig returns the configuration of a file and an environment, without the settings and not checked.
+// newConfig returns the configuration from a file and an environment. It does not check it or read the settings.
 func newConfig(file *fileDocument, getenv Getenv) *Config {
 	cfg := &Config{
 		Name:                 cmp.Or(getenv(envName), file.Name),
@@ -76,19 +76,19 @@
 	return cfg
 }
 
-// parseDocument returns the whole file for the comparison of its keys with those of a later one.
+// parseDocument returns the parsed file, for CheckReload.
 func parseDocument(text []byte) (map[string]any, error) {
 	var document map[string]any
 	if err := json.Unmarshal(text, &document); err != nil {
 		return nil, err
 	}
 	if document[keyKnown] != nil {
-		document[keyKnown] = true // the endpoints change all the time: only the key itself is compared
+		document[keyKnown] = true // the endpoints change all the time, so only the presence of the key is compared
 	}
 	return document, nil
 }
 
-// applySettings takes over the settings document: the configuration of package balance and the names in it.
+// applySettings sets the fields that come from the settings: the configuration of package balance and the names.
 func (c *Config) applySettings(file *fileDocument) error {
 	if len(file.Settings) == 0 {
 		return &KeyError{Key: keySettings, Err: errMissing}
@@ -100,7 +100,7 @@
 	return c.addNames(file.Settings)
 }
 
-// parseSeed reads the seed as a hexadecimal number of up to 64 bits, or hashes any other text.
+// parseSeed parses the seed as a hexadecimal number of up to 64 bits. Any other text is hashed.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// errPathNotSet is the error of an environment that names no configuration file.
-var errPathNotSet = errors.New(envConfigPath + " is not set")
+// errPathNotSet is returned by Load if the environment does not give the path of the configuration file.
+var errPathNotSet = errors.New(envConfigPath + " is not set: want the path of the configuration file")
 
-// Load reads the configuration file that NODE_CONFIG names. The other NODE_ variables override its keys. Its errors
-// are one line of text; those about the file are a *FileError.
+// Load reads the configuration file at the path in NODE_CONFIG. The other NODE_ variables override keys of the file.
+// The text of an error is a single line; an error about the file is a *FileError.
 func Load(getenv Getenv) (*Config, error) {
 	path := getenv(envConfigPath)
 	if path == "" {
--- a/internal/config/missing.go
+++ b/internal/config/missing.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// missingList stands, in the path of a missing key, for a list that another value has replaced.
-const missingList = "its list"
+// missingList ends the path of a key that holds a list in the file in use, but another type of value in the next one.
+const missingList = "[]"
 
-// CheckReload returns a *MissingKeyError for a key that the configuration file in use has and the next one lacks:
-// a default in its place could break a rule.
+// CheckReload returns a *MissingKeyError if the configuration file in use has a key that the next one lacks. Such a
+// file is rejected because the default value of the key could break a rule.
 func (c *Config) CheckReload(next *Config) error {
 	if key := missingKey(c.document, next.document); key != "" {
 		return &MissingKeyError{Key: key}
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// missingKey returns the path of a key that current has and next lacks; empty: there is none.
+// missingKey returns the path of a key that current has and next lacks, or an empty string if there is none.
 func missingKey(current, next any) string {
 	switch current := current.(type) {
 	case map[string]any:
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// missingKeyInObject compares an object with the value that takes its place, key by key in sorted order.
+// missingKeyInObject is missingKey for an object and the value that replaces it. It visits the keys in sorted order.
 func missingKeyInObject(current map[string]any, next any) string {
 	nextObject, isObject := next.(map[string]any)
 	for _, key := range slices.Sorted(maps.Keys(current)) {
@@ -46,8 +46,8 @@
 	return ""
 }
 
-// missingKeyInList compares a list with the value that takes its place. The entries may be others now: each must have the
-// keys that all entries of the current list have.
+// missingKeyInList is missingKey for a list and the value that replaces it. The entries need not correspond to each
+// other: each new entry must have the keys that all entries of the current list have.
 func missingKeyInList(current []any, next any) string {
 	nextList, isList := next.([]any)
 	if !isList {
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -3,16 +3,17 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"slices"
 )
 
-// Errors of the names in the settings document.
+// Reasons of a KeyError for the names in the settings document.
 var (
-	errEmptyName     = errors.New("a class or tenant without name")
-	errDuplicateName = errors.New("two classes or tenants of the same name")
+	errEmptyName     = errors.New("every class and tenant must have a name")
+	errDuplicateName = errors.New("the names of classes and the names of tenants must be unique")
 )
 
-// namesDocument is the part of the settings document that gives names to what package balance numbers.
+// namesDocument holds the names in the settings document. Package balance uses numbers in their place.
 type namesDocument struct {
 	Classes      []namedEntry `json:"classes"`
 	Tenants      []namedEntry `json:"tenants"`
@@ -23,12 +24,13 @@
 	} `json:"report"`
 }
 
-// namedEntry is a class or tenant, known by its name to clients and by its index to package balance.
+// namedEntry is a class or tenant. Clients refer to it by name, package balance by its index.
 type namedEntry struct {
 	Name string `json:"name"`
 }
 
-// addNames reads the names that clients, endpoints and discovery use for what package balance numbers.
+// addNames sets the names from the settings document, which clients, endpoints and discovery use, and the indexes of
+// these names in package balance.
 func (c *Config) addNames(settings []byte) error {
 	var document namesDocument
 	if err := json.Unmarshal(settings, &document); err != nil {
@@ -44,18 +46,23 @@
 	return c.validateNames()
 }
 
-// validateNames checks that each class and each tenant has a name of its own.
+// validateNames checks that each class and each tenant has a unique name.
 func (c *Config) validateNames() error {
 	if slices.Contains(c.ClassNames, "") || slices.Contains(c.TenantNames, "") {
-		return &KeyError{Key: keySettings, Err: errEmptyName}
+		return &KeyError{Key: keySettings, Err: c.nameError(errEmptyName)}
 	}
 	if len(c.ClassIndex) != len(c.ClassNames) || len(c.TenantIndex) != len(c.TenantNames) {
-		return &KeyError{Key: keySettings, Err: errDuplicateName}
+		return &KeyError{Key: keySettings, Err: c.nameError(errDuplicateName)}
 	}
 	return nil
 }
 
-// entryNames returns the names of entries, in their order.
+// nameError returns reason with the names that were received.
+func (c *Config) nameError(reason error) error {
+	return fmt.Errorf("%w: got classes %q and tenants %q", reason, c.ClassNames, c.TenantNames)
+}
+
+// entryNames returns the names of entries in the same order.
 func entryNames(entries []namedEntry) []string {
 	names := make([]string, len(entries))
 	for i, entry := range entries {
@@ -64,7 +71,7 @@
 	return names
 }
 
-// IndexByName returns the index of each name; of equal names the last counts.
+// IndexByName returns a map from each name to its index. If a name occurs more than once, its last index is used.
 func IndexByName(names []string) map[string]int {
 	index := make(map[string]int, len(names))
 	for i, name := range names {
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// maxReadAttempts and readRetryDelay bound the time in which a file is read again after errors that pass.
+	// maxReadAttempts is the largest number of attempts to read a file that fail with transient errors.
 	maxReadAttempts = 20
-	readRetryDelay  = 50 * time.Millisecond
+	// readRetryDelay is the time between two attempts to read a file.
+	readRetryDelay = 50 * time.Millisecond
 )
 
-// readFile reads a file, and again after errors that are not those of the file: a machine without descriptors or memory, or
-// a disk that fails to read. A configuration that was rejected for one of them would not be sent again.
+// readFile reads a file. It retries after transient errors that are not caused by the file, such as a lack of
+// descriptors or memory, or a failed disk read: a configuration rejected because of such an error would not be sent
+// again.
 func readFile(path string) (text []byte, err error) {
 	for range maxReadAttempts {
 		text, err = readFileOnce(path)
@@ -29,11 +31,13 @@
 	return text, err
 }
 
-// isTransient reports whether an error is one of the machine, which may pass.
+// isTransient reports whether an error comes from the machine rather than the file, so that another attempt may
+// succeed.
 func isTransient(err error) bool {
 	return socket.Exhausted(err) || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EINTR)
 }
 
+// readFileOnce makes one attempt to read a file.
 func readFileOnce(path string) ([]byte, error) {
 	if err := fault.Injected(fault.ReadFile); err != nil {
 		return nil, err
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,7 +6,7 @@
 	"net/netip"
 )
 
-// validate checks everything but the settings.
+// validate checks all fields except those that come from the settings.
 func (c *Config) validate() error {
 	if err := validateAddress(keyListen, c.Listen); err != nil {
 		return err
@@ -17,7 +17,7 @@
 		}
 	}
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-		return &KeyError{Key: keyDiscovery, Err: err}
+		return &KeyError{Key: keyDiscovery, Err: fmt.Errorf("got %q, want host and port: %w", c.Discovery, err)}
 	}
 	if err := c.Limits.validate(); err != nil {
 		return err
@@ -28,21 +28,22 @@
 	return nil
 }
 
-// validateAddress checks an address to listen at: a numeric IP address and a port.
+// validateAddress checks that an address to listen on is a numeric IP address and a port.
 func validateAddress(key, address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return &KeyError{Key: key, Err: fmt.Errorf("address %q: %w", address, err)}
+		return &KeyError{Key: key, Err: fmt.Errorf("got %q, want a numeric IP address and a port: %w", address, err)}
 	}
 	return nil
 }
 
-// validate checks limits whose defaults are filled in.
+// validate checks the limits. Defaults must already be filled in.
 func (l Limits) validate() error {
 	if l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 {
-		return &KeyError{Key: keyLimits, Err: fmt.Errorf("negative limit in %+v", l)}
+		return &KeyError{Key: keyLimits, Err: fmt.Errorf(
+			"got cores %v, memory_mb %v and sockets %d, want no negative number", l.Cores, l.MemoryMB, l.Sockets)}
 	}
 	if l.Sockets < MinSockets {
-		return &KeyError{Key: keySockets, Err: fmt.Errorf("%d is below the minimum of %d", l.Sockets, MinSockets)}
+		return &KeyError{Key: keySockets, Err: fmt.Errorf("got %d, want at least %d", l.Sockets, MinSockets)}
 	}
 	return nil
 }
