--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -5,33 +5,38 @@
 	"bytes"
 	"cmp"
 	"errors"
+	"fmt"
 	"io"
 	"os"
 	"strconv"
 )
 
-// maxChunkSizeBits is the width of the largest chunk size; it has to fit into an int64.
+// maxChunkSizeBits is the number of bits of the largest chunk size, which must fit into an int64.
 const maxChunkSizeBits = 63
 
-// errMalformedChunk is the error of a chunked body with an invalid size or line end.
-var errMalformedChunk = errors.New("malformed chunk in the body of a response")
+// Errors of a chunked body that cannot be decoded. All of them wrap errMalformedChunk.
+var (
+	errMalformedChunk   = errors.New("malformed chunk in the body of a response")
+	errInvalidChunkSize = fmt.Errorf("%w: want a hexadecimal size of at most %d bits", errMalformedChunk, maxChunkSizeBits)
+	errNoChunkEnd       = fmt.Errorf("%w: want a line end after the chunk's data", errMalformedChunk)
+)
 
-// ChunkedReader decodes a chunked body and returns the bytes that have arrived. The decoder of net/http waits until it
-// can fill the caller's buffer, which would delay the bytes that a slow endpoint has already sent.
+// ChunkedReader decodes a chunked body and returns its bytes as they arrive. The decoder of net/http waits until it can
+// fill the caller's buffer, which would delay the bytes that a slow endpoint has already sent.
 //
 // The zero value with Source set is ready for use. A ChunkedReader is not safe for concurrent use.
 type ChunkedReader struct {
 	Source *bufio.Reader // positioned at the size line of the first chunk
 
-	chunkRemaining uint64 // bytes of the current chunk that are not yet read
-	inChunk bool   // a chunk has begun, and the line end after its data is not yet read
-	lastChunkSeen bool   // the chunk of size zero, which ends the body, was read
-	err       error  // how the body ended
+	chunkRemaining uint64 // bytes of the current chunk's data that have not been read
+	inChunk        bool   // the size of a chunk has been read, but not the line end after its data
+	lastChunkSeen  bool   // the chunk of size zero, which ends the body, has been read
+	err            error  // the permanent error of Read; io.EOF after a complete body
 }
 
 // Read returns decoded bytes as they arrive. It returns io.EOF after the trailers, io.ErrUnexpectedEOF if the
-// connection ends earlier, and errMalformedChunk if the framing is invalid. After a deadline of the connection has
-// passed, reading may continue under another deadline; all other errors are permanent.
+// connection ends earlier, and an error that wraps errMalformedChunk if the framing is invalid. After an expired
+// deadline of the connection, reading may continue with another deadline; all other errors are permanent.
 func (c *ChunkedReader) Read(buffer []byte) (n int, err error) {
 	if c.err == nil && c.chunkRemaining == 0 {
 		if err := c.nextChunk(); err != nil {
@@ -53,8 +58,8 @@
 	return 0, err
 }
 
-// recordError stores how the body ended and returns err. An expired deadline does not end the body: more bytes may
-// arrive under the next deadline.
+// recordError stores a permanent error and returns err. An expired deadline is not permanent: more bytes may arrive
+// before the next deadline.
 func (c *ChunkedReader) recordError(err error) error {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.err = err
@@ -62,7 +67,7 @@
 	return err
 }
 
-// nextChunk reads up to the data of the next chunk. It returns io.EOF at the end of the body.
+// nextChunk reads everything ahead of the data of the next chunk. It returns io.EOF at the end of the body.
 func (c *ChunkedReader) nextChunk() error {
 	if c.inChunk {
 		if err := c.readChunkEnd(); err != nil {
@@ -85,13 +90,13 @@
 func (c *ChunkedReader) readChunkEnd() error {
 	line, err := c.readLine()
 	if err != nil || len(line) > 0 {
-		return cmp.Or(err, errMalformedChunk)
+		return cmp.Or(err, errNoChunkEnd)
 	}
 	c.inChunk = false
 	return nil
 }
 
-// readChunkSize reads the line that gives the size of a chunk, and ignores its extensions.
+// readChunkSize reads the line with the size of a chunk and ignores chunk extensions.
 func (c *ChunkedReader) readChunkSize() error {
 	line, err := c.readLine()
 	if err != nil {
@@ -100,14 +105,14 @@
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, maxChunkSizeBits)
 	if err != nil {
-		return errMalformedChunk
+		return errInvalidChunkSize
 	}
 	c.chunkRemaining = size
 	c.lastChunkSeen = size == 0
 	return nil
 }
 
-// skipTrailers discards the trailers, which no request allows with a TE header, and returns io.EOF after them.
+// skipTrailers discards the trailers and returns io.EOF after them. No request asks for trailers with a TE header.
 func (c *ChunkedReader) skipTrailers() error {
 	for {
 		line, err := c.readLine()
@@ -120,8 +125,8 @@
 	}
 }
 
-// readLine reads a complete line, or consumes nothing: an incomplete line stays in the buffer. A line may be as long as
-// the buffer. The returned slice is valid until the next read.
+// readLine reads a complete line and returns it without its line end. With an error it consumes nothing: an incomplete
+// line stays in the buffer. A line may be as long as the buffer. The returned slice is valid until the next read.
 func (c *ChunkedReader) readLine() ([]byte, error) {
 	for {
 		buffered, _ := c.Source.Peek(c.Source.Buffered())
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -6,11 +6,12 @@
 	"net/http"
 )
 
-// errBodyEndUnknown is the error of a response that does not say where it ends.
+// errBodyEndUnknown is the error for a response whose head does not define where the body ends.
 var errBodyEndUnknown = errors.New("response without Content-Length, Transfer-Encoding or Connection: close")
 
-// ignoreBody handles a response that does not say where its body ends. With status 200 it is an error; with another one
-// the head is sufficient, and the connection must not be used again.
+// ignoreBody handles a response whose head does not define where the body ends. With status 200 it returns an error.
+// With any other status the head is sufficient: ignoreBody removes the body, and the connection must not be used
+// again.
 func ignoreBody(resp *http.Response) (*http.Response, error) {
 	if resp.StatusCode == http.StatusOK {
 		return nil, errBodyEndUnknown
@@ -20,12 +21,13 @@
 	return resp, nil
 }
 
-// bodyIgnored reports whether ignoreBody removed the body of a response, or whether it has none and its connection ends.
+// bodyIgnored reports whether ignoreBody has removed the body of a response. It is also true for a response with a status
+// other than 200 that has no body and ends its connection.
 func bodyIgnored(resp *http.Response) bool {
 	return resp.Body == http.NoBody && resp.Close && resp.StatusCode != http.StatusOK
 }
 
-// bufferHoldsBody reports whether the complete body is in the buffer.
+// bufferHoldsBody reports whether the buffer contains the complete body.
 func (r ResponseReader) bufferHoldsBody(resp *http.Response) bool {
 	if resp.ContentLength >= 0 {
 		return int64(r.Buffered()) >= resp.ContentLength
@@ -34,11 +36,11 @@
 	return len(resp.TransferEncoding) > 0 && bytes.HasSuffix(buffered, []byte("0\r\n\r\n"))
 }
 
-// announcesClose reports whether the next head announces that the connection ends with its response. net/http does not
-// report it: it removes the header, and sets Close for every response without a length. A head that does not fit into the
-// buffer, which no known endpoint sends, counts as announcing nothing.
+// announcesClose reports whether the next head has a Connection header with "close". net/http does not report that: it
+// removes the header, and sets Close for every response without a length. The result is false for a head that does not
+// fit into the buffer, which no known endpoint sends.
 func (r ResponseReader) announcesClose() bool {
-	for { // waits for no more than the end of the head, as nothing may follow it
+	for { // reads no further than needed to find the end of the head, as nothing may follow it
 		head, _ := r.Peek(r.Buffered())
 		if end := bytes.Index(head, []byte("\n\r\n")); end >= 0 {
 			return hasCloseToken(head[:end])
@@ -49,13 +51,14 @@
 	}
 }
 
-// unterminated reports whether the body of a response extends to the end of the connection, which HTTP/1.1 does not close
-// by itself: reading such a body may never finish, unless the endpoint announced that it would close the connection.
+// bodyEndUnknown reports whether the body of a response extends to the end of the connection. An HTTP/1.1 connection
+// stays open by default, so reading such a body may never finish unless the endpoint announced that it would close the
+// connection.
 func bodyEndUnknown(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.ProtoAtLeast(1, 1)
 }
 
-// hasCloseToken reports whether a Connection header in head lists "close".
+// hasCloseToken reports whether a Connection header in head contains the token "close".
 func hasCloseToken(head []byte) bool {
 	for line := range bytes.Lines(head) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
--- a/internal/http1/headers.go
+++ b/internal/http1/headers.go
@@ -5,14 +5,13 @@
 	"strings"
 )
 
-// hopHeaders concern a single connection and are not forwarded.
+// hopHeaders are the standard hop-by-hop headers: they apply to a single connection and are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// RemoveHopHeaders deletes the headers that concern a single connection: those that the Connection header lists, and
-// the standard ones.
+// RemoveHopHeaders deletes the hop-by-hop headers: those that the Connection header lists, and hopHeaders.
 func RemoveHopHeaders(header http.Header) {
 	for _, list := range header["Connection"] {
 		for _, name := range strings.Split(list, ",") {
--- a/internal/http1/limitedreader.go
+++ b/internal/http1/limitedreader.go
@@ -6,38 +6,39 @@
 	"math"
 )
 
-// Part is a part of a response that has a limit.
+// ResponsePart is a part of a response that has its own size limit.
 type ResponsePart string
 
-// The parts of a response.
+// The parts of a response, as they appear in the text of a SizeError.
 const (
 	PartHead ResponsePart = "head"
 	PartBody ResponsePart = "body"
 )
 
-// noLimit lets a limitedReader read any number of bytes.
+// noLimit as the limit of a limitedReader allows any number of bytes.
 const noLimit = math.MaxInt
 
-// SizeError means that a part of a response exceeds its limit.
+// SizeError reports that a part of a response exceeds its limit.
 type SizeError struct {
 	Part  ResponsePart
 	Limit int // in bytes
 }
 
-// Error returns the part and its limit.
+// Error returns the part and its limit in bytes.
 func (e *SizeError) Error() string {
 	return fmt.Sprintf("%s of a response larger than %d bytes", e.Part, e.Limit)
 }
 
-// limitedReader returns a *SizeError after a number of bytes. It guards against an endpoint whose head does not end, which
-// would exhaust the memory: http.ReadResponse bounds neither the head of a response nor the interim responses ahead of it.
+// limitedReader reads from source and returns a *SizeError after a given number of bytes. It guards against a
+// response head that never ends and would use up the memory: http.ReadResponse limits neither the head of a response
+// nor the interim responses ahead of it.
 type limitedReader struct {
 	source    io.Reader
-	remaining int // bytes that may still be read
-	sizeError  SizeError
+	remaining int       // bytes that may still be read
+	sizeError SizeError // returned when remaining is 0
 }
 
-// setLimit lets a part of a response have limit bytes from now on.
+// setLimit allows limit more bytes, which belong to part.
 func (l *limitedReader) setLimit(part ResponsePart, limit int) {
 	l.remaining = limit
 	l.sizeError = SizeError{Part: part, Limit: limit}
@@ -46,8 +47,8 @@
 // Read implements io.Reader.
 func (l *limitedReader) Read(buffer []byte) (int, error) {
 	if l.remaining <= 0 {
-		exceeded := l.sizeError
-		return 0, &exceeded
+		sizeError := l.sizeError
+		return 0, &sizeError
 	}
 	n, err := l.source.Read(buffer[:min(len(buffer), l.remaining)])
 	l.remaining -= n
--- a/internal/http1/observer.go
+++ b/internal/http1/observer.go
@@ -1,16 +1,17 @@
 package http1
 
-// ResponseObserver is notified of the progress of a response. Its methods are called by the goroutine that calls
-// ResponseReader.Next.
+// ResponseObserver is notified of the progress of a response. The goroutine that calls ResponseReader.Next calls its
+// methods.
 type ResponseObserver interface {
 	// ResponseStarted is called when the head of a response with status 200 has arrived, but not its complete body.
 	ResponseStarted()
-	// ShortenDeadline is called before bytes are read that have to arrive soon.
+	// ShortenDeadline is called before a read that should finish soon. It sets a shorter read deadline.
 	ShortenDeadline()
-	// ShortenedDeadlineExpired reports, after a read ended by a deadline, whether that was the one of ShortenDeadline. A
-	// cancellation and the usual deadline end reads in the same way, but then nobody waits for the rest of the response.
+	// ShortenedDeadlineExpired is called after a read that ended with an expired deadline, and reports whether that
+	// was the deadline of ShortenDeadline. A cancellation and the usual deadline end a read with the same error, but
+	// then the rest of the response is no longer needed.
 	ShortenedDeadlineExpired() bool
-	// RestoreDeadline is called after ShortenDeadline when the usual deadline applies again.
+	// RestoreDeadline is called after the read that follows ShortenDeadline. It sets the usual deadline again.
 	RestoreDeadline()
 }
 
@@ -23,7 +24,7 @@
 // ShortenDeadline does nothing.
 func (IgnoreProgress) ShortenDeadline() {}
 
-// ShortenedDeadlineExpired returns false: no deadline is shortened.
+// ShortenedDeadlineExpired returns false, because ShortenDeadline sets no deadline.
 func (IgnoreProgress) ShortenedDeadlineExpired() bool { return false }
 
 // RestoreDeadline does nothing.
--- a/internal/http1/requestscanner.go
+++ b/internal/http1/requestscanner.go
@@ -9,42 +9,43 @@
 	"time"
 )
 
-// The errors of a request whose length cannot be trusted.
+// Errors of a request whose framing is ambiguous or invalid.
 var (
-	errConflictingLengths   = errors.New("request with both Content-Length and Transfer-Encoding")
-	errInvalidLength    = errors.New("request whose Content-Length is repeated or not a number")
-	errFoldedHeader = errors.New("request with a folded header line")
+	errConflictingLengths = errors.New("request with both Content-Length and Transfer-Encoding")
+	errInvalidLength      = errors.New("request whose Content-Length is repeated or not a number")
+	errFoldedHeader       = errors.New("request with a folded header line")
 )
 
 const (
-	// maxLinePrefix is how many bytes of a header line are stored: enough for the names and numbers that framing uses.
+	// maxLinePrefix is the number of bytes of a header line that are stored: enough for the names and numbers of the
+	// headers that define the framing.
 	maxLinePrefix = 64
-	// maxLengthBits is the width of the largest Content-Length; it has to fit into an int64.
+	// maxLengthBits is the number of bits of the largest Content-Length, which must fit into an int64.
 	maxLengthBits = 63
-	// unknownLength is the length of a body that no Content-Length header announces.
+	// unknownLength is the value of RequestScanner.contentLength if the head has no Content-Length header.
 	unknownLength = -1
 )
 
-// RequestScanner follows the bytes of one client connection and finds where each request begins and ends.
+// RequestScanner scans the bytes of one client connection and finds where each request begins and ends.
 //
-// It guards against request smuggling: net/http ignores Content-Length if the request is chunked too, and then reads as the
-// next request what is body by the other length, so that an endpoint executes a request that no client has sent as such. The
-// scanner reports a request with two lengths as an error and withholds the end of its head, so that net/http responds with
-// 400 and closes the connection.
+// It guards against request smuggling. If a request has both Content-Length and Transfer-Encoding, net/http ignores
+// Content-Length. It then takes bytes that are body by the Content-Length for the next request, so that an endpoint
+// executes a request that the client did not send as one. The scanner reports a request with both headers as an error
+// and withholds the end of its head, so that net/http responds with 400 and closes the connection.
 //
 // The zero value is ready for use. Scan is called for each read of the connection, by one goroutine at a time. Other
-// goroutines may call Partial and read the atomic fields at any time, and the other fields only in synchronization with
-// Scan.
+// goroutines may call LastByteAt and Partial and read Started at any time, but must synchronize with Scan to read the
+// other fields.
 type RequestScanner struct {
-	linePrefix            []byte // the first bytes of the current header line
-	inHead          bool   // a request line or header line is being read
+	linePrefix          []byte // the first bytes of the current line of a head, at most maxLinePrefix
+	inHead              bool   // a request line or header line is being read
 	inRequestLine       bool   // the current line is the request line
-	contentLength   int64  // of the current head, or unknownLength
+	contentLength       int64  // value of Content-Length in the current head, or unknownLength
 	hasTransferEncoding bool   // the current head has a Transfer-Encoding header
-	bodyRemaining        int64  // bytes of the current body that have not arrived
+	bodyRemaining       int64  // bytes of the current body that have not arrived
 
-	// Chunked is set after the head of a chunked request. The scanner does not parse what follows: the connection has
-	// to end with this request.
+	// Chunked is set after the head of a chunked request. The scanner does not parse the bytes after it, so the
+	// connection must be closed after this request.
 	Chunked bool
 	// Err is the framing error that ended the scan, or nil.
 	Err error
@@ -52,15 +53,15 @@
 	// Started counts the requests of which at least one byte has arrived.
 	Started atomic.Int64
 
-	completed  atomic.Int64              // requests that have arrived completely; a chunked one counts after its head
+	completed  atomic.Int64              // requests that have arrived completely; a chunked request counts after its head
 	startedAt  atomic.Pointer[time.Time] // when the last request began, on the monotonic clock; nil before the first
 	lastByteAt atomic.Pointer[time.Time] // when the last byte arrived, on the monotonic clock; nil before the first
 }
 
-// LastByteAt returns when the last byte arrived, and whether any has.
+// LastByteAt returns when the last byte arrived, and whether a byte has been received at all.
 func (s *RequestScanner) LastByteAt() (at time.Time, received bool) { return loadTime(&s.lastByteAt) }
 
-// loadTime returns a time, and whether it is set.
+// loadTime returns a stored time, and whether it is set.
 func loadTime(stored *atomic.Pointer[time.Time]) (at time.Time, set bool) {
 	if pointer := stored.Load(); pointer != nil {
 		return *pointer, true
@@ -68,14 +69,14 @@
 	return time.Time{}, false
 }
 
-// Partial reports whether a request has arrived in part, and when the last request began.
+// Partial reports whether the last request has only arrived in part, and when it began.
 func (s *RequestScanner) Partial() (began time.Time, partial bool) {
 	began, _ = loadTime(&s.startedAt)
 	return began, s.Started.Load() > s.completed.Load()
 }
 
-// Scan processes the bytes of one read, which arrived at now, and returns how many of them may be passed on. That is
-// fewer than all only if it sets s.Err; Scan must not be called after that.
+// Scan processes the bytes of one read, which arrived at the time now, and returns how many of them may be passed to
+// net/http. These are all of them unless Scan sets s.Err; it must not be called again after that.
 func (s *RequestScanner) Scan(data []byte, now time.Time) int {
 	if len(data) > 0 {
 		s.lastByteAt.Store(&now)
@@ -104,7 +105,7 @@
 	return len(data)
 }
 
-// scanBody skips bytes of a body with a Content-Length and returns the bytes that follow it.
+// scanBody skips the bytes of a body with a Content-Length and returns the bytes after them.
 func (s *RequestScanner) scanBody(data []byte) (rest []byte) {
 	n := min(s.bodyRemaining, int64(len(data)))
 	s.bodyRemaining -= n
@@ -114,7 +115,7 @@
 	return data[n:]
 }
 
-// appendLine adds bytes to the current line of a head, and begins a request if none is open.
+// appendLine adds bytes to the current line of a head, and begins a new request if no head is being read.
 func (s *RequestScanner) appendLine(part []byte, now time.Time) {
 	if !s.inHead {
 		s.beginHead(now)
@@ -123,7 +124,7 @@
 	s.linePrefix = append(s.linePrefix, part[:min(len(part), remaining)]...)
 }
 
-// beginHead starts a new request.
+// beginHead resets the state of the head for a new request that begins at now.
 func (s *RequestScanner) beginHead(now time.Time) {
 	s.inHead = true
 	s.inRequestLine = true
@@ -151,7 +152,7 @@
 	return s.scanHeader(line)
 }
 
-// scanHeader takes the length of the body from a header line, if that is what it gives.
+// scanHeader processes a header line, and stores what the headers Transfer-Encoding and Content-Length say.
 func (s *RequestScanner) scanHeader(line string) error {
 	name, value, _ := strings.Cut(line, ":")
 	switch strings.ToLower(strings.TrimSpace(name)) {
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// endHead decides how the body of the request is framed.
+// endHead processes the end of a head, and determines the framing of the body.
 func (s *RequestScanner) endHead() error {
 	s.inHead = false
 	switch {
--- a/internal/http1/requestscanner_clock_test.go
+++ b/internal/http1/requestscanner_clock_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The wall clock of a machine may be stepped while a request is read. Its times must not move, or a request would time out
-// at once or never.
+// TestScannerTimesAreMonotonic checks that the times of the scanner have a monotonic reading. Without it, a step of the
+// wall clock while a request is read would make the request time out at once or never.
 func TestScannerTimesAreMonotonic(t *testing.T) {
 	var scanner RequestScanner
 	now := time.Now()
@@ -15,11 +15,11 @@
 	began, _ := scanner.Partial()
 	lastByte, any := scanner.LastByteAt()
 	if !any {
-		t.Error("no byte has arrived")
+		t.Error("got no time of the last byte, want one")
 	}
 	for name, moment := range map[string]time.Time{"beginning": began, "last byte": lastByte} {
 		if !moment.Equal(now) || !strings.Contains(moment.String(), " m=") {
-			t.Errorf("%s of the request at %v, want %v with its monotonic reading", name, moment, now)
+			t.Errorf("%s of the request: got %v, want %v with its monotonic reading", name, moment, now)
 		}
 	}
 }
--- a/internal/http1/requestscanner_test.go
+++ b/internal/http1/requestscanner_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A request with unambiguous framing passes completely, and one with ambiguous framing ends the scan with its error,
-// however the bytes are split into reads.
+// TestRequestScannerRejectsAmbiguousFraming checks that a request with unambiguous framing passes completely, and
+// that a request with ambiguous framing ends the scan with an error, however the bytes are split into reads.
 func TestRequestScannerRejectsAmbiguousFraming(t *testing.T) {
 	const get = "GET /api HTTP/1.1\r\nHost: a\r\n\r\n"
 	for name, test := range map[string]struct {
@@ -39,16 +39,18 @@
 				rest = rest[n:]
 			}
 			if started := scanner.Started.Load(); !errors.Is(scanner.Err, test.want) || started != test.started {
-				t.Errorf("%s in reads of %d bytes: error %v after %d requests, want %v after %d", name, step, scanner.Err, started, test.want, test.started)
+				t.Errorf("%s in reads of %d bytes: got error %v after %d requests, want %v after %d", name, step, scanner.Err, started, test.want, test.started)
 			}
 			if complete := passed == len(test.text); complete != (test.want == nil) {
-				t.Errorf("%s in reads of %d bytes: %d of %d bytes passed on", name, step, passed, len(test.text))
+				t.Errorf("%s in reads of %d bytes: got %d of %d bytes passed on, want all of them: %t",
+					name, step, passed, len(test.text), test.want == nil)
 			}
 		}
 	}
 }
 
-// The result of a scan does not depend on how the bytes are split into reads, and no byte passes after an error.
+// FuzzRequestScanner checks that the result of a scan does not depend on how the bytes are split into reads, and that
+// not all bytes are passed on if there is an error.
 func FuzzRequestScanner(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcdeGET / HTTP/1.1\r\n\r\n"), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), uint8(1))
@@ -57,7 +59,7 @@
 		atOnce, inParts := &RequestScanner{}, &RequestScanner{}
 		passedAtOnce := atOnce.Scan(text, time.Now())
 		if (passedAtOnce == len(text)) != (atOnce.Err == nil) {
-			t.Errorf("%d of %d bytes passed on with error %v", passedAtOnce, len(text), atOnce.Err)
+			t.Errorf("got %d of %d bytes passed on with error %v, want all of them only without an error", passedAtOnce, len(text), atOnce.Err)
 		}
 		passedInParts := 0
 		for rest := text; len(rest) > 0 && inParts.Err == nil; {
@@ -66,10 +68,11 @@
 			rest = rest[n:]
 		}
 		if passedInParts != passedAtOnce || !errors.Is(inParts.Err, atOnce.Err) || inParts.Started.Load() != atOnce.Started.Load() {
-			t.Errorf("in one read: %d bytes, error %v; in parts: %d bytes, error %v", passedAtOnce, atOnce.Err, passedInParts, inParts.Err)
+			t.Errorf("in parts: got %d bytes, error %v, %d requests, want %d bytes, error %v, %d requests as in one read",
+				passedInParts, inParts.Err, inParts.Started.Load(), passedAtOnce, atOnce.Err, atOnce.Started.Load())
 		}
 		if len(atOnce.linePrefix) > maxLinePrefix {
-			t.Errorf("%d bytes of a header line stored, want at most %d", len(atOnce.linePrefix), maxLinePrefix)
+			t.Errorf("got %d bytes of a header line stored, want at most %d", len(atOnce.linePrefix), maxLinePrefix)
 		}
 	})
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -9,42 +9,45 @@
 )
 
 const (
-	// maxResponseHead bounds the bytes of the head of a response, with the interim responses ahead of it.
+	// maxResponseHead is the largest size in bytes of the head of a response, including the interim responses ahead of
+	// it.
 	maxResponseHead = 32 << 10
-	// maxChunkedSizeRatio bounds how many times larger than its data a chunked body may be: a chunk may hold one byte.
+	// maxChunkedSizeRatio is the largest ratio of the size of a chunked body to the size of its data. It allows for
+	// chunks of a single byte.
 	maxChunkedSizeRatio = 8
-	// firstFinalStatus is the lowest status code that is not the one of an interim response.
+	// firstFinalStatus is the lowest status code of a final response; lower codes are those of interim responses.
 	firstFinalStatus = 200
 )
 
-// ResponseReader reads the responses that arrive on one connection to an endpoint. It is not safe for concurrent use.
+// ResponseReader reads the responses on one connection to an endpoint. It is not safe for concurrent use.
 type ResponseReader struct {
 	*bufio.Reader
 	limit *limitedReader // the source of Reader
 }
 
-// NewResponseReader returns a reader of the responses that arrive from source, which must be at the start of one.
+// NewResponseReader returns a reader of the responses in source, which must be positioned at the start of a response.
 func NewResponseReader(source io.Reader) ResponseReader {
 	limit := &limitedReader{source: source}
 	return ResponseReader{Reader: bufio.NewReader(limit), limit: limit}
 }
 
-// Response is a response as Next reads it.
+// Response is the result of ResponseReader.Next.
 type Response struct {
 	Head      *http.Response
-	Body      []byte // complete, or the first part of a streamed one
-	Streaming bool   // the body is long: the rest of it is still to be read from Head.Body
+	Body      []byte // the complete body, or the first part of a body that is streamed
+	Streaming bool   // the body is long, and the rest of it must be read from Head.Body
 }
 
-// Next reads the response to a request with the given method, and its body unless that is long.
+// Next reads the response to a request with the given method. It also reads the body, unless the body is long.
 //
-// A body with an announced length is long if it exceeds MaxBufferedBody; Body is empty then. A body of unknown length
-// is long if it turns out to exceed MaxBufferedBody, or, in a response with status 200, if it does not arrive
-// completely within the deadline that observer.ShortenDeadline sets, as its length cannot be predicted. It is not long
-// if something else interrupts the read: observer.ShortenedDeadlineExpired reports that.
+// A body with a Content-Length is long if the length exceeds MaxBufferedBody; Response.Body is empty then. A body of
+// unknown length is long if more than MaxBufferedBody bytes arrive. As its length cannot be predicted, such a body in a
+// response with status 200 is also long if a part of it, but not all, arrives before the deadline that
+// observer.ShortenDeadline sets. An expired deadline counts only if observer.ShortenedDeadlineExpired returns true.
 //
-// Next returns an error if the head is malformed, if a response with status 200 does not say where it ends, and if the
-// body ends early. It returns a *SizeError if the head is too large or the response announces more than MaxBody bytes.
+// Next returns an error if the head is malformed, if the head of a response with status 200 does not define where the
+// body ends, or if the body ends early. It returns a *SizeError if the head is too large or the Content-Length exceeds
+// MaxBody.
 func (r ResponseReader) Next(method string, observer ResponseObserver) (Response, error) {
 	resp, err := r.readHead(method)
 	if err != nil {
@@ -53,7 +56,7 @@
 	if bodyIgnored(resp) {
 		return Response{Head: resp}, nil
 	}
-	if resp.ContentLength > MaxBody { // fails before the client has read any of it
+	if resp.ContentLength > MaxBody { // fail before the client has received any part of the response
 		return Response{}, &SizeError{Part: PartBody, Limit: MaxBody}
 	}
 	if resp.StatusCode == http.StatusOK && !r.bufferHoldsBody(resp) {
@@ -67,15 +70,15 @@
 	return Response{Head: resp, Body: body, Streaming: long}, err
 }
 
-// awaitBody waits for the first byte of a long body, which may never arrive, and lifts the limit for the rest.
+// awaitBody waits for the first byte of a long body, which may never arrive, and removes the limit for the rest.
 func (r ResponseReader) awaitBody() error {
 	_, err := r.Peek(1)
 	r.limit.setLimit(PartBody, noLimit)
 	return err
 }
 
-// readBody reads a body of unknown length or of at most MaxBufferedBody bytes. It reports whether the body is long, and
-// lifts the limit for the rest then.
+// readBody reads a body of unknown length or of at most MaxBufferedBody bytes. It reports whether the body is long;
+// if so, it removes the limit for the rest.
 func (r ResponseReader) readBody(resp *http.Response, observer ResponseObserver) (body []byte, long bool, err error) {
 	mayStream := resp.StatusCode == http.StatusOK && resp.ContentLength < 0
 	if mayStream {
@@ -89,12 +92,12 @@
 		err = nil
 	}
 	if long {
-		r.limit.setLimit(PartBody, noLimit) // as much as the client reads
+		r.limit.setLimit(PartBody, noLimit) // the client reads the rest, of any length
 	}
 	return body, long, err
 }
 
-// readHead reads up to the body of the final response and skips interim responses.
+// readHead skips interim responses and reads the head of the final response.
 func (r ResponseReader) readHead(method string) (*http.Response, error) {
 	r.limit.setLimit(PartHead, maxResponseHead)
 	for {
@@ -109,7 +112,7 @@
 		if bodyEndUnknown(resp) && !closes {
 			return ignoreBody(resp)
 		}
-		if len(resp.TransferEncoding) > 0 { // "chunked": ReadResponse rejects all others
+		if len(resp.TransferEncoding) > 0 { // always "chunked": http.ReadResponse rejects other encodings
 			resp.Body = io.NopCloser(&ChunkedReader{Source: r.Reader})
 		}
 		return resp, nil
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -11,8 +11,8 @@
 	"testing/iotest"
 )
 
-// A chunked body is decoded, and a malformed or incomplete one rejected, however the bytes are split into reads. Data
-// that has arrived is returned before the chunk is complete.
+// TestChunkedReaderDecodesAvailableData checks that a chunked body is decoded, and a malformed or incomplete one
+// rejected, however the bytes are split into reads, and that data is returned before its chunk is complete.
 func TestChunkedReaderDecodesAvailableData(t *testing.T) {
 	for text, want := range map[string]error{
 		"5\r\nabcde\r\n0\r\n\r\n":                          nil,
@@ -44,11 +44,12 @@
 	go server.Write([]byte("a\r\nabc")) // the rest of the chunk never arrives
 	buffer := make([]byte, 10)
 	if n, err := (&ChunkedReader{Source: bufio.NewReader(source)}).Read(buffer); n != 3 || err != nil {
-		t.Errorf("incomplete chunk: read %d bytes, error %v, want the 3 bytes that arrived", n, err)
+		t.Errorf("incomplete chunk: got %d bytes, error %v, want the 3 bytes that arrived and no error", n, err)
 	}
 }
 
-// Whatever a server sends, reading its response ends, and at most one byte more than MaxBufferedBody is stored.
+// FuzzResponseReader checks that reading a response ends whatever the server sends, with a response or an error, and
+// that at most MaxBufferedBody+1 bytes of the body are stored.
 func FuzzResponseReader(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"))
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.0 200 OK\r\n\r\nserved"))
@@ -57,7 +58,8 @@
 		reader := NewResponseReader(bytes.NewReader(text))
 		response, err := reader.Next(http.MethodPost, IgnoreProgress{})
 		if response.Head == nil && err == nil || len(response.Body) > MaxBufferedBody+1 {
-			t.Errorf("response %v with %d bytes of body, error %v", response.Head, len(response.Body), err)
+			t.Errorf("got response %v with %d bytes of body, error %v, want a response or an error, and at most %d bytes",
+				response.Head, len(response.Body), err, MaxBufferedBody+1)
 		}
 	})
 }
