--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -7,8 +7,8 @@
 	"cindersaddle/internal/fault"
 )
 
-// ReadConn reads from a connection, and again after transient errors, until its read deadline. The kind of call is for fault
-// injection.
+// ReadConn reads from a connection. It repeats the call after transient errors, until the read deadline of the
+// connection. The parameter call identifies the call for fault injection.
 func ReadConn(conn net.Conn, buffer []byte, call fault.Call) (int, error) {
 	for {
 		n, err := readOnce(conn, buffer, call)
@@ -27,8 +27,9 @@
 	return conn.Read(buffer[:fault.Shortened(call, len(buffer))])
 }
 
-// WriteConn writes all bytes to a connection, and goes on after transient errors, until its write deadline. With an error it
-// returns how many bytes the kernel has accepted. The kind of call is for fault injection.
+// WriteConn writes all bytes to a connection. It continues after transient errors, until the write deadline of the
+// connection. With an error it also returns how many bytes the kernel has accepted. The parameter call identifies the
+// call for fault injection.
 func WriteConn(conn net.Conn, data []byte, call fault.Call) (written int, err error) {
 	for {
 		n, err := writeOnce(conn, data[written:], call)
@@ -45,7 +46,7 @@
 	}
 }
 
-// writeOnce makes one write call, which may accept a part of the bytes.
+// writeOnce makes one write call, which may accept only a part of the bytes.
 func writeOnce(conn net.Conn, data []byte, call fault.Call) (int, error) {
 	if err := fault.Injected(call); err != nil {
 		return 0, err
--- a/internal/socket/deadline.go
+++ b/internal/socket/deadline.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// PastDeadline is a deadline that has passed. Set on a connection or a listener, it interrupts all that wait there for
-// reading, writing or accepting.
+// PastDeadline is a deadline in the past. Setting it on a connection or a listener interrupts all calls that are
+// blocked there in a read, a write or an accept.
 var PastDeadline = time.Unix(1, 0)
--- a/internal/socket/descriptor.go
+++ b/internal/socket/descriptor.go
@@ -7,8 +7,8 @@
 	"cindersaddle/internal/fault"
 )
 
-// Read reads from a descriptor once, and again when a signal interrupts it. The error is a syscall.Errno: EAGAIN where
-// no bytes wait on a non-blocking descriptor. At the end of the stream n is 0 and err is nil.
+// Read makes one read call on a descriptor, and repeats it if a signal interrupts it. The error is a syscall.Errno:
+// EAGAIN if no bytes can be read from a non-blocking descriptor. At the end of the stream n is 0 and err is nil.
 func Read(fd int, buffer []byte) (n int, err error) {
 	for {
 		n, err = readDescriptor(fd, buffer)
@@ -26,7 +26,7 @@
 	return syscall.Read(fd, buffer[:fault.Shortened(fault.Read, len(buffer))])
 }
 
-// Control calls do with the descriptor of a listener. It does nothing if the listener has none or is closed.
+// Control calls f with the descriptor of a listener. It does nothing if the listener has no descriptor or is closed.
 func Control(ln net.Listener, f func(fd uintptr)) {
 	conn, ok := ln.(syscall.Conn)
 	if !ok {
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// exhaustionErrors are the errors of a machine or a process that has no descriptor, memory or port for another socket.
+// exhaustionErrors mean that the machine or the process has no descriptor, memory or port left for another socket.
 var exhaustionErrors = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -16,17 +16,17 @@
 	syscall.EADDRNOTAVAIL,
 }
 
-// transientErrors are the errors of a read or a write that say nothing of the connection: the same call can succeed
-// soon after.
+// transientErrors are errors of a read or a write that do not concern the connection: the same call may succeed soon
+// after.
 var transientErrors = []error{
 	syscall.EINTR,
 	syscall.ENOBUFS,
 	syscall.ENOMEM,
 }
 
-// brokenListenerErrors are the errors of accept that say that the listener cannot be used any more. All others are those
-// of the machine's resources, or of the one connection that was about to be accepted: Linux passes errors that are
-// already pending on the new connection as those of accept.
+// brokenListenerErrors are errors of accept that mean that the listener can no longer be used. All other errors
+// concern the resources of the machine or a single connection that was about to be accepted: on Linux, accept also
+// returns errors that are already pending on the new connection.
 var brokenListenerErrors = []error{
 	net.ErrClosed,
 	syscall.EBADF,
@@ -35,16 +35,16 @@
 	syscall.ENOTSOCK,
 }
 
-// RetryPause is the time between two attempts of a call that failed with a transient error.
+// RetryPause is the time before a call that failed with a transient error is repeated.
 const RetryPause = time.Millisecond
 
-// Exhausted reports whether err means that the machine or the process has no resources for another socket.
+// Exhausted reports whether err means that the machine or the process has no resources left for another socket.
 func Exhausted(err error) bool { return isAny(err, exhaustionErrors) }
 
 // Transient reports whether a read or a write that failed with err may be repeated on the same connection.
 func Transient(err error) bool { return isAny(err, transientErrors) }
 
-// ListenerBroken reports whether err, which accept returned, means that no connection will be accepted any more.
+// ListenerBroken reports whether err, an error of accept, means that the listener can no longer accept connections.
 func ListenerBroken(err error) bool { return isAny(err, brokenListenerErrors) }
 
 // isAny reports whether err wraps one of the candidates.
--- a/internal/socket/errors_test.go
+++ b/internal/socket/errors_test.go
@@ -11,8 +11,8 @@
 	"cindersaddle/internal/socket"
 )
 
-// Errors arrive wrapped by package net. One that is classified wrongly ends serving, or counts against an endpoint that is
-// healthy.
+// TestErrorsAreClassified checks the classification of errors that package net has wrapped. A wrong classification ends
+// serving, or counts as a failure of a healthy endpoint.
 func TestErrorsAreClassified(t *testing.T) {
 	for err, want := range map[error]struct{ exhausted, transient, listenerBroken bool }{
 		syscall.EMFILE:        {exhausted: true},
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -10,29 +10,30 @@
 type State int
 
 const (
-	// Closed means that the connection was closed or reset, by either side, and that no bytes wait before that.
+	// Closed means that either side has closed or reset the connection, and that no bytes can be read before its end.
 	Closed State = iota
-	// Readable means that bytes wait to be read.
+	// Readable means that bytes can be read.
 	Readable
-	// Silent means that the connection is open and no bytes wait.
+	// Silent means that the connection is open and no bytes can be read.
 	Silent
-	// Unknown means that the kernel could not report the state, for want of memory.
+	// Unknown means that the kernel had too little memory to report the state.
 	Unknown
 )
 
-// Peek returns the state of a connection without reading from it or waiting.
+// Peek returns the state of a connection. It neither consumes bytes nor blocks.
 func Peek(conn syscall.Conn) State {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return Closed
 	}
 	state := Closed
-	raw.Control(func(fd uintptr) { state = peekDescriptor(int(fd)) }) // fails on a closed connection
+	raw.Control(func(fd uintptr) { state = peekDescriptor(int(fd)) }) // fails if this side has closed the connection
 	return state
 }
 
-// peekDescriptor returns the state of a descriptor. It guards against a client that never gets its response because an error
-// which passes was taken for a closed connection: errors for want of memory are Unknown, and an interrupted call is repeated.
+// peekDescriptor returns the state of a descriptor. A transient error must not be mistaken for a closed connection,
+// or the client would never get its response. An interrupted call is therefore repeated, and the result for a lack of
+// memory is Unknown.
 func peekDescriptor(fd int) State {
 	for {
 		n, err := peekOnce(fd)
@@ -50,7 +51,7 @@
 	}
 }
 
-// peekOnce asks for the next byte without consuming it or waiting. The error is a syscall.Errno.
+// peekOnce receives the next byte without consuming it or blocking. The error is a syscall.Errno.
 func peekOnce(fd int) (int, error) {
 	if err := fault.Injected(fault.Peek); err != nil {
 		return 0, err
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -1,6 +1,7 @@
 package socket_test
 
 import (
+	"fmt"
 	"io"
 	"testing"
 
@@ -8,23 +9,23 @@
 	"cindersaddle/internal/socket"
 )
 
-// A connection may look open to net while its peer has closed it. Peek must know that before a request is written to it,
-// and must not count a peer that has sent bytes before its close as closed.
+// TestPeekReportsState checks that Peek detects a close by the peer, which package net does not report before a
+// request is written to the connection, and that bytes sent before the close are reported first.
 func TestPeekReportsState(t *testing.T) {
 	peer, conn := sidecartest.ConnPair(t)
 	defer conn.Close()
 	expect := func(want socket.State) {
 		t.Helper()
-		sidecartest.WaitFor(t, "the kernel knows the state", func() bool { return socket.Peek(conn) == want })
+		sidecartest.WaitFor(t, fmt.Sprintf("Peek returns state %d", want), func() bool { return socket.Peek(conn) == want })
 	}
 	if state := socket.Peek(conn); state != socket.Silent {
-		t.Errorf("state %d of an open connection without bytes, want %d", state, socket.Silent)
+		t.Errorf("open connection without bytes: got state %d, want %d", state, socket.Silent)
 	}
 	io.WriteString(peer, "x")
 	expect(socket.Readable)
 	peer.Close()
 	if state := socket.Peek(conn); state != socket.Readable {
-		t.Errorf("state %d with a byte ahead of the close, want %d", state, socket.Readable)
+		t.Errorf("closed by the peer after a byte: got state %d, want %d", state, socket.Readable)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
@@ -32,6 +33,6 @@
 	expect(socket.Closed)
 	conn.Close()
 	if state := socket.Peek(conn); state != socket.Closed {
-		t.Errorf("state %d of a connection that this side closed, want %d", state, socket.Closed)
+		t.Errorf("closed by this side: got state %d, want %d", state, socket.Closed)
 	}
 }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,5 +1,4 @@
-// Package timing has the pauses that the other packages share. It has no state and starts no
-// goroutine.
+// Package timing provides interruptible sleeps for the other packages. It has no state and starts no goroutines.
 package timing
 
 import (
@@ -7,7 +6,7 @@
 	"time"
 )
 
-// Sleep blocks for d, or until ctx is done if that is sooner.
+// Sleep blocks until d has passed or ctx is done, whichever comes first.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
