--- a/internal/admin/faults_test.go
+++ b/internal/admin/faults_test.go
@@ -14,7 +14,7 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestAcceptErrorsDoNotEndServing checks that the admin address goes on responding after a connection could not be accepted.
+// TestAcceptErrorsDoNotEndServing checks that the admin address still responds after an error of accept.
 func TestAcceptErrorsDoNotEndServing(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN,
@@ -39,12 +39,12 @@
 			client := http.Client{Timeout: sidecartest.Timeout}
 			response, err := client.Get("http://" + listener.Addr().String() + pathReady)
 			if err != nil {
-				t.Fatalf("the request failed: %v", err)
+				t.Fatalf("GET %s after two errors of accept: got error %v, want a response", pathReady, err)
 			}
 			response.Body.Close()
 			select {
 			case <-done:
-				t.Error("serving ended")
+				t.Error("Serve returned after errors of accept, want it to continue")
 			default:
 			}
 		})
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -10,22 +10,24 @@
 	"cindersaddle/internal/socket"
 )
 
-// acceptRetryDelay is the time between two attempts to accept a connection.
+// acceptRetryDelay is the time before the next attempt after a connection could not be accepted.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// limitedListener limits the number of open connections. It guards against connections that stay open and send nothing:
-// they would use up all descriptors, and a scrape or a readiness check could not connect. For a new connection the oldest
-// one is closed, which has no complete request, as complete ones get their response at once.
+// limitedListener limits the number of open connections. It guards against connections that stay open and send
+// nothing: they would use up all descriptors, and a scrape or a readiness check could not connect. If a new
+// connection exceeds the limit, the oldest one is closed. That one has not sent a complete request, as complete
+// requests get their response at once.
 type limitedListener struct {
 	net.Listener
 	maxConns int
 
-	mu   sync.Mutex
-	conns []*limitedConn // the oldest first
+	mu    sync.Mutex
+	conns []*limitedConn // the open connections, oldest first
 }
 
-// Accept returns the next connection. When the process has no descriptors left it closes the oldest one and accepts
-// again. It fails only if the listener cannot be used any more: all other errors pass, or are those of one connection.
+// Accept returns the next connection. If the process has no descriptors left, Accept closes the oldest connection and
+// tries again. It fails only if the listener can no longer be used: all other errors are transient or concern a single
+// connection.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.accept()
@@ -40,7 +42,7 @@
 	}
 }
 
-// accept returns the next connection of the listener, and fails as the fault plan of a test says.
+// accept makes one attempt to accept a connection. The fault plan of a test may make it fail.
 func (l *limitedListener) accept() (net.Conn, error) {
 	if err := fault.Injected(fault.Accept); err != nil {
 		return nil, err
@@ -48,7 +50,7 @@
 	return l.Listener.Accept()
 }
 
-// add counts a connection, and closes the oldest one beyond the limit.
+// add adds a connection to the open ones, and closes the oldest if there are now more than maxConns.
 func (l *limitedListener) add(conn net.Conn) net.Conn {
 	limited := &limitedConn{Conn: conn, listener: l}
 	l.mu.Lock()
@@ -61,7 +63,7 @@
 	return limited
 }
 
-// remove stops counting a connection.
+// remove removes a connection from the open ones.
 func (l *limitedListener) remove(conn *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +96,7 @@
 	listener *limitedListener
 }
 
-// Close closes the connection, which no longer counts.
+// Close closes the connection and removes it from the open connections of its listener.
 func (c *limitedConn) Close() error {
 	c.listener.remove(c)
 	return c.Conn.Close()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,9 +1,9 @@
 // Package admin serves the admin address of the sidecar: readiness and metrics.
 //
-// The server has its own HTTP server, connections and descriptors and makes no request of the event loop, so that it
-// responds however busy the clients' address is. Server.Serve runs in a goroutine of its caller; package net/http starts
-// one for each connection. The metrics and the readiness function belong to the caller and must be safe for concurrent
-// use.
+// The package has its own HTTP server, connections and descriptors and does not wait for the event loop, so that it
+// responds even if the clients' address is overloaded. Server.Serve runs in a goroutine of its caller; package net/http
+// starts one for each connection. The caller provides the metrics and the readiness function, which must be safe for
+// concurrent use.
 package admin
 
 import (
@@ -21,22 +21,23 @@
 )
 
 const (
-	// MaxConns is the number of connections at the admin address; their descriptors are reserved.
+	// MaxConns is the largest number of open connections at the admin address. Their descriptors are reserved.
 	MaxConns = 16
-	// HeaderTimeout bounds the time for a request's header: a connection that stalls is closed within 3 s.
+	// HeaderTimeout is the time in which the header of a request must arrive. It ensures that a stalled connection is
+	// closed within 3 s.
 	HeaderTimeout = 2 * time.Second
 
-	requestTimeout = 3 * time.Second // for reading a request, and again for writing the response
+	requestTimeout = 3 * time.Second // for reading a request, and the same again for writing its response
 	maxHeaderBytes = 4 << 10
 )
 
-// The paths of the admin address.
+// Paths that are served at the admin address.
 const (
 	pathReady   = "/api/ready"
 	pathMetrics = "/api/telemetry"
 )
 
-// metricsContentType is the content type of the Prometheus text format.
+// metricsContentType is the media type of the Prometheus text format.
 const metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
 
 // Server serves the requests at the admin address.
@@ -45,7 +46,7 @@
 	ready   func() bool
 }
 
-// New returns a server of the metrics, and of the readiness for clients that ready reports.
+// New returns a server for the given metrics. The function ready reports whether the process is ready for clients.
 func New(processMetrics *metrics.Metrics, ready func() bool) *Server {
 	return &Server{metrics: processMetrics, ready: ready}
 }
@@ -65,7 +66,7 @@
 	handler(w)
 }
 
-// handler returns the handler of GET requests for a path, or nil for an unknown path.
+// handler returns the handler of GET requests for a path, or nil if the path is unknown.
 func (s *Server) handler(path string) func(http.ResponseWriter) {
 	switch path {
 	case pathReady:
@@ -86,7 +87,7 @@
 	io.WriteString(w, "ready\n")
 }
 
-// writeMetrics responds with all metrics.
+// writeMetrics responds with all metrics in the Prometheus text format.
 func (s *Server) writeMetrics(w http.ResponseWriter) {
 	var text bytes.Buffer
 	s.metrics.WriteText(&text)
@@ -95,7 +96,7 @@
 	w.Write(text.Bytes())
 }
 
-// Serve accepts connections of the listener, which it closes, until ctx ends.
+// Serve serves the connections of the listener until ctx is done, and closes the listener.
 func (s *Server) Serve(ctx context.Context, listener net.Listener, log *slog.Logger) {
 	server := &http.Server{
 		Handler:           s,
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics counts what this process did since its start and renders the counts in the Prometheus text format.
+// Package metrics holds the counters and gauges of this process and renders them in the Prometheus text format.
 //
-// One Metrics is shared by the event loop, which counts, and the admin server, which reads. The package starts no
-// goroutines. Counters are atomic, so that neither a scrape delays a request nor a busy event loop a scrape.
+// The event loop updates a Metrics, and the admin server reads it. The package starts no goroutines. Counters are
+// atomic, so that a scrape does not delay requests and a busy event loop does not delay a scrape.
 package metrics
 
 import (
@@ -11,34 +11,34 @@
 	"sync/atomic"
 )
 
-// GaugeUpdatesPerSecond is how often per second the event loop publishes the gauges that only it knows; they may be
-// a fifth of a second old, and older while the loop is busy.
+// GaugeUpdatesPerSecond is how often per second the event loop updates the gauges whose values only it knows. They
+// may be a fifth of a second old, and older while the loop is busy.
 const GaugeUpdatesPerSecond = 5
 
-// maxClasses bounds the number of classes with counters: every new configuration may bring others.
+// maxClasses limits the number of classes with counters, as every new configuration may add classes.
 const maxClasses = 256
 
-// Metrics are the metrics of one process. The zero value is ready for use, by any number of goroutines.
+// Metrics holds the metrics of one process. The zero value is ready for use. It is safe for concurrent use.
 type Metrics struct {
-	PendingRequests      atomic.Int64 // requests that were accepted and have not ended
-	Attempts             atomic.Int64 // attempts written completely to an endpoint
+	PendingRequests      atomic.Int64 // requests that have been accepted and have not ended
+	Attempts             atomic.Int64 // attempts whose request was written completely to an endpoint
 	Reloads              atomic.Int64 // configuration files applied
 	ReloadErrors         atomic.Int64 // configuration files rejected
 	Endpoints            atomic.Int64 // endpoints in the list
-	UnavailableEndpoints atomic.Int64 // endpoints that drain, are ejected or in a zone outage, or failed their last health check
+	UnavailableEndpoints atomic.Int64 // endpoints draining, ejected, in a zone outage, or that failed their last health check
 
-	mu      sync.Mutex // guards classes; the counters in it are atomic
+	mu      sync.Mutex // guards classes, but not the counters in it, which are atomic
 	classes []*ClassCounters
 }
 
-// ClassCounters counts how the requests of one class ended. Any number of goroutines may use it.
+// ClassCounters counts the requests of one class by their result. It is safe for concurrent use.
 type ClassCounters struct {
 	name                        string
 	completed, rejected, failed atomic.Int64
 }
 
-// Class returns the counters of a class, new ones if it has none. They stay when a new configuration drops the class:
-// a counter that vanishes and comes back at 0 would look like a restart.
+// Class returns the counters of a class, and creates them if there are none. They are kept when a new configuration no
+// longer has the class: a counter that disappears and comes back at 0 would look like a restart.
 func (m *Metrics) Class(name string) *ClassCounters {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,7 +52,7 @@
 	return class
 }
 
-// TrimClasses drops the oldest classes that are not in use, where there are more than maxClasses.
+// TrimClasses removes the oldest classes that are not in use until at most maxClasses remain, or only classes in use.
 func (m *Metrics) TrimClasses(inUse []*ClassCounters) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,8 +66,8 @@
 	})
 }
 
-// CountStatus counts a request that ended with a status code. A nil receiver counts nothing. Status 429 is a rejection in the
-// clients' protocol, as 503 is; this sidecar sends 503 alone.
+// CountStatus counts a request that ended with the given status code. It does nothing with a nil receiver. In the
+// clients' protocol both 429 and 503 are rejections; this sidecar itself sends only 503.
 func (c *ClassCounters) CountStatus(status int) {
 	if c == nil {
 		return
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestTrimClassesBoundsClasses checks that the oldest classes which are not in use are dropped, and only so many as are
-// above the limit.
+// TestTrimClassesBoundsClasses checks that TrimClasses removes the oldest classes that are not in use, and no more of
+// them than exceed the limit.
 func TestTrimClassesBoundsClasses(t *testing.T) {
 	m := &Metrics{}
 	first := m.Class("in use")
@@ -16,11 +16,12 @@
 		m.TrimClasses([]*ClassCounters{first, m.Class(fmt.Sprint(i))})
 	}
 	if len(m.classes) != maxClasses || m.classes[0] != first || m.classes[1].name != fmt.Sprint(2*maxClasses+1) {
-		t.Errorf("%d classes, the second is %q", len(m.classes), m.classes[1].name)
+		t.Errorf("got %d classes, first %q, second %q, want %d, %q, %q",
+			len(m.classes), m.classes[0].name, m.classes[1].name, maxClasses, first.name, fmt.Sprint(2*maxClasses+1))
 	}
 }
 
-// TestWriteTextEscapesClassNames checks that a class of any name gives valid text.
+// TestWriteTextEscapesClassNames checks that a class name with special characters is escaped in the text format.
 func TestWriteTextEscapesClassNames(t *testing.T) {
 	m := &Metrics{}
 	m.Class("a\"b\\c\nd").CountStatus(429)
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -8,19 +8,19 @@
 	"sync/atomic"
 )
 
-// namePrefix begins the name of every metric.
+// namePrefix is the prefix of the name of every metric.
 const namePrefix = "edge_node_"
 
-// classLabel is the label with the class of a request.
+// classLabel is the name of the label whose value is the class of a request.
 const classLabel = "lane"
 
-// Types of metrics in the text format.
+// Metric types in the text format.
 const (
 	typeCounter = "counter"
 	typeGauge   = "gauge"
 )
 
-// labelEscaper escapes a label's value in the text format.
+// labelEscaper escapes the value of a label in the text format.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 // WriteText renders all metrics in the Prometheus text format. Write errors are ignored.
@@ -29,7 +29,7 @@
 	m.writeProcessMetrics(w)
 }
 
-// writeRequestCounters renders the counters of each class.
+// writeRequestCounters renders the counters of all classes.
 func (m *Metrics) writeRequestCounters(w io.Writer) {
 	const name = "downstream_requests_total"
 	m.mu.Lock()
