--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,7 @@
-// Package logging writes the log of the process. It guards against an event loop that stops, and with it all requests,
-// because a terminal, a pipe or a disk does not accept a log line: a line is handed to a goroutine that writes it, whoever logs
-// never waits. A bounded number of lines waits meanwhile; further ones are dropped, and their number is logged later.
+// Package logging writes the log of the process without blocking its callers. If a terminal, a pipe or a disk did not
+// accept a log line, a blocking log call would stop the event loop and all requests with it. Log lines are therefore
+// queued for a goroutine that writes them. If the queue is full, further lines are dropped, and their number is logged
+// later.
 package logging
 
 import (
@@ -16,23 +17,23 @@
 )
 
 const (
-	// maxQueuedLines is how many lines wait at most.
+	// maxQueuedLines is the largest number of queued lines.
 	maxQueuedLines = 4096
-	// closeTimeout is how long Close waits for the lines that have not been written.
+	// closeTimeout is how long Close waits at most for the queued lines to be written.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// Writer writes lines to another writer without waiting for it. Any goroutine may call its methods.
+// Writer queues lines and writes them to another writer from a goroutine. It is safe for concurrent use.
 type Writer struct {
-	out     io.Writer
-	queue   chan []byte
-	dropped atomic.Int64
-	closing chan struct{}
-	closeOnce  sync.Once
-	done    chan struct{} // closed when the goroutine has ended
+	out       io.Writer
+	queue     chan []byte   // lines to be written
+	dropped   atomic.Int64  // lines dropped since their number was last logged
+	closing   chan struct{} // closed by Close
+	closeOnce sync.Once
+	done      chan struct{} // closed when the goroutine has ended
 }
 
-// New returns a logger and the writer behind it, which the caller closes.
+// New returns a logger that writes to out, and its Writer, which the caller must close.
 func New(out io.Writer) (*slog.Logger, *Writer) {
 	w := &Writer{
 		out:     out,
@@ -44,7 +45,7 @@
 	return slog.New(slog.NewTextHandler(w, nil)), w
 }
 
-// Write hands over a line, or drops it if too many wait. It never fails.
+// Write queues a line, or drops it if the queue is full. It never blocks or fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.queue <- bytes.Clone(line):
@@ -54,7 +55,7 @@
 	return len(line), nil
 }
 
-// Close waits until the lines that wait are written, for closeTimeout at most.
+// Close waits until the queued lines have been written, but no longer than closeTimeout. It may be called repeatedly.
 func (w *Writer) Close() {
 	w.closeOnce.Do(func() { close(w.closing) })
 	select {
@@ -63,7 +64,7 @@
 	}
 }
 
-// run writes lines until the writer is closed and none waits.
+// run writes queued lines until the Writer is closed and the queue is empty.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -77,7 +78,7 @@
 	}
 }
 
-// writeQueued writes the lines that wait.
+// writeQueued writes the lines that are left in the queue.
 func (w *Writer) writeQueued() {
 	for {
 		select {
@@ -89,8 +90,8 @@
 	}
 }
 
-// writeLine writes a line, and before it how many were dropped. A line that cannot be written is lost: there is nowhere to
-// report that.
+// writeLine writes a line. If lines were dropped, it first logs their number. Write errors are ignored, as there is
+// nowhere to report them.
 func (w *Writer) writeLine(line []byte) {
 	if fault.Injected(fault.Log) != nil {
 		return
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -15,6 +15,7 @@
 	text    bytes.Buffer
 }
 
+// Write implements io.Writer.
 func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
@@ -22,12 +23,13 @@
 	return w.text.Write(p)
 }
 
-// TestLoggingNeverWaits checks that logging goes on while nothing accepts the lines, that those which wait are written later, and
-// that the others are counted.
+// TestLoggingNeverWaits checks that log calls do not block while the output does, that the queued lines are written
+// later, and that the number of dropped lines is logged.
 func TestLoggingNeverWaits(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	log, writer := New(out)
 	const lines = 2 * maxQueuedLines
+	const timeout = 10 * time.Second
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
@@ -37,22 +39,24 @@
 	}()
 	select {
 	case <-finished:
-	case <-time.After(10 * time.Second):
-		t.Fatal("logging waits for the writer")
+	case <-time.After(timeout):
+		t.Fatalf("logging %d lines did not finish within %v, want it not to wait for the output", lines, timeout)
 	}
 	close(out.release)
 	writer.Close()
 	<-writer.done
 	text := out.text.String()
 	if written := strings.Count(text, "msg=line"); written < maxQueuedLines || written == lines {
-		t.Errorf("%d of %d lines written, want those that could wait", written, lines)
+		t.Errorf("got %d of %d lines written, want at least the %d that fit into the queue, but not all",
+			written, lines, maxQueuedLines)
 	}
 	if !strings.Contains(text, "log lines dropped") {
-		t.Error("the dropped lines were not counted")
+		t.Error("got no line \"log lines dropped\", want one with the number of dropped lines")
 	}
 }
 
-// TestCloseWritesWaitingLines checks that the last lines of a process are not lost.
+// TestCloseWritesWaitingLines checks that Close writes the queued lines, so that the last lines of a process are not
+// lost.
 func TestCloseWritesWaitingLines(t *testing.T) {
 	var out bytes.Buffer
 	log, writer := New(&out)
@@ -61,6 +65,6 @@
 	}
 	writer.Close()
 	if written := strings.Count(out.String(), "msg=line"); written != 100 {
-		t.Errorf("%d lines written, want 100", written)
+		t.Errorf("got %d lines written, want 100", written)
 	}
 }
