--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,7 +45,7 @@
 	AcceptDuringShutdown time.Duration           // how long new connections are accepted after the shutdown signal
 
 	fileDiscovery string         // the discovery address in the file, before environment overrides
-	document      map[string]any // the parsed file, without the known endpoints
+	document      map[string]any // the parsed file for CheckReload, without the known endpoints
 }
 
 // UsePredecessor applies the discovery address and the endpoint list of the predecessor in an upgrade.
--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -39,7 +39,8 @@
 		_, err := Load(getenv)
 		fault.Use(nil)
 		if loaded := err == nil; loaded != test.loads || calls.Load() != test.calls {
-			t.Errorf("%v: got loaded %v after %d calls (error %v), want %v after %d", test.err, loaded, calls.Load(), err, test.loads, test.calls)
+			t.Errorf("%v: got loaded %v after %d calls (error %v), want %v after %d",
+				test.err, loaded, calls.Load(), err, test.loads, test.calls)
 		}
 		var fileError *FileError
 		if err != nil && !errors.As(err, &fileError) {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -88,7 +88,8 @@
 	return document, nil
 }
 
-// applySettings sets the fields that come from the settings: the configuration of package balance and the names.
+// applySettings sets the fields that come from the settings: the configuration of package balance, and the names
+// of classes, tenants, zones, machine types and load report fields.
 func (c *Config) applySettings(file *fileDocument) error {
 	if len(file.Settings) == 0 {
 		return &KeyError{Key: keySettings, Err: errMissing}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -13,8 +13,10 @@
 	// streams.
 	ReservedSockets = 24
 
+	// defaultSockets is the default of Limits.Sockets.
 	defaultSockets = 1024
-	bytesPerMB     = 1 << 20
+	// bytesPerMB is the number of bytes in a unit of Limits.MemoryMB.
+	bytesPerMB = 1 << 20
 	// goMemoryFraction is the fraction of the memory limit that the Go runtime may use. The rest is for memory that the
 	// runtime does not count: the program's code and the kernel's socket buffers.
 	goMemoryFraction = 0.75
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxReadAttempts is the largest number of attempts to read a file that fail with transient errors.
+	// maxReadAttempts limits the number of attempts to read a file while all errors are transient.
 	maxReadAttempts = 20
 	// readRetryDelay is the time between two attempts to read a file.
 	readRetryDelay = 50 * time.Millisecond
--- a/internal/http1/requestscanner_test.go
+++ b/internal/http1/requestscanner_test.go
@@ -39,7 +39,8 @@
 				rest = rest[n:]
 			}
 			if started := scanner.Started.Load(); !errors.Is(scanner.Err, test.want) || started != test.started {
-				t.Errorf("%s in reads of %d bytes: got error %v after %d requests, want %v after %d", name, step, scanner.Err, started, test.want, test.started)
+				t.Errorf("%s in reads of %d bytes: got error %v after %d requests, want %v after %d",
+					name, step, scanner.Err, started, test.want, test.started)
 			}
 			if complete := passed == len(test.text); complete != (test.want == nil) {
 				t.Errorf("%s in reads of %d bytes: got %d of %d bytes passed on, want all of them: %t",
@@ -59,7 +60,8 @@
 		atOnce, inParts := &RequestScanner{}, &RequestScanner{}
 		passedAtOnce := atOnce.Scan(text, time.Now())
 		if (passedAtOnce == len(text)) != (atOnce.Err == nil) {
-			t.Errorf("got %d of %d bytes passed on with error %v, want all of them only without an error", passedAtOnce, len(text), atOnce.Err)
+			t.Errorf("got %d of %d bytes passed on with error %v, want all of them only without an error",
+				passedAtOnce, len(text), atOnce.Err)
 		}
 		passedInParts := 0
 		for rest := text; len(rest) > 0 && inParts.Err == nil; {
