--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestCloseWritesWaitingLines checks that Close writes the queued lines, so that the last lines of a process are not
+// TestCloseWritesQueuedLines checks that Close writes the queued lines, so that the last lines of a process are not
 // lost.
-func TestCloseWritesWaitingLines(t *testing.T) {
+func TestCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	log, writer := New(&out)
 	for range 100 {
