--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -21,13 +21,14 @@
 	return resp, nil
 }
 
-// bodyIgnored reports whether ignoreBody has removed the body of a response. It is also true for a response with a status
-// other than 200 that has no body and ends its connection.
+// bodyIgnored reports whether ignoreBody has removed the body of a response. It is also true for a response with a
+// status other than 200 that has no body and ends its connection.
 func bodyIgnored(resp *http.Response) bool {
 	return resp.Body == http.NoBody && resp.Close && resp.StatusCode != http.StatusOK
 }
 
-// bufferHoldsBody reports whether the buffer contains the complete body.
+// bufferHoldsBody reports whether the buffer contains the complete body. A chunked body is assumed to be complete if
+// the buffer ends with a chunk of size zero and no trailers.
 func (r ResponseReader) bufferHoldsBody(resp *http.Response) bool {
 	if resp.ContentLength >= 0 {
 		return int64(r.Buffered()) >= resp.ContentLength
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -97,7 +97,8 @@
 		return
 	}
 	if dropped := w.dropped.Swap(0); dropped > 0 {
-		fmt.Fprintf(w.out, "time=%s level=WARN msg=\"log lines dropped\" count=%d\n", time.Now().Format(time.RFC3339Nano), dropped)
+		fmt.Fprintf(w.out, "time=%s level=WARN msg=\"log lines dropped\" count=%d\n",
+			time.Now().Format(time.RFC3339Nano), dropped)
 	}
 	w.out.Write(line)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -25,7 +25,7 @@
 	Reloads              atomic.Int64 // configuration files applied
 	ReloadErrors         atomic.Int64 // configuration files rejected
 	Endpoints            atomic.Int64 // endpoints in the list
-	UnavailableEndpoints atomic.Int64 // endpoints draining, ejected, in a zone outage, or that failed their last health check
+	UnavailableEndpoints atomic.Int64 // endpoints draining, ejected, in a zone outage, or failing the last health check
 
 	mu      sync.Mutex // guards classes, but not the counters in it, which are atomic
 	classes []*ClassCounters
