--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -36,7 +36,7 @@
 		if n > 0 || !socket.Transient(err) {
 			break
 		}
-		time.Sleep(socket.RetryPause)
+		time.Sleep(socket.RetryDelay)
 	}
 	if n > 0 && c.tracker.AfterRead != nil {
 		c.tracker.AfterRead()
--- a/internal/http1/observer.go
+++ b/internal/http1/observer.go
@@ -15,17 +15,17 @@
 	RestoreDeadline()
 }
 
-// IgnoreProgress is a ResponseObserver that does nothing.
-type IgnoreProgress struct{}
+// NopResponseObserver is a ResponseObserver that does nothing.
+type NopResponseObserver struct{}
 
 // ResponseStarted does nothing.
-func (IgnoreProgress) ResponseStarted() {}
+func (NopResponseObserver) ResponseStarted() {}
 
 // ShortenDeadline does nothing.
-func (IgnoreProgress) ShortenDeadline() {}
+func (NopResponseObserver) ShortenDeadline() {}
 
 // ShortenedDeadlineExpired returns false, because ShortenDeadline sets no deadline.
-func (IgnoreProgress) ShortenedDeadlineExpired() bool { return false }
+func (NopResponseObserver) ShortenedDeadlineExpired() bool { return false }
 
 // RestoreDeadline does nothing.
-func (IgnoreProgress) RestoreDeadline() {}
+func (NopResponseObserver) RestoreDeadline() {}
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -56,7 +56,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		reader := NewResponseReader(bytes.NewReader(text))
-		response, err := reader.Next(http.MethodPost, IgnoreProgress{})
+		response, err := reader.Next(http.MethodPost, NopResponseObserver{})
 		if response.Head == nil && err == nil || len(response.Body) > MaxBufferedBody+1 {
 			t.Errorf("got response %v with %d bytes of body, error %v, want a response or an error, and at most %d bytes",
 				response.Head, len(response.Body), err, MaxBufferedBody+1)
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -15,7 +15,7 @@
 		if n > 0 || !Transient(err) {
 			return n, err
 		}
-		time.Sleep(RetryPause)
+		time.Sleep(RetryDelay)
 	}
 }
 
@@ -42,7 +42,7 @@
 		case !Transient(err):
 			return written, err
 		}
-		time.Sleep(RetryPause)
+		time.Sleep(RetryDelay)
 	}
 }
 
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -35,8 +35,8 @@
 	syscall.ENOTSOCK,
 }
 
-// RetryPause is the time before a call that failed with a transient error is repeated.
-const RetryPause = time.Millisecond
+// RetryDelay is the time before a call that failed with a transient error is repeated.
+const RetryDelay = time.Millisecond
 
 // Exhausted reports whether err means that the machine or the process has no resources left for another socket.
 func Exhausted(err error) bool { return isAny(err, exhaustionErrors) }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -34,7 +34,7 @@
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.checkPath, *conn.address); err != nil {
 		return failedExchange(balance.ConnectFailed, err)
 	}
-	response, err := conn.reader.Next(http.MethodGet, http1.IgnoreProgress{})
+	response, err := conn.reader.Next(http.MethodGet, http1.NopResponseObserver{})
 	if err != nil {
 		return failedExchange(readErrorResult(err), err)
 	}
--- a/internal/upstream/responseobserver.go
+++ b/internal/upstream/responseobserver.go
@@ -12,7 +12,7 @@
 
 // uploadObserver observes a response that may arrive before the request body is complete. It changes no deadline.
 type uploadObserver struct {
-	http1.IgnoreProgress
+	http1.NopResponseObserver
 	attempt *Attempt
 }
 
