--- a/internal/settings/vocabulary.go
+++ b/internal/settings/enums.go
@@ -2,23 +2,23 @@
 
 import "cindersaddle/balance"
 
-// Words of the document with a meaning of their own.
+// Enumerated values that the code refers to by name.
 const (
 	discoveryAutomatic = "automatic"
-	// discoverySubscribe: changes of the endpoint list come only to an instance that subscribes to them or polls. The
-	// balancer requests the list then: balance.Config.PolledDiscovery.
+	// discoverySubscribe means that discovery sends changes of the endpoint list only to an instance that subscribes
+	// or polls. It sets balance.Config.PolledDiscovery, so that the balancer requests the list.
 	discoverySubscribe   = "subscribe"
 	effectIdempotencyKey = "idempotency_key"
 )
 
-// idempotencies maps the effect of a class.
+// idempotencies maps the values of a class's key effect.
 var idempotencies = map[string]balance.Idempotency{
 	"read_like":          balance.Idempotent,
 	effectIdempotencyKey: balance.IdempotencyKey,
 	"non_idempotent":     balance.NonIdempotent,
 }
 
-// dedupScopes maps the group of endpoints that remember a key.
+// dedupScopes maps the values of a class's key group.
 var dedupScopes = map[string]balance.DedupScope{
 	"":     balance.DedupAll,
 	"all":  balance.DedupAll,
@@ -26,7 +26,7 @@
 	"cell": balance.DedupCell,
 }
 
-// loadReportModes maps how load reports come.
+// loadReportModes maps the values of report.via.
 var loadReportModes = map[string]balance.LoadReportMode{
 	"":          balance.LoadReportsNone,
 	"silent":    balance.LoadReportsNone,
@@ -34,8 +34,9 @@
 	"pull":      balance.LoadReportsPolled,
 }
 
-// loadFields lacks the fields of later versions: those become balance.LoadFieldUnknown.
-var loadFields = map[string]balance.LoadField{
+// loadFieldsByName maps the names in report.fields. The names that later versions add are not in it and map to
+// balance.LoadFieldUnknown, the zero value.
+var loadFieldsByName = map[string]balance.LoadField{
 	"rif":       balance.LoadFieldInFlight,
 	"q":         balance.LoadFieldQueue,
 	"busy":      balance.LoadFieldUtilization,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings translates the settings document, which the simulator sends and the configuration file holds, to
-// the configuration of package balance, and checks it.
+// Package settings parses and validates the settings document, and converts it to the configuration of package balance.
+// The document is sent by the simulator and is part of the configuration file.
 //
-// It keeps no state and starts no goroutines: Parse may be called from anywhere.
+// The package has no mutable state, so Parse may be called from any goroutine.
 package settings
 
 import (
@@ -12,17 +12,19 @@
 	"cindersaddle/balance"
 )
 
-// Values of keys that the document leaves out.
+// Defaults of keys that the document does not have.
 const (
 	defaultOverQuotaWeight = 1.0
 	defaultMaxAttempts     = 1.0
-	defaultWarmUpFraction  = 1.0 // of the full load: no warm-up
+	defaultInitialFraction = 1.0 // of the endpoint's capacity: no slow start
 	defaultPriorityWeight  = 1.0
-	minInstances           = 1
 )
 
-// Parse checks a settings document and translates it. Its errors begin with "settings: "; an error about one key is a
-// *KeyError.
+// minInstanceCount is the least number of instances: this one. It also replaces an absent or lower peers_total.
+const minInstanceCount = 1
+
+// Parse validates a settings document and converts it to a configuration with the given random seed. Its errors begin
+// with "settings: ". An invalid or missing value is reported as a *KeyError.
 func Parse(seed uint64, text []byte) (balance.Config, error) {
 	var parsed document
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -31,54 +33,54 @@
 	if err := parsed.validate(); err != nil {
 		return balance.Config{}, err
 	}
-	return parsed.translate(seed), nil
+	return parsed.toConfig(seed), nil
 }
 
-// translate returns the configuration of a checked document.
-func (d *document) translate(seed uint64) balance.Config {
+// toConfig converts a validated document.
+func (d *document) toConfig(seed uint64) balance.Config {
 	cfg := balance.Config{
 		Seed:          seed,
 		InstanceIndex: d.InstanceIndex,
-		InstanceCount: max(d.InstanceCount, minInstances),
+		InstanceCount: max(d.InstanceCount, minInstanceCount),
 		Zone:          d.Zone,
 
-		MinBatchInterval:    d.Quantum,
-		OverQuotaWeight:     valueOr(d.OverQuotaWeight, defaultOverQuotaWeight),
+		MinBatchInterval:    d.MinBatchInterval,
+		OverQuotaWeight:     valueOrDefault(d.OverQuotaWeight, defaultOverQuotaWeight),
 		ClientRetriesMarked: d.Clients.MarkRetries,
-		KeyCaching:          d.Family.KeyCaching,
+		KeyCaching:          d.Application.KeyCaching,
 
 		LoadReports:      loadReportModes[d.Report.Mode],
-		LoadReportFields: d.loadReportFields(),
+		LoadReportFields: d.reportFields(),
 		PolledDiscovery:  d.Discovery == discoverySubscribe,
 
 		Classes: d.classes(),
 		Tenants: d.tenants(),
-		Costs:   d.Costs.translate(),
+		Costs:   d.Costs.toCosts(),
 	}
-	d.Limits.apply(&cfg)
-	d.Rules.apply(&cfg)
+	d.Limits.applyTo(&cfg)
+	d.Rules.applyTo(&cfg)
 	return cfg
 }
 
-// loadReportFields returns the fields of a load report in their order.
-func (d *document) loadReportFields() []balance.LoadField {
+// reportFields converts the names of the values in a load report, in order.
+func (d *document) reportFields() []balance.LoadField {
 	var fields []balance.LoadField
 	for _, name := range d.Report.Fields {
-		fields = append(fields, loadFields[name])
+		fields = append(fields, loadFieldsByName[name])
 	}
 	return fields
 }
 
-// classes returns the classes of requests in their order.
+// classes converts the classes of requests, in order.
 func (d *document) classes() []balance.Class {
 	var classes []balance.Class
 	for i := range d.Classes {
-		classes = append(classes, d.Classes[i].translate())
+		classes = append(classes, d.Classes[i].toClass())
 	}
 	return classes
 }
 
-// tenants returns the quotas of the tenants in their order.
+// tenants converts the quotas of the tenants, in order.
 func (d *document) tenants() []balance.Tenant {
 	var tenants []balance.Tenant
 	for _, tenant := range d.Tenants {
@@ -87,8 +89,8 @@
 	return tenants
 }
 
-// translate returns one class. Without a window its endpoints remember a key for ever.
-func (c *classDocument) translate() balance.Class {
+// toClass converts a class. Without a dedup window, endpoints are assumed to remember an idempotency key forever.
+func (c *classDocument) toClass() balance.Class {
 	objective := c.LatencyObjective
 	if objective == 0 {
 		objective = c.Deadline
@@ -96,38 +98,38 @@
 	return balance.Class{
 		Idempotency:      idempotencies[c.Effect],
 		DedupScope:       dedupScopes[c.DedupScope],
-		DedupWindow:      valueOr(c.DedupWindow, balance.Milliseconds(math.Inf(1))),
+		DedupWindow:      valueOrDefault(c.DedupWindow, balance.Milliseconds(math.Inf(1))),
 		LatencyObjective: objective,
 		Deadline:         c.Deadline,
-		PriorityWeight:   valueOr(c.PriorityWeight, defaultPriorityWeight),
+		PriorityWeight:   valueOrDefault(c.PriorityWeight, defaultPriorityWeight),
 		LateWeight:       c.LateWeight,
 		Streaming:        c.Streaming,
 	}
 }
 
-// apply sets what a sidecar may do.
-func (l *limitsDocument) apply(cfg *balance.Config) {
+// applyTo sets the limits of the sidecar and the operations that it may use.
+func (l *limitsDocument) applyTo(cfg *balance.Config) {
 	cfg.Cancellation = l.Cancellation
 	cfg.ConnectTimeout = l.ConnectTimeout
 	cfg.ConnIdleTimeout = l.ConnIdleTimeout
-	cfg.MaxAttempts = int(valueOr(l.MaxAttempts, defaultMaxAttempts))
+	cfg.MaxAttempts = int(valueOrDefault(l.MaxAttempts, defaultMaxAttempts))
 	cfg.MaxRetryAfter = l.MaxRetryAfter
 	cfg.HealthChecks = l.HealthChecks
 	cfg.RetryAfter = l.RetryAfter
 }
 
-// apply sets the rules of timing, warm-up and overload.
-func (r *rulesDocument) apply(cfg *balance.Config) {
+// applyTo sets time limits and the rules of slow start.
+func (r *rulesDocument) applyTo(cfg *balance.Config) {
 	cfg.MaxPollInterval = r.MaxPollInterval
-	cfg.SlowStartInitialFraction = valueOr(r.WarmUpFraction, defaultWarmUpFraction)
-	cfg.SlowStartDuration = r.WarmUpDuration
+	cfg.SlowStartInitialFraction = valueOrDefault(r.SlowStartInitialFraction, defaultInitialFraction)
+	cfg.SlowStartDuration = r.SlowStartDuration
 	cfg.DrainGrace = r.DrainGrace
-	cfg.SlowStartOverloadWindow = r.OverloadWindow
-	cfg.SlowStartOverloadFactor = r.OverloadFactor
+	cfg.SlowStartOverloadWindow = r.SlowStartOverloadWindow
+	cfg.SlowStartOverloadFactor = r.SlowStartOverloadFactor
 }
 
-// translate returns the costs of what a sidecar does.
-func (c *costsDocument) translate() balance.Costs {
+// toCosts converts the costs of operations, without those that no decision needs.
+func (c *costsDocument) toCosts() balance.Costs {
 	return balance.Costs{
 		CrossZone:     c.CrossZone,
 		NewConnection: c.NewConnection,
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -6,32 +6,32 @@
 	"math"
 )
 
-// Reasons of a KeyError.
+// Reasons in a KeyError.
 var (
-	errNoClasses      = errors.New("no classes")
-	errNotPositive    = errors.New("want a number above 0")
-	errNegative       = errors.New("want 0 or more")
-	errNotFraction    = errors.New("want 0 to 1")
-	errNotAttempts    = errors.New("want a whole number, 1 or more")
-	errUnknownWord    = errors.New("unknown word")
-	errWindowMissing  = errors.New("missing, although effect is idempotency_key")
-	errOverloadAbsent = errors.New("set without rules.fall_multiple or rules.fall_ms")
+	errNoClasses             = errors.New("no classes")
+	errNotPositive           = errors.New("want a number above 0")
+	errNegative              = errors.New("want 0 or more")
+	errNotFraction           = errors.New("want 0 to 1")
+	errInvalidMaxAttempts    = errors.New("want a whole number, 1 or more")
+	errUnknownWord           = errors.New("unknown word")
+	errDedupWindowRequired   = errors.New("missing, although effect is idempotency_key")
+	errOverloadRulesRequired = errors.New("set without rules.fall_multiple or rules.fall_ms")
 )
 
-// KeyError reports a key of the settings document that has no usable value.
+// KeyError reports a key of the settings document whose value is invalid or missing.
 type KeyError struct {
-	Key   string // path in the document, such as rules.cold_ms
-	Value any    // as in the document; nil: no value
-	Err   error
+	Key   string // path in the document, such as rules.cold_ms or classes.0.effect
+	Value any    // the value received; nil: missing or empty
+	Err   error  // the reason, which says what is valid
 }
 
-// Error names the key, its value and the reason.
+// Error implements error. It names the key, its value and the reason.
 func (e *KeyError) Error() string {
 	if e.Value == nil {
 		return fmt.Sprintf("settings: %s: %v", e.Key, e.Err)
 	}
-	if word, isWord := e.Value.(string); isWord {
-		return fmt.Sprintf("settings: %s is %q: %v", e.Key, word, e.Err)
+	if text, isString := e.Value.(string); isString {
+		return fmt.Sprintf("settings: %s is %q: %v", e.Key, text, e.Err)
 	}
 	return fmt.Sprintf("settings: %s is %v: %v", e.Key, e.Value, e.Err)
 }
@@ -39,32 +39,33 @@
 // Unwrap returns the reason.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// number is a key of the document with its value, or with the default.
-type number struct {
+// numericKey is a key of the document and its value or default.
+type numericKey struct {
 	key   string
 	value float64
 }
 
-// validate rejects what no deployment can mean: a silent default in its place could break a rule.
+// validate rejects values that make no sense in any deployment. Replacing such a value with a default without notice
+// could break a rule of the deployment.
 func (d *document) validate() error {
-	checks := []func() error{
-		d.validateWords,
+	validators := []func() error{
+		d.validateEnums,
 		d.validateClasses,
 		d.validateNumbers,
-		d.validateWarmUp,
+		d.validateSlowStart,
 		d.validateMaxAttempts,
 	}
-	for _, check := range checks {
-		if err := check(); err != nil {
+	for _, validate := range validators {
+		if err := validate(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// validateWords checks the words outside the classes. Any word for the ratings is valid: each endpoint of the
-// list says its rating itself.
-func (d *document) validateWords() error {
+// validateEnums checks the enumerated values outside the classes. The key weights accepts any value, because the
+// endpoint list contains each endpoint's rating.
+func (d *document) validateEnums() error {
 	switch d.Discovery {
 	case "", discoveryAutomatic, discoverySubscribe:
 	default:
@@ -76,61 +77,61 @@
 	return nil
 }
 
-// validateNumbers checks the numbers outside the classes that must not be negative.
+// validateNumbers checks that numbers outside the classes are not negative.
 func (d *document) validateNumbers() error {
 	rules, limits := &d.Rules, &d.Limits
-	return validateNotNegative("", []number{
-		{"rules.answer_slack_ms", float64(rules.AnswerGrace)},
+	return validateNotNegative("", []numericKey{
+		{"rules.answer_slack_ms", float64(rules.ResponseGrace)},
 		{"rules.ask_within_ms", float64(rules.MaxPollInterval)},
-		{"rules.cold_ms", float64(rules.WarmUpDuration)},
+		{"rules.cold_ms", float64(rules.SlowStartDuration)},
 		{"rules.drain_grace_ms", float64(rules.DrainGrace)},
-		{"rules.fall_ms", float64(rules.OverloadWindow)},
-		{"rules.fall_multiple", rules.OverloadFactor},
+		{"rules.fall_ms", float64(rules.SlowStartOverloadWindow)},
+		{"rules.fall_multiple", rules.SlowStartOverloadFactor},
 		{"limits.connect_timeout_ms", float64(limits.ConnectTimeout)},
 		{"limits.conn_idle_ms", float64(limits.ConnIdleTimeout)},
 		{"limits.max_retry_after_ms", float64(limits.MaxRetryAfter)},
 		{"limits.open_cap", float64(limits.MaxOpenRequests)},
-		{"quantum_ms", float64(d.Quantum)},
-		{"over_share_worth", valueOr(d.OverQuotaWeight, defaultOverQuotaWeight)},
+		{"quantum_ms", float64(d.MinBatchInterval)},
+		{"over_share_worth", valueOrDefault(d.OverQuotaWeight, defaultOverQuotaWeight)},
 		{"zone", float64(d.Zone)},
 	})
 }
 
-// validateNotNegative checks numbers whose keys have the prefix.
-func validateNotNegative(prefix string, numbers []number) error {
-	for _, number := range numbers {
-		if number.value < 0 {
-			return &KeyError{Key: prefix + number.key, Value: number.value, Err: errNegative}
+// validateNotNegative returns an error for the first negative number. The error has prefix before the key.
+func validateNotNegative(prefix string, numbers []numericKey) error {
+	for _, n := range numbers {
+		if n.value < 0 {
+			return &KeyError{Key: prefix + n.key, Value: n.value, Err: errNegative}
 		}
 	}
 	return nil
 }
 
-// validateWarmUp checks the rules of the warm-up, which need those of overload: they say when an endpoint that warms up
-// fails.
-func (d *document) validateWarmUp() error {
+// validateSlowStart checks the rules of slow start. A slow start requires the overload rules, which say at what load an
+// endpoint in slow start fails.
+func (d *document) validateSlowStart() error {
 	rules := &d.Rules
-	fraction := valueOr(rules.WarmUpFraction, defaultWarmUpFraction)
+	fraction := valueOrDefault(rules.SlowStartInitialFraction, defaultInitialFraction)
 	if fraction < 0 || fraction > 1 {
 		return &KeyError{Key: "rules.cold_from", Value: fraction, Err: errNotFraction}
 	}
-	overloadUnset := rules.OverloadFactor == 0 || rules.OverloadWindow == 0
-	if rules.WarmUpDuration > 0 && overloadUnset {
-		return &KeyError{Key: "rules.cold_ms", Value: rules.WarmUpDuration, Err: errOverloadAbsent}
+	overloadUnset := rules.SlowStartOverloadFactor == 0 || rules.SlowStartOverloadWindow == 0
+	if rules.SlowStartDuration > 0 && overloadUnset {
+		return &KeyError{Key: "rules.cold_ms", Value: rules.SlowStartDuration, Err: errOverloadRulesRequired}
 	}
 	return nil
 }
 
-// validateMaxAttempts checks that the limit of attempts is a whole number.
+// validateMaxAttempts checks that the limit on attempts is a whole number from 1 to math.MaxInt32.
 func (d *document) validateMaxAttempts() error {
-	attempts := valueOr(d.Limits.MaxAttempts, defaultMaxAttempts)
+	attempts := valueOrDefault(d.Limits.MaxAttempts, defaultMaxAttempts)
 	if attempts < 1 || attempts != math.Trunc(attempts) || attempts > math.MaxInt32 {
-		return &KeyError{Key: "limits.max_attempts", Value: attempts, Err: errNotAttempts}
+		return &KeyError{Key: "limits.max_attempts", Value: attempts, Err: errInvalidMaxAttempts}
 	}
 	return nil
 }
 
-// validateClasses checks all classes, of which there must be one at least.
+// validateClasses checks that there is at least one class, and that all classes are valid.
 func (d *document) validateClasses() error {
 	if len(d.Classes) == 0 {
 		return &KeyError{Key: "classes", Err: errNoClasses}
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// validate checks one class, whose keys have the prefix.
+// validate checks a class. Errors have prefix before the key.
 func (c *classDocument) validate(prefix string) error {
 	if _, known := idempotencies[c.Effect]; !known {
 		return &KeyError{Key: prefix + "effect", Value: c.Effect, Err: errUnknownWord}
@@ -154,10 +155,10 @@
 	if c.Deadline <= 0 {
 		return &KeyError{Key: prefix + "hard_limit_ms", Value: c.Deadline, Err: errNotPositive}
 	}
-	err := validateNotNegative(prefix, []number{
+	err := validateNotNegative(prefix, []numericKey{
 		{"on_time_ms", float64(c.LatencyObjective)},
-		{"window_ms", float64(valueOr(c.DedupWindow, 0))},
-		{"worth", valueOr(c.PriorityWeight, defaultPriorityWeight)},
+		{"window_ms", float64(valueOrDefault(c.DedupWindow, 0))},
+		{"worth", valueOrDefault(c.PriorityWeight, defaultPriorityWeight)},
 		{"late_worth", c.LateWeight},
 		{"aim_stretch", c.ObjectiveStretch},
 	})
@@ -165,7 +166,7 @@
 		return err
 	}
 	if c.Effect == effectIdempotencyKey && c.DedupWindow == nil {
-		return &KeyError{Key: prefix + "window_ms", Err: errWindowMissing}
+		return &KeyError{Key: prefix + "window_ms", Err: errDedupWindowRequired}
 	}
 	return nil
 }
