--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -10,12 +10,15 @@
 var (
 	errNoClasses             = errors.New("no classes")
 	errNotPositive           = errors.New("want a number above 0")
-	errNegative              = errors.New("want 0 or more")
-	errNotFraction           = errors.New("want 0 to 1")
-	errInvalidMaxAttempts    = errors.New("want a whole number, 1 or more")
-	errUnknownWord           = errors.New("unknown word")
-	errDedupWindowRequired   = errors.New("missing, although effect is idempotency_key")
-	errOverloadRulesRequired = errors.New("set without rules.fall_multiple or rules.fall_ms")
+	errNegative              = errors.New("want a number of 0 or more")
+	errNotFraction           = errors.New("want a number from 0 to 1")
+	errInvalidMaxAttempts    = errors.New("want a whole number from 1 to 2147483647")
+	errUnknownDiscovery      = errors.New(`want "automatic" or "subscribe"`)
+	errUnknownReportMode     = errors.New(`want "silent", "piggyback" or "pull"`)
+	errUnknownEffect         = errors.New(`want "read_like", "idempotency_key" or "non_idempotent"`)
+	errUnknownDedupScope     = errors.New(`want "all", "zone" or "cell"`)
+	errDedupWindowRequired   = errors.New("missing, want a number of 0 or more because effect is idempotency_key")
+	errOverloadRulesRequired = errors.New("want rules.fall_multiple and rules.fall_ms above 0 as well")
 )
 
 // KeyError reports a key of the settings document whose value is invalid or missing.
@@ -69,10 +72,10 @@
 	switch d.Discovery {
 	case "", discoveryAutomatic, discoverySubscribe:
 	default:
-		return &KeyError{Key: "discovery", Value: d.Discovery, Err: errUnknownWord}
+		return &KeyError{Key: "discovery", Value: d.Discovery, Err: errUnknownDiscovery}
 	}
 	if _, known := loadReportModes[d.Report.Mode]; !known {
-		return &KeyError{Key: "report.via", Value: d.Report.Mode, Err: errUnknownWord}
+		return &KeyError{Key: "report.via", Value: d.Report.Mode, Err: errUnknownReportMode}
 	}
 	return nil
 }
@@ -147,10 +150,10 @@
 // validate checks a class. Errors have prefix before the key.
 func (c *classDocument) validate(prefix string) error {
 	if _, known := idempotencies[c.Effect]; !known {
-		return &KeyError{Key: prefix + "effect", Value: c.Effect, Err: errUnknownWord}
+		return &KeyError{Key: prefix + "effect", Value: c.Effect, Err: errUnknownEffect}
 	}
 	if _, known := dedupScopes[c.DedupScope]; !known {
-		return &KeyError{Key: prefix + "group", Value: c.DedupScope, Err: errUnknownWord}
+		return &KeyError{Key: prefix + "group", Value: c.DedupScope, Err: errUnknownDedupScope}
 	}
 	if c.Deadline <= 0 {
 		return &KeyError{Key: prefix + "hard_limit_ms", Value: c.Deadline, Err: errNotPositive}
