--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -9,53 +9,58 @@
 	"cindersaddle/internal/wire"
 )
 
-// notStartedError reports an event for an instance that has not started, or that was stopped.
+// notStartedError reports an event for an instance that has not started or has stopped.
 type notStartedError struct{ Instance uint16 }
 
-// Error names the instance.
+// Error implements error. It names the instance.
 func (e *notStartedError) Error() string {
 	return fmt.Sprintf("event for instance %d, which has not started", e.Instance)
 }
 
-// host runs the instances of this process; they share nothing.
+// host runs the instances of this process. Instances share no state.
 type host struct {
-	balancers map[uint16]*balance.Balancer // by instance; nil: its settings were invalid, its events are ignored
-	reply     wire.Reply
+	// balancers holds the balancer of each instance. It is nil if the settings of the instance were invalid; the
+	// events of such an instance are ignored.
+	balancers map[uint16]*balance.Balancer
+	reply     wire.Reply // response to the current frame
 }
 
-// handle delivers one record to its instance. A panic of an instance is a fault of that instance only.
+// handle processes a record. A panic is reported as a fault of the record's instance, and other instances continue to
+// run. An error ends the adapter.
 func (h *host) handle(clock balance.Milliseconds, record wire.Record) error {
 	defer func() {
 		if reason := recover(); reason != nil {
-			h.reply.Fault(record.Instance, fmt.Sprintf("panic: %v\n%s", reason, debug.Stack()))
+			h.reply.AddFault(record.Instance, fmt.Sprintf("panic: %v\n%s", reason, debug.Stack()))
 		}
 	}()
 	switch record.Kind {
 	case wire.InstanceStarted:
-		h.start(clock, record.Instance, record.Start)
+		h.startInstance(clock, record.Instance, record.Start)
 	case wire.InstanceStopped:
 		delete(h.balancers, record.Instance)
 	case wire.EventOccurred:
-		return h.deliver(clock, record.Instance, record.Event)
+		return h.deliverEvent(clock, record.Instance, record.Event)
 	}
 	return nil
 }
 
-// start starts an instance, in place of an earlier one of its number.
-func (h *host) start(clock balance.Milliseconds, instance uint16, start wire.InstanceStart) {
+// startInstance starts an instance. It replaces an earlier instance with the same number. Invalid settings are reported
+// as a fault.
+func (h *host) startInstance(clock balance.Milliseconds, instance uint16, start wire.InstanceStart) {
 	cfg, err := settings.Parse(start.Seed, start.Settings)
 	if err != nil {
 		h.balancers[instance] = nil
-		h.reply.Fault(instance, err.Error())
+		h.reply.AddFault(instance, err.Error())
 		return
 	}
 	balancer := balance.New(cfg)
 	h.balancers[instance] = balancer
-	h.reply.Add(instance, balancer.Start(clock))
+	h.reply.AddActions(instance, balancer.Start(clock))
 }
 
-// deliver hands an event to an instance. Its error ends the adapter.
-func (h *host) deliver(clock balance.Milliseconds, instance uint16, event balance.Event) error {
+// deliverEvent passes an event to an instance. An event that the balancer rejects is reported as a fault. An error is
+// returned only if the instance has not started; it ends the adapter.
+func (h *host) deliverEvent(clock balance.Milliseconds, instance uint16, event balance.Event) error {
 	balancer, started := h.balancers[instance]
 	if !started {
 		return &notStartedError{Instance: instance}
@@ -65,9 +70,9 @@
 	}
 	actions, err := balancer.Handle(clock, event)
 	if err != nil {
-		h.reply.Fault(instance, err.Error())
+		h.reply.AddFault(instance, err.Error())
 		return nil
 	}
-	h.reply.Add(instance, actions)
+	h.reply.AddActions(instance, actions)
 	return nil
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,8 +1,9 @@
-// Command adapter runs instances of package balance for the simulator: frames come in on standard input, one reply to
-// each goes out on standard output.
+// Command adapter runs instances of package balance for the simulator. It reads frames from standard input and writes a
+// reply to each frame to standard output.
 //
-// One goroutine does all the work. It ends with status 1 when a frame cannot be decoded or is for an instance that has
-// not started; a fault of one instance is reported in the reply.
+// All work is done in one goroutine. The command exits with status 1 if a frame cannot be read or decoded, if a record
+// is for an instance that has not started, or if a reply cannot be written. A fault of an instance is reported in the
+// reply and does not end the command.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"cindersaddle/internal/wire"
 )
 
-// inputBufferSize is the size of the buffer of the input, in bytes.
+// inputBufferSize is the size of the buffer for standard input, in bytes.
 const inputBufferSize = 1 << 16
 
 func main() {
@@ -25,7 +26,7 @@
 	}
 }
 
-// run reads frames and writes a reply to each until the input ends.
+// run reads frames from input and writes a reply to each frame to output, until the input ends.
 func run(input io.Reader, output io.Writer) error {
 	host := host{balancers: map[uint16]*balance.Balancer{}}
 	reader := wire.NewReader(bufio.NewReaderSize(input, inputBufferSize))
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -2,14 +2,14 @@
 
 import "cindersaddle/balance"
 
-// Codes of records from the simulator.
+// Codes of the records that the simulator sends.
 const (
 	codeServerTable       = 1000
 	codeRequest           = 1010
 	codeTimerFired        = 1020
 	codeStreamStarted     = 1030
 	codeEndpointUpdate    = 1040
-	codePeerMessage       = 1050 // from another instance; ignored
+	codePeerMessage       = 1050 // sent by another instance; ignored
 	codeInstanceStopped   = 1060
 	codeInstanceStarted   = 1070
 	codeHealthCheckResult = 1080
@@ -17,7 +17,7 @@
 	codeClientGone        = 1100
 )
 
-// Codes of actions to the simulator.
+// Codes of the actions that are sent to the simulator.
 const (
 	codeSendAttempt    = 1000
 	codeRejectRequest  = 1010
@@ -30,30 +30,33 @@
 	codeWatchEndpoints = 1100
 )
 
-// Flags of a request.
+// Flags of a request, as bits.
 const (
 	flagHasWorkHint = 1 << iota
 	flagClientRetry
 	flagWrite
 )
 
-// updateFailed is the kind of an endpoint update that carries no server table.
-const updateFailed = 2
+// updateKindFailed is the code of the only kind of endpoint update that refers to no server table.
+const updateKindFailed = 2
 
-var updateKinds = map[uint8]balance.UpdateKind{
-	0:            balance.UpdateSnapshot,
-	1:            balance.UpdateCachedSnapshot,
-	updateFailed: balance.UpdateFailed,
-	3:            balance.UpdateDelta,
+// updateKindsByCode maps the codes of the kinds of endpoint updates.
+var updateKindsByCode = map[uint8]balance.UpdateKind{
+	0:                balance.UpdateSnapshot,
+	1:                balance.UpdateCachedSnapshot,
+	updateKindFailed: balance.UpdateFailed,
+	3:                balance.UpdateDelta,
 }
 
-var endpointStates = map[uint8]balance.EndpointState{
+// endpointStatesByCode maps the codes of the states in a server table.
+var endpointStatesByCode = map[uint8]balance.EndpointState{
 	0: balance.Ready,
 	1: balance.Gone,
 	2: balance.Draining,
 }
 
-var results = map[uint16]balance.Result{
+// resultsByCode maps the codes of the results of attempts and health checks.
+var resultsByCode = map[uint16]balance.Result{
 	0:  balance.OK,
 	1:  balance.Cancelled,
 	4:  balance.TimedOut,
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -7,24 +7,24 @@
 	"cindersaddle/balance"
 )
 
-// portBits is the width of the port in an endpoint ID.
+// portBits is the number of low bits of an endpoint ID that hold the port; the bits above them hold the IPv4 address.
 const portBits = 16
 
-// cursor takes values off a frame, one after the other. A read past the end sets short and returns zero, and so do all
-// reads after it.
+// cursor reads the values of a frame in sequence. A read past the end of the frame sets truncated and
+// returns zero, and so does every read after it.
 type cursor struct {
-	data  []byte
-	pos   int
-	short bool
+	data      []byte
+	pos       int  // index in data of the next byte
+	truncated bool // a read went past the end of data
 }
 
-// remaining returns the number of bytes that were not read.
+// remaining returns the number of unread bytes.
 func (c *cursor) remaining() int { return len(c.data) - c.pos }
 
-// bytes returns the next n bytes, which belong to the frame.
-func (c *cursor) bytes(n uint32) []byte {
+// readBytes returns the next n bytes. They share memory with the frame.
+func (c *cursor) readBytes(n uint32) []byte {
 	if uint64(n) > uint64(c.remaining()) {
-		c.short = true
+		c.truncated = true
 		c.pos = len(c.data)
 		return nil
 	}
@@ -33,61 +33,63 @@
 	return c.data[start:c.pos:c.pos]
 }
 
-func (c *cursor) uint8() uint8 {
-	if b := c.bytes(1); b != nil {
+func (c *cursor) readUint8() uint8 {
+	if b := c.readBytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (c *cursor) uint16() uint16 {
-	if b := c.bytes(2); b != nil {
+func (c *cursor) readUint16() uint16 {
+	if b := c.readBytes(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (c *cursor) uint32() uint32 {
-	if b := c.bytes(4); b != nil {
+func (c *cursor) readUint32() uint32 {
+	if b := c.readBytes(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (c *cursor) uint64() uint64 {
-	if b := c.bytes(8); b != nil {
+func (c *cursor) readUint64() uint64 {
+	if b := c.readBytes(8); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
 	return 0
 }
 
-// float64 returns the next number, or 0 where it is not finite.
-func (c *cursor) float64() float64 {
-	value := math.Float64frombits(c.uint64())
+// readFloat64 returns the next number, or 0 if it is not finite.
+func (c *cursor) readFloat64() float64 {
+	value := math.Float64frombits(c.readUint64())
 	if !isFinite(value) {
 		return 0
 	}
 	return value
 }
 
-// milliseconds returns the next point in time or span of time, or 0 where it is not finite.
-func (c *cursor) milliseconds() balance.Milliseconds { return balance.Milliseconds(c.float64()) }
+// readMilliseconds returns the next time or duration, or 0 if it is not finite.
+func (c *cursor) readMilliseconds() balance.Milliseconds {
+	return balance.Milliseconds(c.readFloat64())
+}
 
-// float32 returns the next number, or 0 where it is not finite.
-func (c *cursor) float32() float32 {
-	value := math.Float32frombits(c.uint32())
+// readFloat32 returns the next number, or 0 if it is not finite.
+func (c *cursor) readFloat32() float32 {
+	value := math.Float32frombits(c.readUint32())
 	if !isFinite(float64(value)) {
 		return 0
 	}
 	return value
 }
 
-func (c *cursor) requestID() balance.RequestID { return balance.RequestID(c.uint64()) }
+func (c *cursor) readRequestID() balance.RequestID { return balance.RequestID(c.readUint64()) }
 
-// endpointID packs the four bytes of an IPv4 address and a port into an ID.
-func (c *cursor) endpointID() balance.EndpointID {
-	address := uint64(c.uint32())
-	port := uint64(c.uint16())
+// readEndpointID reads an IPv4 address and a port, and returns the endpoint ID that consists of both.
+func (c *cursor) readEndpointID() balance.EndpointID {
+	address := uint64(c.readUint32())
+	port := uint64(c.readUint16())
 	return balance.EndpointID(address<<portBits | port)
 }
 
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,10 +1,11 @@
-// Package wire translates the simulator's binary frames to events of package balance, and its actions to frames. It
-// takes no decisions.
+// Package wire decodes the simulator's binary frames to events of package balance, and encodes the actions of package
+// balance as frames. It makes no decisions.
 //
-// A frame from the simulator has a header (number of records, length in bytes, clock in milliseconds) and records; a
-// record has a code, an instance and fields. A frame to the simulator has a length and actions. All numbers are
-// big-endian and without padding.
+// A frame from the simulator consists of a header (number of records, length of the frame in bytes, clock in
+// milliseconds) and records. A record consists of a code, the number of an instance, and fields that depend on the
+// code. A frame to the simulator consists of its length in bytes and actions, which also begin with a code and an
+// instance. All numbers are big-endian and not padded.
 //
-// A Reader owns the server tables, which later frames refer to; a Reply owns the bytes of one frame. Neither starts a
-// goroutine, and each must be used by one goroutine at a time.
+// A Reader retains the server tables (numbered lists of endpoints), because later frames refer to them. A Reply holds
+// the bytes of one frame. Neither starts a goroutine, and each must be used by one goroutine at a time.
 package wire
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -2,13 +2,13 @@
 
 import "cindersaddle/balance"
 
-// decodeEvent decodes the content of a record that carries an event of package balance.
+// decodeEvent decodes the fields of a record that contains an event of package balance.
 func (r *Reader) decodeEvent(code uint16, fields *cursor) (balance.Event, error) {
 	switch code {
 	case codeRequest:
 		return decodeRequest(fields), nil
 	case codeTimerFired:
-		return balance.TimerFired{Token: fields.uint64()}, nil
+		return balance.TimerFired{Token: fields.readUint64()}, nil
 	case codeStreamStarted:
 		return decodeStreamStarted(fields), nil
 	case codeEndpointUpdate:
@@ -18,70 +18,70 @@
 	case codeAttemptEnded:
 		return r.decodeOutcome(fields)
 	case codeClientGone:
-		return balance.ClientGone{Request: fields.requestID()}, nil
+		return balance.ClientGone{Request: fields.readRequestID()}, nil
 	default:
 		return nil, errUnknownCode
 	}
 }
 
-// decodeEndpointUpdate decodes an update of the endpoints, which refers to a table that was sent before.
+// decodeEndpointUpdate decodes an update of the endpoint list. The endpoints are in a server table sent earlier.
 func (r *Reader) decodeEndpointUpdate(fields *cursor) (balance.Event, error) {
-	kindCode := fields.uint8()
-	fields.uint32() // the version of the list
-	number := fields.uint16()
-	if fields.short {
-		return nil, errShortRecord
+	kindCode := fields.readUint8()
+	fields.readUint32() // version of the list, not used
+	number := fields.readUint16()
+	if fields.truncated {
+		return nil, errTruncatedRecord
 	}
-	kind, known := updateKinds[kindCode]
+	kind, known := updateKindsByCode[kindCode]
 	if !known {
 		return nil, &UnknownValueError{Field: "kind of endpoint update", Value: uint16(kindCode)}
 	}
-	if kindCode == updateFailed {
+	if kindCode == updateKindFailed {
 		return balance.EndpointUpdate{Kind: kind}, nil
 	}
-	endpoints, err := r.tables.get(number)
+	endpoints, err := r.serverTables.get(number)
 	if err != nil {
 		return nil, err
 	}
 	return balance.EndpointUpdate{Kind: kind, Endpoints: endpoints}, nil
 }
 
-// decodeRequest decodes the arrival of a request.
+// decodeRequest decodes a new request.
 func decodeRequest(fields *cursor) balance.Request {
-	request := balance.Request{ID: fields.requestID(), Tenant: int(fields.uint16())}
-	workHint := fields.float64()
-	flags := fields.uint16()
+	request := balance.Request{ID: fields.readRequestID(), Tenant: int(fields.readUint16())}
+	workHint := fields.readFloat64()
+	flags := fields.readUint16()
 	if flags&flagHasWorkHint != 0 {
 		request.WorkHint = workHint
 	}
 	request.ClientRetry = flags&flagClientRetry != 0
 	request.Write = flags&flagWrite != 0
-	request.StickyKey = fields.uint64()
-	request.Remaining = fields.milliseconds()
-	request.Class = int(fields.uint16())
+	request.StickyKey = fields.readUint64()
+	request.Remaining = fields.readMilliseconds()
+	request.Class = int(fields.readUint16())
 	return request
 }
 
-// decodeStreamStarted decodes the first bytes of a response that is streamed.
+// decodeStreamStarted decodes the start of a streamed response.
 func decodeStreamStarted(fields *cursor) balance.StreamStarted {
 	return balance.StreamStarted{
-		Request:  fields.requestID(),
-		Attempt:  int(fields.uint8()),
-		Endpoint: fields.endpointID(),
-		Latency:  fields.milliseconds(),
+		Request:  fields.readRequestID(),
+		Attempt:  int(fields.readUint8()),
+		Endpoint: fields.readEndpointID(),
+		Latency:  fields.readMilliseconds(),
 	}
 }
 
 // decodeOutcome decodes the end of an attempt.
 func (r *Reader) decodeOutcome(fields *cursor) (balance.Event, error) {
 	outcome := balance.Outcome{
-		Request:  fields.requestID(),
-		Attempt:  int(fields.uint8()),
-		Endpoint: fields.endpointID(),
+		Request:  fields.readRequestID(),
+		Attempt:  int(fields.readUint8()),
+		Endpoint: fields.readEndpointID(),
 	}
-	resultCode := fields.uint16()
-	outcome.Duration = fields.milliseconds()
-	outcome.Finished = fields.uint8() != 0
+	resultCode := fields.readUint16()
+	outcome.Duration = fields.readMilliseconds()
+	outcome.Finished = fields.readUint8() != 0
 	outcome.LoadReport = r.decodeLoadReport(fields)
 	var err error
 	outcome.Result, err = decodeResult(resultCode, fields)
@@ -90,30 +90,30 @@
 
 // decodeHealthCheckResult decodes the end of a health check.
 func (r *Reader) decodeHealthCheckResult(fields *cursor) (balance.Event, error) {
-	result := balance.HealthCheckResult{Duration: fields.milliseconds()}
-	resultCode := fields.uint16()
-	result.Endpoint = fields.endpointID()
+	result := balance.HealthCheckResult{Duration: fields.readMilliseconds()}
+	resultCode := fields.readUint16()
+	result.Endpoint = fields.readEndpointID()
 	result.LoadReport = r.decodeLoadReport(fields)
 	var err error
 	result.Result, err = decodeResult(resultCode, fields)
 	return result, err
 }
 
-// decodeResult translates the code of a result that was read from fields. The code of a record that is cut short is
-// not judged.
+// decodeResult converts the code of a result. In a truncated record the code may be unknown: the caller reports such a
+// record as truncated.
 func decodeResult(code uint16, fields *cursor) (balance.Result, error) {
-	result, known := results[code]
-	if !known && !fields.short {
+	result, known := resultsByCode[code]
+	if !known && !fields.truncated {
 		return 0, &UnknownValueError{Field: "result", Value: code}
 	}
 	return result, nil
 }
 
-// decodeLoadReport reads a load report, which is valid until the next record.
+// decodeLoadReport decodes a load report. The slice is valid until the next load report is decoded.
 func (r *Reader) decodeLoadReport(fields *cursor) []float32 {
-	r.report = r.report[:0]
-	for count := fields.uint8(); count > 0; count-- {
-		r.report = append(r.report, fields.float32())
+	r.loadReport = r.loadReport[:0]
+	for count := fields.readUint8(); count > 0; count-- {
+		r.loadReport = append(r.loadReport, fields.readFloat32())
 	}
-	return r.report
+	return r.loadReport
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	headerSize   = 16      // bytes
-	maxFrameSize = 1 << 28 // bytes; far above any frame of the simulator
+	frameHeaderSize = 16      // bytes
+	maxFrameSize    = 1 << 28 // bytes; far above the size of any frame that the simulator sends
 )
 
-// Reader reads frames. The server tables of a frame stay valid for all later frames.
+// Reader reads frames from the simulator. It retains their server tables for later frames.
 type Reader struct {
-	input  io.Reader
-	body   bytes.Buffer
-	tables tables
-	report []float32 // reused for the load report of each event
+	input        io.Reader
+	body         bytes.Buffer
+	serverTables serverTables
+	loadReport   []float32 // buffer for the load report of the current record
 }
 
-// NewReader returns a reader of the frames of input, which should be buffered.
+// NewReader returns a Reader of the frames in input. Input should be buffered.
 func NewReader(input io.Reader) *Reader { return &Reader{input: input} }
 
-// frameHeader is the header of a frame.
+// frameHeader is the header of a frame from the simulator.
 type frameHeader struct {
-	records uint32
-	size    uint32 // of the whole frame, in bytes
-	clock   balance.Milliseconds
+	recordCount uint32
+	size        uint32 // size of the whole frame, in bytes
+	clock       balance.Milliseconds
 }
 
-// Read calls handle for each record of the next frame that is for an instance, in order, with the clock of the frame. It
-// returns io.EOF at the end of input between two frames; errors of a record are a *RecordError. Slices in records are
-// valid during the call of handle only.
+// Read reads the next frame and calls handle for its records, in order, with the clock of the frame. Server tables and
+// messages from other instances are not passed to handle. Slices in a record are valid only until handle returns.
+//
+// Read returns io.EOF if the input ends before the frame begins. It returns a *RecordError if a record is invalid or
+// handle returns an error.
 func (r *Reader) Read(handle func(clock balance.Milliseconds, record Record) error) error {
 	header, err := r.readHeader()
 	if err != nil {
@@ -45,33 +47,33 @@
 		return err
 	}
 	fields := cursor{data: r.body.Bytes()}
-	for i := range header.records {
+	for i := range header.recordCount {
 		start := fields.pos
 		if err := r.handleRecord(&fields, header.clock, handle); err != nil {
-			return &RecordError{Index: i, Offset: start + headerSize, Err: err}
+			return &RecordError{Index: i, Offset: start + frameHeaderSize, Err: err}
 		}
 	}
-	if rest := fields.remaining(); rest != 0 {
-		return fmt.Errorf("%d bytes after the last of %d records", rest, header.records)
+	if unread := fields.remaining(); unread != 0 {
+		return fmt.Errorf("%d bytes after the last of %d records", unread, header.recordCount)
 	}
 	return nil
 }
 
-// readHeader reads and checks the header of the next frame.
+// readHeader reads and validates the header of the next frame.
 func (r *Reader) readHeader() (frameHeader, error) {
-	var data [headerSize]byte
+	var data [frameHeaderSize]byte
 	if _, err := io.ReadFull(r.input, data[:]); err == io.EOF {
 		return frameHeader{}, io.EOF
 	} else if err != nil {
 		return frameHeader{}, fmt.Errorf("frame header cut short: %w", err)
 	}
 	header := frameHeader{
-		records: binary.BigEndian.Uint32(data[0:]),
-		size:    binary.BigEndian.Uint32(data[4:]),
-		clock:   balance.Milliseconds(math.Float64frombits(binary.BigEndian.Uint64(data[8:]))),
+		recordCount: binary.BigEndian.Uint32(data[0:]),
+		size:        binary.BigEndian.Uint32(data[4:]),
+		clock:       balance.Milliseconds(math.Float64frombits(binary.BigEndian.Uint64(data[8:]))),
 	}
-	if header.size < headerSize || header.size > maxFrameSize {
-		return frameHeader{}, fmt.Errorf("frame length %d: want %d to %d", header.size, headerSize, maxFrameSize)
+	if header.size < frameHeaderSize || header.size > maxFrameSize {
+		return frameHeader{}, fmt.Errorf("frame length %d: want %d to %d", header.size, frameHeaderSize, maxFrameSize)
 	}
 	if !isFinite(float64(header.clock)) {
 		return frameHeader{}, fmt.Errorf("frame clock is %v", header.clock)
@@ -79,18 +81,18 @@
 	return header, nil
 }
 
-// readBody reads the rest of a frame of size bytes. The buffer grows with what arrives, not with what the header
-// claims.
+// readBody reads the rest of a frame. The size is that of the whole frame, in bytes. The buffer grows with the data
+// that arrives, so that a wrong size in the header does not allocate memory.
 func (r *Reader) readBody(size uint32) error {
 	r.body.Reset()
-	n, err := io.CopyN(&r.body, r.input, int64(size-headerSize))
+	n, err := io.CopyN(&r.body, r.input, int64(size-frameHeaderSize))
 	if err != nil {
-		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerSize, err)
+		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+frameHeaderSize, err)
 	}
 	return nil
 }
 
-// handleRecord decodes one record and passes it to handle, unless it is for no instance.
+// handleRecord decodes a record and passes it to handle, unless the record is ignored.
 func (r *Reader) handleRecord(fields *cursor, clock balance.Milliseconds, handle func(balance.Milliseconds, Record) error) error {
 	record, err := r.decodeRecord(fields)
 	if err != nil {
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -2,41 +2,41 @@
 
 import "cindersaddle/balance"
 
-// RecordKind says what a record is.
+// RecordKind says what a record reports.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	recordIgnored   RecordKind = iota // for no instance
-	InstanceStarted                   // Record.Start says how
-	InstanceStopped                   // the instance was killed
-	EventOccurred                     // Record.Event says which
+	recordIgnored   RecordKind = iota // a server table or a peer message, not passed to the caller of Read
+	InstanceStarted                   // an instance started; Record.Start is set
+	InstanceStopped                   // an instance was killed
+	EventOccurred                     // an event for an instance; Record.Event is set
 )
 
-// Record is what the simulator sends to one instance.
+// Record is a record from the simulator for one instance.
 type Record struct {
 	Instance uint16
 	Kind     RecordKind
-	Start    InstanceStart // of InstanceStarted
-	Event    balance.Event // of EventOccurred
+	Start    InstanceStart // set if Kind is InstanceStarted
+	Event    balance.Event // set if Kind is EventOccurred
 }
 
-// InstanceStart is what an instance gets when it starts.
+// InstanceStart holds the parameters of an instance that starts.
 type InstanceStart struct {
-	Seed     uint64
-	Settings []byte // the settings document, for settings.Parse
+	Seed     uint64 // seed of the random numbers
+	Settings []byte // settings document, as settings.Parse expects it
 }
 
-// decodeRecord takes the next record off a frame.
+// decodeRecord decodes the next record.
 func (r *Reader) decodeRecord(fields *cursor) (Record, error) {
-	code, instance := fields.uint16(), fields.uint16()
-	if fields.short {
-		return Record{}, errShortRecord
+	code, instance := fields.readUint16(), fields.readUint16()
+	if fields.truncated {
+		return Record{}, errTruncatedRecord
 	}
 	record := Record{Instance: instance}
 	err := r.decodeContent(code, fields, &record)
-	if err == nil && fields.short {
-		err = errShortRecord
+	if err == nil && fields.truncated {
+		err = errTruncatedRecord
 	}
 	if err != nil {
 		return Record{}, &CodeError{Code: code, Err: err}
@@ -44,11 +44,11 @@
 	return record, nil
 }
 
-// decodeContent decodes what follows the code and the instance of a record.
+// decodeContent decodes the fields of a record after its code and instance.
 func (r *Reader) decodeContent(code uint16, fields *cursor, record *Record) error {
 	switch code {
 	case codeServerTable:
-		return r.tables.decode(fields, record.Instance) // the number of the table stands in place of an instance
+		return r.serverTables.decode(fields, record.Instance) // the instance is the number of the table
 	case codePeerMessage:
 		skipPeerMessage(fields)
 		return nil
@@ -67,16 +67,16 @@
 	}
 }
 
-// decodeInstanceStart decodes the seed and the settings of an instance.
+// decodeInstanceStart decodes the parameters of an instance that starts.
 func decodeInstanceStart(fields *cursor) InstanceStart {
-	seed := fields.uint64()
-	settingsSize := fields.uint32()
-	return InstanceStart{Seed: seed, Settings: fields.bytes(settingsSize)}
+	seed := fields.readUint64()
+	settingsSize := fields.readUint32()
+	return InstanceStart{Seed: seed, Settings: fields.readBytes(settingsSize)}
 }
 
-// skipPeerMessage skips the sender, the length and the bytes of a message from another instance.
+// skipPeerMessage skips a message from another instance: the sender, the length and the message.
 func skipPeerMessage(fields *cursor) {
-	fields.uint16()
-	size := fields.uint16()
-	fields.bytes(uint32(size))
+	fields.readUint16()
+	size := fields.readUint16()
+	fields.readBytes(uint32(size))
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -10,38 +10,38 @@
 const (
 	replyHeaderSize = 4 // bytes
 
-	watchEnabled = 1 // of codeWatchEndpoints
+	watchEnabled = 1 // value of the field of codeWatchEndpoints
 )
 
-// Reply collects the actions in response to one frame. Reset must be called before each frame.
-type Reply struct{ frame frame }
+// Reply collects the actions that respond to one frame. Reset must be called before each frame.
+type Reply struct{ buffer frameBuffer }
 
-// Reset removes all actions.
+// Reset removes all actions and faults.
 func (r *Reply) Reset() {
-	r.frame = append(r.frame[:0], make([]byte, replyHeaderSize)...)
+	r.buffer = append(r.buffer[:0], make([]byte, replyHeaderSize)...)
 }
 
 // WriteTo writes the reply as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
-	binary.BigEndian.PutUint32(r.frame, uint32(len(r.frame)))
-	n, err := w.Write(r.frame)
+	binary.BigEndian.PutUint32(r.buffer, uint32(len(r.buffer)))
+	n, err := w.Write(r.buffer)
 	return int64(n), err
 }
 
-// Add appends the actions of one instance.
-func (r *Reply) Add(instance uint16, actions []balance.Action) {
+// AddActions appends the actions of an instance.
+func (r *Reply) AddActions(instance uint16, actions []balance.Action) {
 	for i := range actions {
 		r.addAction(instance, &actions[i])
 	}
 }
 
-// Fault reports that an instance cannot go on, or did not accept an event.
-func (r *Reply) Fault(instance uint16, text string) {
-	r.frame.putHeader(codeFault, instance)
-	r.frame.putText(text)
+// AddFault appends a report that an instance could not start, panicked, or rejected an event.
+func (r *Reply) AddFault(instance uint16, text string) {
+	r.buffer.putActionHeader(codeFault, instance)
+	r.buffer.putText(text)
 }
 
-// addAction appends one action; kinds that the simulator does not know are left out.
+// addAction appends an action. Kinds that are not in the protocol are omitted.
 func (r *Reply) addAction(instance uint16, action *balance.Action) {
 	switch action.Kind {
 	case balance.SendAttempt:
@@ -64,46 +64,46 @@
 }
 
 func (r *Reply) addSendAttempt(instance uint16, action *balance.Action) {
-	r.frame.putHeader(codeSendAttempt, instance)
-	r.frame.putUint64(uint64(action.Request))
-	r.frame.putMilliseconds(action.Deadline)
-	r.frame.putEndpointID(action.Endpoint)
+	r.buffer.putActionHeader(codeSendAttempt, instance)
+	r.buffer.putUint64(uint64(action.Request))
+	r.buffer.putMilliseconds(action.Deadline)
+	r.buffer.putEndpointID(action.Endpoint)
 }
 
 func (r *Reply) addRejectRequest(instance uint16, action *balance.Action) {
-	r.frame.putHeader(codeRejectRequest, instance)
-	r.frame.putUint64(uint64(action.Request))
-	r.frame.putMilliseconds(action.RetryAfter)
+	r.buffer.putActionHeader(codeRejectRequest, instance)
+	r.buffer.putUint64(uint64(action.Request))
+	r.buffer.putMilliseconds(action.RetryAfter)
 }
 
 func (r *Reply) addFailRequest(instance uint16, action *balance.Action) {
-	r.frame.putHeader(codeFailRequest, instance)
-	r.frame.putUint64(uint64(action.Request))
+	r.buffer.putActionHeader(codeFailRequest, instance)
+	r.buffer.putUint64(uint64(action.Request))
 }
 
 func (r *Reply) addCancelAttempt(instance uint16, action *balance.Action) {
-	r.frame.putHeader(codeCancelAttempt, instance)
-	r.frame.putUint64(uint64(action.Request))
-	r.frame.putUint8(uint8(action.Attempt))
+	r.buffer.putActionHeader(codeCancelAttempt, instance)
+	r.buffer.putUint64(uint64(action.Request))
+	r.buffer.putUint8(uint8(action.Attempt))
 }
 
 func (r *Reply) addSetTimer(instance uint16, action *balance.Action) {
-	r.frame.putHeader(codeSetTimer, instance)
-	r.frame.putUint64(action.Token)
-	r.frame.putMilliseconds(action.Delay)
+	r.buffer.putActionHeader(codeSetTimer, instance)
+	r.buffer.putUint64(action.Token)
+	r.buffer.putMilliseconds(action.Delay)
 }
 
 func (r *Reply) addCheckHealth(instance uint16, action *balance.Action) {
-	r.frame.putHeader(codeCheckHealth, instance)
-	r.frame.putEndpointID(action.Endpoint)
+	r.buffer.putActionHeader(codeCheckHealth, instance)
+	r.buffer.putEndpointID(action.Endpoint)
 }
 
 func (r *Reply) addLog(instance uint16, action *balance.Action) {
-	r.frame.putHeader(codeLog, instance)
-	r.frame.putText(action.Text)
+	r.buffer.putActionHeader(codeLog, instance)
+	r.buffer.putText(action.Text)
 }
 
 func (r *Reply) addWatchEndpoints(instance uint16) {
-	r.frame.putHeader(codeWatchEndpoints, instance)
-	r.frame.putUint8(watchEnabled)
+	r.buffer.putActionHeader(codeWatchEndpoints, instance)
+	r.buffer.putUint8(watchEnabled)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"cindersaddle/balance"
 )
 
-// decodeHex decodes hexadecimal text with spaces and line breaks.
+// decodeHex decodes hexadecimal text, ignoring spaces and line breaks.
 func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -21,7 +21,7 @@
 	return b
 }
 
-// readAll returns all records of a reader and the clock of the last.
+// readAll reads frames until the input ends or a frame is invalid. It returns all records and the clock of the last.
 func readAll(r *Reader) ([]Record, balance.Milliseconds, error) {
 	var records []Record
 	var lastClock balance.Milliseconds
@@ -54,7 +54,8 @@
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
-// TestReaderDecodesExampleFrames checks the example frames of the protocol.
+// TestReaderDecodesExampleFrames checks that the example frames of the protocol are decoded to the
+// right records.
 func TestReaderDecodesExampleFrames(t *testing.T) {
 	in := decodeHex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
 	records, clock, err := readAll(NewReader(bytes.NewReader(in)))
@@ -62,43 +63,45 @@
 		t.Fatal(err)
 	}
 	if clock != 8412.25 || len(records) != 5 {
-		t.Fatalf("clock %v, %d records", clock, len(records))
+		t.Fatalf("got clock %v and %d records, want 8412.25 and 5", clock, len(records))
 	}
 	request, ok := records[0].Event.(balance.Request)
 	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, StickyKey: 0x91f03b7c55d20a64, Remaining: 240}
 	if !ok || request != want || records[0].Instance != 3 {
-		t.Errorf("request: %+v", records[0])
+		t.Errorf("got request record %+v, want %+v for instance 3", records[0], want)
 	}
-	if ev := records[1].Event; ev != any(balance.TimerFired{Token: 77}) {
-		t.Errorf("timer: %+v", ev)
+	if event := records[1].Event; event != any(balance.TimerFired{Token: 77}) {
+		t.Errorf("got event %+v, want a fired timer with token 77", event)
 	}
-	if ev := records[2].Event; ev != any(balance.ClientGone{Request: 0xb677a0e6f2b19}) || records[2].Instance != 5 {
-		t.Errorf("client gone: %+v", records[2])
+	wantGone := balance.ClientGone{Request: 0xb677a0e6f2b19}
+	if event := records[2].Event; event != any(wantGone) || records[2].Instance != 5 {
+		t.Errorf("got record %+v, want ClientGone %+v for instance 5", records[2], wantGone)
 	}
 	update := records[3].Event.(balance.EndpointUpdate)
 	if update.Kind != balance.UpdateCachedSnapshot || len(update.Endpoints) != 2 {
-		t.Fatalf("endpoint update: %+v", update)
+		t.Fatalf("got endpoint update %+v, want a cached snapshot of 2 endpoints", update)
 	}
 	second := balance.Endpoint{ID: 0x0a9011f22354, StartedAt: 6100, Rating: 1.5, Zone: 1}
 	if update.Endpoints[0].ID != 0x0a124a07232b || update.Endpoints[1] != second {
-		t.Errorf("endpoints: %+v", update.Endpoints)
+		t.Errorf("got endpoints %+v, want the first with ID %d, the second %+v", update.Endpoints, 0x0a124a07232b, second)
 	}
 	outcome := records[4].Event.(balance.Outcome)
 	if outcome.Request != 0x2978f5d3a91c4 || outcome.Endpoint != 0x0a124a07232b || outcome.Duration != 18.5 ||
 		!outcome.Finished || outcome.Result != balance.OK {
-		t.Errorf("outcome: %+v", outcome)
+		t.Errorf("got outcome %+v, want OK and finished after 18.5 ms, request %d, endpoint %d",
+			outcome, 0x2978f5d3a91c4, 0x0a124a07232b)
 	}
 }
 
-// TestReplyEncodesExampleFrame checks the example reply of the protocol, byte by byte.
+// TestReplyEncodesExampleFrame compares a reply with the example frame of the protocol, byte by byte.
 func TestReplyEncodesExampleFrame(t *testing.T) {
 	var r Reply
 	r.Reset()
-	r.Add(3, []balance.Action{
+	r.AddActions(3, []balance.Action{
 		{Kind: balance.SendAttempt, Request: 0x2978f5d3a91c4, Deadline: 8492, Endpoint: 0x0a124a07232b},
 		{Kind: balance.SetTimer, Token: 77, Delay: 500},
 	})
-	r.Add(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
+	r.AddActions(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
 	var out bytes.Buffer
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
@@ -112,26 +115,26 @@
 	}
 }
 
-// TestReaderSkipsPeerMessages checks that messages from other instances give no record, whatever they contain, and that the
-// record after them is read.
+// TestReaderSkipsPeerMessages checks that messages from other instances are skipped, whatever their content, and that
+// the record after them is decoded.
 func TestReaderSkipsPeerMessages(t *testing.T) {
 	for name, message := range map[string]string{
 		"empty": "0000", "a byte": "0001 00", "noise": "0003 ffffff", "long": "0010 000102030405060708090a0b0c0d0e0f",
 	} {
 		body := decodeHex(t, "041a 0003 ffff "+message+" 03fc 0003 000000000000004d")
-		frame := append(decodeHex(t, fmt.Sprintf("00000002 %08x 40c06e2000000000", len(body)+headerSize)), body...)
+		frame := append(decodeHex(t, fmt.Sprintf("00000002 %08x 40c06e2000000000", len(body)+frameHeaderSize)), body...)
 		var events []any
 		err := NewReader(bytes.NewReader(frame)).Read(func(_ balance.Milliseconds, record Record) error {
 			events = append(events, record.Event)
 			return nil
 		})
 		if err != nil || len(events) != 1 || events[0] != (balance.TimerFired{Token: 77}) {
-			t.Errorf("%s: %v, %v", name, events, err)
+			t.Errorf("%s message: got events %v and error %v, want one fired timer with token 77", name, events, err)
 		}
 	}
 }
 
-// TestReaderRejectsMalformedFrames checks that each malformed frame is an error.
+// TestReaderRejectsMalformedFrames checks that each malformed frame is reported as an error.
 func TestReaderRejectsMalformedFrames(t *testing.T) {
 	for name, frame := range map[string]string{
 		"header cut short":     "00000000 0000",
@@ -152,13 +155,13 @@
 	} {
 		records, _, err := readAll(NewReader(bytes.NewReader(decodeHex(t, frame))))
 		if err == nil {
-			t.Errorf("%s: no error, records %+v", name, records)
+			t.Errorf("%s: got records %+v and no error, want an error", name, records)
 		}
 	}
 }
 
-// FuzzReader checks that no input breaks the reader and that an input shorter than a header is an error. The seed corpus
-// runs in CI as an ordinary test.
+// FuzzReader checks that the reader does not panic for any input, and that an input shorter than a frame header is
+// reported as an error. The seed corpus runs in CI as an ordinary test.
 func FuzzReader(f *testing.F) {
 	for _, frame := range []string{emptyFrame, eventsFrame, listFrame, endedFrame, eventsFrame + listFrame} {
 		f.Add(decodeHex(f, frame))
@@ -166,8 +169,8 @@
 	f.Add(decodeHex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		records, _, err := readAll(NewReader(bytes.NewReader(in)))
-		if err == nil && len(in) > 0 && len(in) < headerSize {
-			t.Fatalf("%d bytes read as %d records", len(in), len(records))
+		if err == nil && len(in) > 0 && len(in) < frameHeaderSize {
+			t.Fatalf("input of %d bytes: got %d records and no error, want an error", len(in), len(records))
 		}
 	})
 }
