--- a/cmd/adapter/golden_test.go
+++ b/cmd/adapter/golden_test.go
@@ -10,42 +10,50 @@
 	"testing"
 )
 
-// This file records the byte streams that the adapter writes. All codes and layouts of the protocol are written out again
-// in protocol_test.go, so that a change of package wire shows. The hashes depend on bytes only, not on names or on the wording of texts.
-// The events that are played come from simulation_test.go. Numbers depend on the floating point of the processor: the
-// golden file was made on amd64.
+// TestGolden detects changes of the bytes that the adapter writes, except in the texts of logs and faults. It compares
+// hashes of the replies with a golden file. The events that the adapter receives are generated in simulation_test.go.
+//
+// protocol_test.go defines the codes and layouts of the protocol a second time, so that a change of package wire makes
+// the test fail. The numbers in replies depend on the floating-point arithmetic of the processor: the golden file was
+// generated on amd64.
 
 var updateGolden = flag.Bool("update", false, "rewrite testdata/golden.txt")
 
 const (
 	goldenFile   = "testdata/golden.txt"
 	goldenCases  = 12
-	goldenFrames = 400 // in each case
+	goldenFrames = 400 // frames of each case
 )
 
-// eventCodes are all the codes of records; each must be played.
-var eventCodes = []uint16{eventServerTable, eventRequest, eventTimerFired, eventStreamStarted, eventEndpointUpdate,
-	eventPeerMessage, eventInstanceStopped, eventInstanceStarted, eventHealthCheckResult, eventAttemptEnded, eventClientGone}
+// eventCodes holds the codes of all records to the adapter. Each must occur in the test.
+var eventCodes = []uint16{
+	eventServerTable, eventRequest, eventTimerFired, eventStreamStarted, eventEndpointUpdate, eventPeerMessage,
+	eventInstanceStopped, eventInstanceStarted, eventHealthCheckResult, eventAttemptEnded, eventClientGone,
+}
 
-// resultCodes are all the results; each must be played.
-var resultCodes = []uint16{resultOK, resultCancelled, resultTimedOut, resultRejected, resultNotAttempted, resultConnReset,
-	resultServerError, resultConnectFailed}
+// resultCodes holds the codes of all results. Each must occur in the test.
+var resultCodes = []uint16{
+	resultOK, resultCancelled, resultTimedOut, resultRejected, resultNotAttempted, resultConnReset, resultServerError,
+	resultConnectFailed,
+}
 
-// actionCodes are the actions that the adapter is known to take; it never closes connections, sends messages to peers or
-// fetches lists.
-var actionCodes = []uint16{actionSendAttempt, actionRejectRequest, actionFailRequest, actionCancelAttempt, actionSetTimer,
-	actionCheckHealth, actionLog, actionFault, actionWatchEndpoints}
+// actionCodes holds the codes of the actions that the adapter takes. Each must occur in the test. The adapter never
+// closes idle connections, sends messages to peers or fetches endpoint lists.
+var actionCodes = []uint16{
+	actionSendAttempt, actionRejectRequest, actionFailRequest, actionCancelAttempt, actionSetTimer, actionCheckHealth,
+	actionLog, actionFault, actionWatchEndpoints,
+}
 
-// updateKinds are all the kinds of endpoint updates; each must be played.
+// updateKinds holds the codes of all kinds of endpoint updates. Each must occur in the test.
 var updateKinds = []uint16{updateSnapshot, updateCachedSnapshot, updateFailed, updateDelta}
 
-// playCase plays one case, in which the simulation reacts to the actions of the adapter.
-func playCase(t *testing.T, number int) *transcript {
+// runCase runs the adapter with a simulation, which reacts to the actions of the adapter.
+func runCase(t *testing.T, number int) *transcript {
 	t.Helper()
-	sim, played, process := newSimulation(number), newTranscript(), startAdapter()
+	sim, recorded, process := newSimulation(number), newTranscript(), startAdapter()
 	for frame := range goldenFrames {
 		records := sim.nextRecords(frame)
-		played.addRecords(records)
+		recorded.addRecords(records)
 		raw, err := process.exchange(newFrame(sim.clock, records))
 		if err != nil {
 			t.Fatalf("case %d, frame %d: %v; run: %v", number, frame, err, process.stop())
@@ -54,25 +62,25 @@
 		if err != nil {
 			t.Fatalf("case %d, frame %d: %v", number, frame, err)
 		}
-		played.addReply(reply)
+		recorded.addReply(reply)
 		for _, action := range reply {
-			if problem := sim.problem(action); problem != "" {
+			if problem := sim.unknownReference(action); problem != "" {
 				t.Fatalf("case %d, frame %d: action %d %x: %s", number, frame, action.code, action.body, problem)
 			}
-			sim.apply(action)
+			sim.applyAction(action)
 		}
 	}
 	if err := process.stop(); err != nil {
 		t.Fatalf("case %d: run: %v", number, err)
 	}
-	if reported := played.actions[actionFault]; reported != sim.expectedFaults {
-		t.Errorf("case %d: %d faults reported, want %d", number, reported, sim.expectedFaults)
+	if reported := recorded.actions[actionFault]; reported != sim.expectedFaults {
+		t.Errorf("case %d: got %d reported faults, want %d", number, reported, sim.expectedFaults)
 	}
-	return played
+	return recorded
 }
 
-// malformedRecords returns records that cannot be decoded or are for an instance that has not started: each ends the
-// adapter.
+// malformedRecords returns records that cannot be decoded or are for an instance that has not started. Each ends the
+// adapter with an error. The golden file contains the names.
 func malformedRecords() map[string]recordBuilder {
 	const instance, endpoint = 3, 0x0a124a07232b
 	return map[string]recordBuilder{
@@ -87,17 +95,18 @@
 	}
 }
 
-// playMalformed plays a valid frame, then one with a valid request and a malformed record.
-func playMalformed(t *testing.T, malformed recordBuilder) *transcript {
+// runMalformedCase runs the adapter with a valid frame and then with a frame that contains a valid request and a
+// malformed record.
+func runMalformedCase(t *testing.T, malformed recordBuilder) *transcript {
 	t.Helper()
-	sim, played, process := newSimulation(0), newTranscript(), startAdapter()
-	profile := sim.profile(0)
+	sim, recorded, process := newSimulation(0), newTranscript(), startAdapter()
+	document := sim.settingsDocument(0)
 	start := []recordBuilder{
-		newRecord(eventInstanceStarted, 3).u64(7).u32(uint32(len(profile))).text(profile),
+		newRecord(eventInstanceStarted, 3).u64(7).u32(uint32(len(document))).text(document),
 		sim.serverTable(0, sim.endpoints), newRecord(eventEndpointUpdate, 3).u8(updateCachedSnapshot).u32(1).u16(0),
 	}
 	for i, records := range [][]recordBuilder{start, {requestRecord(3, 77, 0, 500), malformed}} {
-		played.addRecords(records)
+		recorded.addRecords(records)
 		raw, err := process.exchange(newFrame(sim.clock+float64(i), records))
 		if err == io.EOF {
 			break
@@ -109,42 +118,42 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		played.addReply(reply)
+		recorded.addReply(reply)
 	}
 	if err := process.stop(); err == nil {
-		t.Error("run returned no error")
+		t.Error("malformed record: run returned no error, want one")
 	}
-	return played
+	return recorded
 }
 
-// checkCoverage fails where a code was not played, so that the golden file cannot lose cases unnoticed.
-func checkCoverage(t *testing.T, all *transcript) {
+// checkCoverage fails the test if a code did not occur, so that the golden file does not lose cases unnoticed.
+func checkCoverage(t *testing.T, total *transcript) {
 	t.Helper()
-	for _, need := range []struct {
-		what  string
-		codes []uint16
-		seen  map[uint16]int
-	}{{"event", eventCodes, all.events}, {"action", actionCodes, all.actions},
-		{"result", resultCodes, all.results}, {"kind of endpoint update", updateKinds, all.updates}} {
-		for _, code := range need.codes {
-			if need.seen[code] == 0 {
-				t.Errorf("%s %d does not occur", need.what, code)
+	for _, required := range []struct {
+		name   string
+		codes  []uint16
+		counts map[uint16]int
+	}{{"event", eventCodes, total.events}, {"action", actionCodes, total.actions},
+		{"result", resultCodes, total.results}, {"kind of endpoint update", updateKinds, total.updates}} {
+		for _, code := range required.codes {
+			if required.counts[code] == 0 {
+				t.Errorf("got no %s %d in all cases, want at least one", required.name, code)
 			}
 		}
 	}
 }
 
-// goldenLines plays all cases and returns the lines of the golden file.
+// goldenLines runs all cases and returns the lines of the golden file.
 func goldenLines(t *testing.T) []string {
 	t.Helper()
 	var lines []string
-	all := newTranscript()
+	total := newTranscript()
 	for number := range goldenCases {
-		played := playCase(t, number)
-		all.merge(played)
-		lines = append(lines, played.line(fmt.Sprintf("case %d", number)))
+		recorded := runCase(t, number)
+		total.merge(recorded)
+		lines = append(lines, recorded.line(fmt.Sprintf("case %d", number)))
 	}
-	checkCoverage(t, all)
+	checkCoverage(t, total)
 	malformed := malformedRecords()
 	var names []string
 	for name := range malformed {
@@ -152,12 +161,12 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		lines = append(lines, playMalformed(t, malformed[name]).line("wrong "+name))
+		lines = append(lines, runMalformedCase(t, malformed[name]).line("wrong "+name))
 	}
 	return lines
 }
 
-// TestGolden compares all replies with those of the golden file.
+// TestGolden compares the hashes of all replies with the golden file.
 func TestGolden(t *testing.T) {
 	lines := goldenLines(t)
 	if *updateGolden {
@@ -172,7 +181,7 @@
 	}
 	want := strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 	if len(want) != len(lines) {
-		t.Fatalf("%d lines, the golden file has %d", len(lines), len(want))
+		t.Fatalf("got %d lines, want %d as in %s", len(lines), len(want), goldenFile)
 	}
 	for i := range lines {
 		if lines[i] != want[i] {
--- a/cmd/adapter/process_test.go
+++ b/cmd/adapter/process_test.go
@@ -6,13 +6,14 @@
 	"io"
 )
 
-// adapterProcess is a running adapter, which answers each frame before the next is written.
+// adapterProcess is an adapter that runs in a goroutine. It replies to each frame before the next frame is written.
 type adapterProcess struct {
-	input  *io.PipeWriter
-	output *io.PipeReader
-	ended  chan error
+	input     *io.PipeWriter
+	output    *io.PipeReader
+	runResult chan error // the result of run
 }
 
+// startAdapter starts an adapter in a goroutine.
 func startAdapter() *adapterProcess {
 	inputReader, inputWriter := io.Pipe()
 	outputReader, outputWriter := io.Pipe()
@@ -21,12 +22,13 @@
 		err := run(inputReader, outputWriter)
 		inputReader.CloseWithError(io.ErrClosedPipe)
 		outputWriter.Close()
-		process.ended <- err
+		process.runResult <- err
 	}()
 	return process
 }
 
-// exchange writes a frame and reads its reply, without the header. It returns io.EOF where the adapter ended instead.
+// exchange writes a frame and returns its reply without the header. It returns io.EOF if the adapter ended without a
+// reply.
 func (p *adapterProcess) exchange(frame []byte) ([]byte, error) {
 	if _, err := p.input.Write(frame); err != nil {
 		return nil, err
@@ -37,15 +39,15 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size < replyHeaderSize {
-		return nil, fmt.Errorf("reply length %d", size)
+		return nil, fmt.Errorf("got reply length %d, want at least %d", size, replyHeaderSize)
 	}
 	records := make([]byte, size-replyHeaderSize)
 	_, err := io.ReadFull(p.output, records)
 	return records, err
 }
 
-// stop ends the input and returns the result of run.
+// stop closes the input, waits until the adapter has ended and returns the result of run.
 func (p *adapterProcess) stop() error {
 	p.input.Close()
-	return <-p.ended
+	return <-p.runResult
 }
--- a/cmd/adapter/protocol_test.go
+++ b/cmd/adapter/protocol_test.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Codes of records to the adapter.
+// Codes of the records that are sent to the adapter.
 const (
 	eventServerTable       = 1000
 	eventRequest           = 1010
@@ -21,7 +21,7 @@
 	eventClientGone        = 1100
 )
 
-// Codes of actions of the adapter.
+// Codes of the actions that the adapter returns.
 const (
 	actionSendAttempt    = 1000
 	actionRejectRequest  = 1010
@@ -57,19 +57,31 @@
 	updateDelta          = 3
 )
 
+// Sizes, in bytes.
 const (
-	replyHeaderSize = 4
-	actionHeadSize  = 4 // code and instance
+	frameHeaderSize  = 16
+	replyHeaderSize  = 4
+	actionHeaderSize = 4  // code and instance
+	sendAttemptSize  = 26 // with code and instance
+	setTimerSize     = 20 // with code and instance
 )
 
-// actionBodies gives the number of bytes after code and instance, without the content of a text.
-var actionBodies = map[uint16]int{
+// Offsets in the body of an action, in bytes. The other fields begin at offset 0.
+const (
+	sendAttemptDeadlineOffset = 8
+	sendAttemptEndpointOffset = 16
+	cancelAttemptNumberOffset = 8
+	timerDelayOffset          = 8
+)
+
+// actionBodySizes holds the size of each action after code and instance, in bytes and without the content of a text.
+var actionBodySizes = map[uint16]int{
 	actionSendAttempt: 22, actionRejectRequest: 16, actionFailRequest: 8, actionCancelAttempt: 9, actionSetTimer: 16,
 	actionCheckHealth: 6, actionCloseIdleConns: 6, actionPeerMessage: 6, actionLog: 2, actionFault: 2,
 	actionWatchEndpoints: 1, actionFetchEndpoints: 0,
 }
 
-// recordBuilder is a record under construction, big-endian and without padding.
+// recordBuilder is a record to the adapter, to which fields are appended big-endian and without padding.
 type recordBuilder []byte
 
 func newRecord(code, instance uint16) recordBuilder { return recordBuilder{}.u16(code).u16(instance) }
@@ -81,11 +93,14 @@
 func (b recordBuilder) f64(v float64) recordBuilder { return b.u64(math.Float64bits(v)) }
 func (b recordBuilder) f32(v float32) recordBuilder { return b.u32(math.Float32bits(v)) }
 
-// address appends the four bytes and the port of an endpoint.
+// address appends the IPv4 address and the port of an endpoint.
 func (b recordBuilder) address(endpoint uint64) recordBuilder {
 	return b.u32(uint32(endpoint >> 16)).u16(uint16(endpoint))
 }
 
+// text appends the bytes of a string without a length.
+func (b recordBuilder) text(s string) recordBuilder { return append(b, s...) }
+
 // report appends a load report.
 func (b recordBuilder) report(values []float32) recordBuilder {
 	b = b.u8(uint8(len(values)))
@@ -95,9 +110,9 @@
 	return b
 }
 
-// newFrame returns a frame of records, with its header.
+// newFrame returns a frame that consists of a header and records.
 func newFrame(clock float64, records []recordBuilder) []byte {
-	size := 16
+	size := frameHeaderSize
 	for _, record := range records {
 		size += len(record)
 	}
@@ -108,44 +123,41 @@
 	return frame
 }
 
-// actionRecord is one action record of a reply; body is what follows code and instance, with a text if there is one.
+// actionRecord is an action of a reply. The body consists of all bytes after code and instance, including any text.
 type actionRecord struct {
 	code, instance uint16
 	body           []byte
 }
 
-func (a actionRecord) u64(at int) uint64  { return binary.BigEndian.Uint64(a.body[at:]) }
-func (a actionRecord) f64(at int) float64 { return math.Float64frombits(a.u64(at)) }
+func (a actionRecord) u64(offset int) uint64  { return binary.BigEndian.Uint64(a.body[offset:]) }
+func (a actionRecord) f64(offset int) float64 { return math.Float64frombits(a.u64(offset)) }
 
-// address returns the endpoint at an offset of the body.
-func (a actionRecord) address(at int) uint64 {
-	return uint64(binary.BigEndian.Uint32(a.body[at:]))<<16 | uint64(binary.BigEndian.Uint16(a.body[at+4:]))
+// address returns the endpoint at an offset in the body.
+func (a actionRecord) address(offset int) uint64 {
+	return uint64(binary.BigEndian.Uint32(a.body[offset:]))<<16 | uint64(binary.BigEndian.Uint16(a.body[offset+4:]))
 }
 
-// parseReply splits the records of a reply, given without its header.
+// parseReply splits a reply, given without its header, into actions.
 func parseReply(records []byte) ([]actionRecord, error) {
-	var all []actionRecord
+	var actions []actionRecord
 	for len(records) > 0 {
-		if len(records) < actionHeadSize {
-			return nil, fmt.Errorf("%d bytes left over", len(records))
+		if len(records) < actionHeaderSize {
+			return nil, fmt.Errorf("got %d bytes after the last action, want none", len(records))
 		}
 		code := binary.BigEndian.Uint16(records)
-		size, known := actionBodies[code]
+		size, known := actionBodySizes[code]
 		if !known {
 			return nil, fmt.Errorf("unknown action code %d", code)
 		}
-		end := actionHeadSize + size
+		end := actionHeaderSize + size
 		if len(records) >= end && (code == actionLog || code == actionFault || code == actionPeerMessage) {
 			end += int(binary.BigEndian.Uint16(records[end-2:]))
 		}
 		if len(records) < end {
-			return nil, fmt.Errorf("action %d cut short", code)
+			return nil, fmt.Errorf("action %d is truncated: got %d bytes, want %d", code, len(records), end)
 		}
-		all = append(all, actionRecord{code, binary.BigEndian.Uint16(records[2:]), records[actionHeadSize:end]})
+		actions = append(actions, actionRecord{code, binary.BigEndian.Uint16(records[2:]), records[actionHeaderSize:end]})
 		records = records[end:]
 	}
-	return all, nil
+	return actions, nil
 }
-
-// text appends raw bytes.
-func (b recordBuilder) text(s string) recordBuilder { return append(b, s...) }
