--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// FuzzParse checks that a balancer can handle a request with the configuration of every accepted document. The seed corpus
-// runs in CI as an ordinary test.
+// FuzzParse checks that a balancer can handle a request with the configuration of every accepted document. The seed
+// corpus runs in CI as an ordinary test.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], "rules": {"cold_ms": 1, "fall_ms": 1, "fall_multiple": 2}}`))
 	f.Add([]byte(`{"classes": [{"effect": "idempotency_key", "group": "zone", "window_ms": 3, "hard_limit_ms": 1}], "tenants": [{}]}`))
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -99,8 +99,8 @@
 	return result, err
 }
 
-// decodeResult converts the code of a result. In a truncated record the code may be unknown: the caller reports such a
-// record as truncated.
+// decodeResult converts the code of a result. It does not validate the code if the record is truncated: decodeRecord
+// reports such a record as truncated.
 func decodeResult(code uint16, fields *cursor) (balance.Result, error) {
 	result, known := resultsByCode[code]
 	if !known && !fields.truncated {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -29,7 +29,7 @@
 // frameHeader is the header of a frame from the simulator.
 type frameHeader struct {
 	recordCount uint32
-	size        uint32 // size of the whole frame, in bytes
+	size        uint32 // of the whole frame, in bytes
 	clock       balance.Milliseconds
 }
 
@@ -93,7 +93,9 @@
 }
 
 // handleRecord decodes a record and passes it to handle, unless the record is ignored.
-func (r *Reader) handleRecord(fields *cursor, clock balance.Milliseconds, handle func(balance.Milliseconds, Record) error) error {
+func (r *Reader) handleRecord(
+	fields *cursor, clock balance.Milliseconds, handle func(balance.Milliseconds, Record) error,
+) error {
 	record, err := r.decodeRecord(fields)
 	if err != nil {
 		return err
