--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -5,8 +5,8 @@
 // document is the settings document. Unknown keys are ignored, so that documents of later versions are accepted.
 //
 // These known keys have no field, because no decision depends on them: names (decisions must not depend on a name),
-// tiers and kinds of peers, nines_full, the keys of family_info other than warm_keys, the CPU limits (a pass over
-// all endpoints is cheap enough to stay within any of them), and the costs of operations that this module never performs
+// tiers and kinds of peers, nines_full, the keys of family_info other than warm_keys, the CPU limits (a pass over all
+// endpoints is cheap enough to stay within any of them), and the costs of operations that this module never performs
 // (moves, origin, fleet, discovery).
 //
 // Some other keys that no decision depends on have a field, so that a value of the wrong type or a negative number is
