--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -28,8 +28,8 @@
 // framings are the framings of responses, which are equally frequent.
 var framings = []standin.Framing{standin.FramedByLength, standin.FramedByChunks, standin.FramedByClose}
 
-// failures are the replies of attempts that are not served, which are equally frequent.
-var failures = []standin.ReplyKind{
+// failureReplies are the replies of attempts that are not served, which are equally frequent.
+var failureReplies = []standin.ReplyKind{
 	standin.ReplyError, standin.ReplyNeverExecuted, standin.ReplyReset, standin.ReplyHang, standin.ReplyMalformed,
 	standin.ReplyTruncated,
 }
@@ -55,17 +55,17 @@
 		endpoint.server.Close()
 		return err
 	}
-	endpoint.listEntry = readyEndpoint(endpoint.id, endpoint.proxy.Addr())
+	endpoint.listEntry = readyListEntry(endpoint.id, endpoint.proxy.Addr())
 	endpoint.listEntry.Cell = number / endpointsPerCell
 	r.endpoints = append(r.endpoints, endpoint)
 	r.records.Cells[endpoint.id] = endpoint.listEntry.Cell
 	return nil
 }
 
-// readyEndpoint returns the list entry of an endpoint that is ready at an address.
-func readyEndpoint(id EndpointID, address string) membership.Endpoint {
+// readyListEntry returns the list entry of an endpoint that is ready at an address.
+func readyListEntry(id EndpointID, address string) membership.Endpoint {
 	return membership.Endpoint{
-		ID: string(id), Address: address, Zone: zoneName, MachineType: kindName, Cell: 1, Phase: membership.PhaseReady, Rating: 1,
+		ID: string(id), Address: address, Zone: zoneName, MachineType: machineTypeName, Cell: 1, Phase: membership.PhaseReady, Rating: 1,
 	}
 }
 
@@ -104,15 +104,15 @@
 		reply.Padding = longPadding
 	}
 	if r.random.Float64() < r.plan.FailureRate {
-		reply.Kind = failures[r.random.IntN(len(failures))]
+		reply.Kind = failureReplies[r.random.IntN(len(failureReplies))]
 	}
 	return reply
 }
 
 // randomServiceTime returns the time until a response begins, in whole milliseconds. The caller holds mu.
 func (r *run) randomServiceTime() time.Duration {
-	onTop := time.Duration(r.random.ExpFloat64() * float64(meanServiceTime))
-	return (minServiceTime + onTop).Truncate(time.Millisecond)
+	variablePart := time.Duration(r.random.ExpFloat64() * float64(meanServiceTime))
+	return (minServiceTime + variablePart).Truncate(time.Millisecond)
 }
 
 // randomPause returns a pause below limit, in whole milliseconds. The caller holds mu.
--- a/internal/soak/event.go
+++ b/internal/soak/event.go
@@ -16,8 +16,8 @@
 // Action is what happens in an event.
 type Action interface {
 	fmt.Stringer
-	// carryOut carries the action out and returns at its end.
-	carryOut(r *run)
+	// execute carries the action out and returns at its end.
+	execute(r *run)
 }
 
 // connectionBreaker is an Action that breaks connections to an endpoint, so that responses may be truncated and attempts may
@@ -28,8 +28,8 @@
 	brokenConnections() (EndpointID, time.Duration)
 }
 
-// carryOut waits for the moment of the event and carries it out to its end.
-func (e Event) carryOut(r *run) {
+// execute waits for the moment of the event and carries it out to its end.
+func (e Event) execute(r *run) {
 	time.Sleep(time.Until(r.beganAt.Add(e.At)))
-	e.Action.carryOut(r)
+	e.Action.execute(r)
 }
--- a/internal/soak/event_clock.go
+++ b/internal/soak/event_clock.go
@@ -12,8 +12,8 @@
 
 func (a StepClock) String() string { return fmt.Sprintf("clock step by %v", a.Step) }
 
-// carryOut replaces the file as a whole, so that no sidecar reads a part of it.
-func (a StepClock) carryOut(r *run) {
+// execute replaces the file as a whole, so that no sidecar reads a part of it.
+func (a StepClock) execute(r *run) {
 	r.clockStep.Store(int64(a.Step))
 	path := r.clockStepPath()
 	if os.WriteFile(path+".part", []byte(a.Step.String()), 0o600) == nil {
--- a/internal/soak/event_delay.go
+++ b/internal/soak/event_delay.go
@@ -11,16 +11,16 @@
 // DelayResponses delays what an endpoint sends by responseDelay for a length of time.
 type DelayResponses struct {
 	Endpoint EndpointID
-	Length   time.Duration
+	Duration time.Duration
 }
 
 func (a DelayResponses) String() string {
-	return fmt.Sprintf("delayed responses of endpoint %s for %v", a.Endpoint, a.Length)
+	return fmt.Sprintf("delayed responses of endpoint %s for %v", a.Endpoint, a.Duration)
 }
 
-func (a DelayResponses) carryOut(r *run) {
+func (a DelayResponses) execute(r *run) {
 	proxy := r.endpoint(a.Endpoint).proxy
 	proxy.SetDelay(responseDelay)
-	time.Sleep(a.Length)
+	time.Sleep(a.Duration)
 	proxy.SetDelay(0)
 }
--- a/internal/soak/event_drain.go
+++ b/internal/soak/event_drain.go
@@ -10,19 +10,19 @@
 // DrainEndpoint lists an endpoint as draining, and as gone after a length of time.
 type DrainEndpoint struct {
 	Endpoint EndpointID
-	Length   time.Duration
+	Duration time.Duration
 }
 
 func (a DrainEndpoint) String() string {
-	return fmt.Sprintf("drain of endpoint %s for %v", a.Endpoint, a.Length)
+	return fmt.Sprintf("drain of endpoint %s for %v", a.Endpoint, a.Duration)
 }
 
-func (a DrainEndpoint) brokenConnections() (EndpointID, time.Duration) { return a.Endpoint, a.Length }
+func (a DrainEndpoint) brokenConnections() (EndpointID, time.Duration) { return a.Endpoint, a.Duration }
 
-func (a DrainEndpoint) carryOut(r *run) {
+func (a DrainEndpoint) execute(r *run) {
 	endpoint := r.endpoint(a.Endpoint)
 	r.setPhase(endpoint, membership.PhaseDraining)
-	time.Sleep(a.Length)
+	time.Sleep(a.Duration)
 	r.setPhase(endpoint, membership.PhaseGone)
 }
 
--- a/internal/soak/event_draw.go
+++ b/internal/soak/event_draw.go
@@ -39,55 +39,55 @@
 // sidecar is ended or reloaded once at most.
 func drawEvents(plan *Plan, random *rand.Rand) []Event {
 	draw := &eventDraw{plan: plan, random: random}
-	draw.endpointEvents()
+	draw.addEndpointEvents()
 	for number := range plan.Sidecars {
-		draw.sidecarEvents(sidecarID(number))
+		draw.addSidecarEvents(sidecarID(number))
 	}
-	draw.commonEvents()
+	draw.addCommonEvents()
 	slices.SortFunc(draw.events, func(a, b Event) int { return int(a.At - b.At) })
 	return draw.events
 }
 
 // add adds an event at a random moment.
 func (d *eventDraw) add(action Action) {
-	at := d.between(d.plan.Length/8, d.plan.Length*5/8)
+	at := d.randomDuration(d.plan.TrafficDuration/8, d.plan.TrafficDuration*5/8)
 	d.events = append(d.events, Event{At: at, Action: action})
 }
 
 // between returns a time span between two.
-func (d *eventDraw) between(low, high time.Duration) time.Duration {
+func (d *eventDraw) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(d.random.Float64()*float64(high-low))
 }
 
-// outageLength returns the length of an outage of an endpoint or of discovery.
-func (d *eventDraw) outageLength() time.Duration {
-	return d.between(500*time.Millisecond, 2*time.Second)
+// randomOutageDuration returns the length of an outage of an endpoint or of discovery.
+func (d *eventDraw) randomOutageDuration() time.Duration {
+	return d.randomDuration(500*time.Millisecond, 2*time.Second)
 }
 
-// endpointEvents adds one event to each of some endpoints, so that two events do not undo each other.
-func (d *eventDraw) endpointEvents() {
+// addEndpointEvents adds one event to each of some endpoints, so that two events do not undo each other.
+func (d *eventDraw) addEndpointEvents() {
 	count := 1 + d.random.IntN(max(1, d.plan.Endpoints/2))
 	for number := range count {
 		newAction := endpointActions[d.random.IntN(len(endpointActions))]
-		d.add(newAction(endpointID(number), d.outageLength()))
+		d.add(newAction(endpointID(number), d.randomOutageDuration()))
 	}
 }
 
-// sidecarEvents adds the events of a sidecar.
-func (d *eventDraw) sidecarEvents(id SidecarID) {
+// addSidecarEvents adds the events of a sidecar.
+func (d *eventDraw) addSidecarEvents(id SidecarID) {
 	if d.random.IntN(3) > 0 {
 		newAction := sidecarActions[d.random.IntN(len(sidecarActions))]
 		d.add(newAction(id, time.Duration(d.random.IntN(3))*reloadInterval))
 	}
 	for range d.random.IntN(4) {
-		d.add(SuspendSidecar{id, d.between(20*time.Millisecond, 150*time.Millisecond)})
+		d.add(SuspendSidecar{id, d.randomDuration(20*time.Millisecond, 150*time.Millisecond)})
 	}
 }
 
-// commonEvents adds the events that concern all sidecars. The clock can be stepped only where faults are injected.
-func (d *eventDraw) commonEvents() {
+// addCommonEvents adds the events that concern all sidecars. The clock can be stepped only where faults are injected.
+func (d *eventDraw) addCommonEvents() {
 	if d.random.IntN(3) == 0 {
-		d.add(DiscoveryOutage{d.outageLength()})
+		d.add(DiscoveryOutage{d.randomOutageDuration()})
 	}
 	if d.plan.SystemCallFaults.enabled() && d.random.IntN(2) == 0 {
 		d.add(StepClock{clockSteps[d.random.IntN(len(clockSteps))]})
--- a/internal/soak/event_hang.go
+++ b/internal/soak/event_hang.go
@@ -8,16 +8,16 @@
 // HangEndpoint has an endpoint receive requests and respond to none for a length of time.
 type HangEndpoint struct {
 	Endpoint EndpointID
-	Length   time.Duration
+	Duration time.Duration
 }
 
 func (a HangEndpoint) String() string {
-	return fmt.Sprintf("endpoint %s hangs for %v", a.Endpoint, a.Length)
+	return fmt.Sprintf("endpoint %s hangs for %v", a.Endpoint, a.Duration)
 }
 
-func (a HangEndpoint) carryOut(r *run) {
+func (a HangEndpoint) execute(r *run) {
 	endpoint := r.endpoint(a.Endpoint)
 	endpoint.hanging.Store(true)
-	time.Sleep(a.Length)
+	time.Sleep(a.Duration)
 	endpoint.hanging.Store(false)
 }
--- a/internal/soak/event_kill.go
+++ b/internal/soak/event_kill.go
@@ -10,20 +10,20 @@
 
 func (a KillSidecar) String() string { return fmt.Sprintf("SIGKILL to sidecar %s", a.Sidecar) }
 
-func (a KillSidecar) carryOut(r *run) {
+func (a KillSidecar) execute(r *run) {
 	sidecar := r.sidecar(a.Sidecar)
-	ending, ok := r.beginEnd(sidecar)
+	terminating, ok := r.reserveTermination(sidecar)
 	if !ok {
 		return
 	}
-	r.mark(&ending.incarnation.KilledAt)
-	ending.process.Kill()
-	r.mark(&ending.incarnation.EndedAt)
+	r.recordTime(&terminating.incarnation.KilledAt)
+	terminating.process.Kill()
+	r.recordTime(&terminating.incarnation.EndedAt)
 	r.restartSidecar(sidecar)
 }
 
 // mark sets a time of an incarnation to now.
-func (r *run) mark(at *time.Time) {
+func (r *run) recordTime(at *time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	*at = time.Now()
--- a/internal/soak/event_partition.go
+++ b/internal/soak/event_partition.go
@@ -8,21 +8,21 @@
 // PartitionEndpoint discards all traffic of an endpoint for a length of time, and then resets its connections.
 type PartitionEndpoint struct {
 	Endpoint EndpointID
-	Length   time.Duration
+	Duration time.Duration
 }
 
 func (a PartitionEndpoint) String() string {
-	return fmt.Sprintf("partition of endpoint %s for %v", a.Endpoint, a.Length)
+	return fmt.Sprintf("partition of endpoint %s for %v", a.Endpoint, a.Duration)
 }
 
 func (a PartitionEndpoint) brokenConnections() (EndpointID, time.Duration) {
-	return a.Endpoint, a.Length
+	return a.Endpoint, a.Duration
 }
 
-func (a PartitionEndpoint) carryOut(r *run) {
+func (a PartitionEndpoint) execute(r *run) {
 	proxy := r.endpoint(a.Endpoint).proxy
 	proxy.Partition()
-	time.Sleep(a.Length)
+	time.Sleep(a.Duration)
 	proxy.Heal()
 	proxy.ResetAll()
 }
--- a/internal/soak/event_reload.go
+++ b/internal/soak/event_reload.go
@@ -14,25 +14,25 @@
 	reloadInterval = 350 * time.Millisecond
 	// reloadNotificationDelay is how long after SIGHUP a sidecar counts as notified by its new discovery agent.
 	reloadNotificationDelay = 4 * time.Second
-	// formerDiscoveryDelay is how long after SIGHUP the former discovery agent ends.
-	formerDiscoveryDelay = 1500 * time.Millisecond
+	// formerDiscoveryCloseDelay is how long after SIGHUP the former discovery agent ends.
+	formerDiscoveryCloseDelay = 1500 * time.Millisecond
 )
 
 // ReloadSidecar gives a sidecar configurations with another address of discovery and SIGHUP, once and then at intervals until a
 // length of time is over.
 type ReloadSidecar struct {
-	Sidecar SidecarID
-	Length  time.Duration
+	Sidecar  SidecarID
+	Duration time.Duration
 }
 
 func (a ReloadSidecar) String() string {
-	return fmt.Sprintf("reloads of sidecar %s for %v", a.Sidecar, a.Length)
+	return fmt.Sprintf("reloads of sidecar %s for %v", a.Sidecar, a.Duration)
 }
 
-func (a ReloadSidecar) carryOut(r *run) {
+func (a ReloadSidecar) execute(r *run) {
 	sidecar := r.sidecar(a.Sidecar)
 	var reloads sync.WaitGroup
-	for after := time.Duration(0); after <= a.Length; after += reloadInterval {
+	for after := time.Duration(0); after <= a.Duration; after += reloadInterval {
 		reloads.Go(func() { r.reload(sidecar) })
 		time.Sleep(reloadInterval)
 	}
@@ -52,7 +52,7 @@
 	}
 	process.WriteConfig(config)
 	process.Signal(syscall.SIGHUP)
-	time.Sleep(formerDiscoveryDelay)
+	time.Sleep(formerDiscoveryCloseDelay)
 	former.Close()
 }
 
@@ -61,7 +61,7 @@
 func (r *run) replaceDiscovery(sidecar *sidecar, next *standin.Discovery) (Process, standin.ProcessConfig, *standin.Discovery) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if sidecar.ending {
+	if sidecar.terminationReserved {
 		return nil, standin.ProcessConfig{}, nil
 	}
 	former := sidecar.discovery
--- a/internal/soak/event_restart.go
+++ b/internal/soak/event_restart.go
@@ -23,7 +23,7 @@
 	return a.Endpoint, a.Downtime
 }
 
-func (a RestartEndpoint) carryOut(r *run) {
+func (a RestartEndpoint) execute(r *run) {
 	endpoint := r.endpoint(a.Endpoint)
 	former := endpoint.server
 	former.Close()
--- a/internal/soak/event_shutdown.go
+++ b/internal/soak/event_shutdown.go
@@ -21,31 +21,31 @@
 
 func (a ShutdownSidecar) String() string { return fmt.Sprintf("shutdown of sidecar %s", a.Sidecar) }
 
-func (a ShutdownSidecar) carryOut(r *run) {
+func (a ShutdownSidecar) execute(r *run) {
 	sidecar := r.sidecar(a.Sidecar)
-	ending, ok := r.beginEnd(sidecar)
+	terminating, ok := r.reserveTermination(sidecar)
 	if !ok {
 		return
 	}
-	r.terminate(ending)
+	r.terminate(terminating)
 	r.restartSidecar(sidecar)
 }
 
 // terminate sends SIGTERM to a process, and SIGKILL at the earliest moment allowed if it still runs then.
-func (r *run) terminate(ending endingProcess) {
+func (r *run) terminate(terminating terminatingProcess) {
 	r.mu.Lock()
-	ending.incarnation.TermAt = time.Now()
+	terminating.incarnation.TermAt = time.Now()
 	r.mu.Unlock()
-	ending.process.Signal(syscall.SIGTERM)
-	ended, exit := ending.process.Wait(min(r.plan.Settings.longestDeadline(), maxShutdownDeadline) + killDelay)
+	terminating.process.Signal(syscall.SIGTERM)
+	ended, exit := terminating.process.Wait(min(r.plan.Settings.longestDeadline(), maxShutdownDeadline) + killDelay)
 	r.mu.Lock()
 	now := time.Now()
 	if !ended {
-		ending.incarnation.KilledAt = now
+		terminating.incarnation.KilledAt = now
 	} else if exit != nil {
-		ending.incarnation.Crash = fmt.Errorf("exit after SIGTERM: %w", exit)
+		terminating.incarnation.Crash = fmt.Errorf("exit after SIGTERM: %w", exit)
 	}
-	ending.incarnation.EndedAt = now
+	terminating.incarnation.EndedAt = now
 	r.mu.Unlock()
-	ending.process.Kill()
+	terminating.process.Kill()
 }
--- a/internal/soak/event_suspend.go
+++ b/internal/soak/event_suspend.go
@@ -8,17 +8,17 @@
 
 // SuspendSidecar gives the process of a sidecar no processor time for a length of time.
 type SuspendSidecar struct {
-	Sidecar SidecarID
-	Length  time.Duration
+	Sidecar  SidecarID
+	Duration time.Duration
 }
 
 func (a SuspendSidecar) String() string {
-	return fmt.Sprintf("suspension of sidecar %s for %v", a.Sidecar, a.Length)
+	return fmt.Sprintf("suspension of sidecar %s for %v", a.Sidecar, a.Duration)
 }
 
-func (a SuspendSidecar) carryOut(r *run) {
+func (a SuspendSidecar) execute(r *run) {
 	process := r.currentProcess(r.sidecar(a.Sidecar))
 	process.Signal(syscall.SIGSTOP)
-	time.Sleep(a.Length)
+	time.Sleep(a.Duration)
 	process.Signal(syscall.SIGCONT)
 }
--- a/internal/soak/event_upgrade.go
+++ b/internal/soak/event_upgrade.go
@@ -13,9 +13,9 @@
 
 func (a UpgradeSidecar) String() string { return fmt.Sprintf("upgrade of sidecar %s", a.Sidecar) }
 
-func (a UpgradeSidecar) carryOut(r *run) {
+func (a UpgradeSidecar) execute(r *run) {
 	sidecar := r.sidecar(a.Sidecar)
-	predecessor, ok := r.beginEnd(sidecar)
+	predecessor, ok := r.reserveTermination(sidecar)
 	if !ok {
 		return
 	}
@@ -30,5 +30,5 @@
 		r.setProcess(sidecar, successor)
 		r.terminate(predecessor)
 	}
-	r.allowEnd(sidecar)
+	r.releaseTermination(sidecar)
 }
--- a/internal/soak/excuses.go
+++ b/internal/soak/excuses.go
@@ -7,11 +7,11 @@
 	"cindersaddle/internal/standin"
 )
 
-// disturbanceMargin is how long before and after a fault of the network or of an endpoint its consequences are excused.
-const disturbanceMargin = time.Second
+// excuseMargin is how long before and after a fault of the network or of an endpoint its consequences are excused.
+const excuseMargin = time.Second
 
 // killed reports whether the process that had a request was killed without a SIGTERM before it.
-func (j *judge) killed(e *Exchange) bool {
+func (j *judge) processKilled(e *Exchange) bool {
 	return j.killedBetween(e.Sidecar, e.BeganAt, e.EndedAt)
 }
 
@@ -46,7 +46,7 @@
 		endpoint, length := breaker.brokenConnections()
 		beganAt := j.BeganAt.Add(event.At)
 		endedAt := beganAt.Add(length).Add(recordSlack)
-		return attempt.Endpoint == endpoint && attempt.openBetween(beganAt.Add(-disturbanceMargin), endedAt.Add(disturbanceMargin))
+		return attempt.Endpoint == endpoint && attempt.openBetween(beganAt.Add(-excuseMargin), endedAt.Add(excuseMargin))
 	})
 }
 
--- a/internal/soak/rogue_exchange_test.go
+++ b/internal/soak/faultysidecar_exchange_test.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// rogueFaultInterval is the interval of calls of pick at which a request is subject to the fault.
-	rogueFaultInterval = 7
-	// rogueLateDelay is well beyond the slack of RuleClientDisconnected.
-	rogueLateDelay = 400 * time.Millisecond
+	// faultInterval is the interval of calls of pick at which a request is subject to the fault.
+	faultInterval = 7
+	// lateForwardDelay is well beyond the slack of RuleClientDisconnected.
+	lateForwardDelay = 400 * time.Millisecond
 )
 
-// rogueExchange is a request that a rogueSidecar forwards.
-type rogueExchange struct {
-	sidecar  *rogueSidecar
-	incoming *http.Request
-	body     []byte
-	faulty   bool // the sidecar commits its fault on this request
+// faultyExchange is a request that a faultySidecar forwards.
+type faultyExchange struct {
+	sidecar      *faultySidecar
+	incoming     *http.Request
+	body         []byte
+	injectsFault bool // the sidecar injects its fault on this request
 }
 
-// ServeHTTP forwards a request, and commits the fault on some of them.
-func (s *rogueSidecar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP forwards a request, and injects the fault on some of them.
+func (s *faultySidecar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	e := &rogueExchange{sidecar: s, incoming: r, body: body, faulty: s.next.Load()%rogueFaultInterval == 0}
+	e := &faultyExchange{sidecar: s, incoming: r, body: body, injectsFault: s.pickCount.Load()%faultInterval == 0}
 	endpoint := s.pick()
 	if endpoint == nil {
 		http.Error(w, "no endpoint", http.StatusServiceUnavailable)
 		return
 	}
-	if e.commits(rogueLate) {
+	if e.injects(faultIgnoresDisconnects) {
 		e.forwardLate(endpoint)
 		return
 	}
@@ -45,38 +45,40 @@
 	e.respond(w, response, err)
 }
 
-// commits reports whether a fault is the one of the sidecar, and is committed on this request.
-func (e *rogueExchange) commits(fault rogueFault) bool { return e.faulty && e.sidecar.fault == fault }
+// injects reports whether a fault is the one of the sidecar, and is committed on this request.
+func (e *faultyExchange) injects(fault sidecarFault) bool {
+	return e.injectsFault && e.sidecar.fault == fault
+}
 
 // outgoing returns the request that goes to an endpoint.
-func (e *rogueExchange) outgoing() *http.Request {
+func (e *faultyExchange) outgoing() *http.Request {
 	request, _ := http.NewRequest(e.incoming.Method, "http://endpoint/api", strings.NewReader(string(e.body)))
 	request.Header = e.incoming.Header.Clone()
-	if e.commits(rogueInvents) {
+	if e.injects(faultInventsRequests) {
 		request.Header.Set("X-Trace-Id", "invented")
 	}
-	if e.commits(rogueGenerous) {
+	if e.injects(faultInflatesExpiry) {
 		request.Header.Set("X-Expires-In", "60000m")
 	}
 	return request
 }
 
 // forwardLate waits until the client has disconnected, and has the request sent some time after.
-func (e *rogueExchange) forwardLate(endpoint *membership.Endpoint) {
+func (e *faultyExchange) forwardLate(endpoint *membership.Endpoint) {
 	<-e.incoming.Context().Done()
 	request := e.outgoing()
-	time.AfterFunc(rogueLateDelay, func() { roundTrip(context.Background(), endpoint, request) })
+	time.AfterFunc(lateForwardDelay, func() { roundTrip(context.Background(), endpoint, request) })
 }
 
 // forward returns the body of an endpoint's response.
-func (e *rogueExchange) forward(endpoint *membership.Endpoint) ([]byte, error) {
-	if e.commits(rogueDuplicates) {
+func (e *faultyExchange) forward(endpoint *membership.Endpoint) ([]byte, error) {
+	if e.injects(faultParallelAttempts) {
 		if other := e.sidecar.pick(); other != nil {
 			go roundTrip(context.Background(), other, e.outgoing())
 		}
 	}
 	response, err := roundTrip(e.incoming.Context(), endpoint, e.outgoing())
-	if e.commits(rogueRetries) {
+	if e.injects(faultUnsafeRetries) {
 		if other := e.sidecar.pick(); other != nil {
 			response, err = roundTrip(e.incoming.Context(), other, e.outgoing())
 		}
@@ -85,19 +87,19 @@
 }
 
 // respond passes the result of forward to the client.
-func (e *rogueExchange) respond(w http.ResponseWriter, response []byte, err error) {
+func (e *faultyExchange) respond(w http.ResponseWriter, response []byte, err error) {
 	switch {
-	case e.commits(rogueCloses):
+	case e.injects(faultClosesConns):
 		panic(http.ErrAbortHandler)
-	case e.commits(rogueSilent):
+	case e.injects(faultNeverResponds):
 		<-e.incoming.Context().Done()
 	case err != nil:
 		http.Error(w, "failed", http.StatusBadGateway)
-	case e.commits(rogueTruncates):
+	case e.injects(faultTruncatesResponses):
 		w.Header().Set("Content-Length", fmt.Sprint(len(response)))
 		w.Write(response[:len(response)/2])
 		panic(http.ErrAbortHandler)
-	case e.commits(rogueMixes):
+	case e.injects(faultMixesUpResponses):
 		w.Write([]byte(strings.Replace(string(response), "served ", "served x", 1)))
 	default:
 		w.Write(response)
--- a/internal/soak/rogue_list_test.go
+++ b/internal/soak/faultysidecar_list_test.go
@@ -10,16 +10,16 @@
 	"cindersaddle/internal/membership"
 )
 
-// roguePollInterval is well within the drain grace, so that the list is known in time.
-const roguePollInterval = 20 * time.Millisecond
+// listPollInterval is well within the drain grace, so that the list is known in time.
+const listPollInterval = 20 * time.Millisecond
 
-// followList polls discovery until the sidecar has ended.
-func (s *rogueSidecar) followList() {
+// pollUntilEnded polls discovery until the sidecar has ended.
+func (s *faultySidecar) pollUntilEnded() {
 	for {
 		select {
 		case <-s.ended:
 			return
-		case <-time.After(roguePollInterval):
+		case <-time.After(listPollInterval):
 		}
 		if list, err := pollList(s.config.Discovery); err == nil {
 			s.mu.Lock()
@@ -44,13 +44,13 @@
 }
 
 // pick returns an endpoint, another one for each call, or nil.
-func (s *rogueSidecar) pick() *membership.Endpoint {
+func (s *faultySidecar) pick() *membership.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ready []membership.Endpoint
 	var newest *membership.Endpoint
 	for _, endpoint := range s.list.Endpoints {
-		if endpoint.Phase == "ready" || s.fault == rogueAnyEndpoint {
+		if endpoint.Phase == "ready" || s.fault == faultIgnoresDraining {
 			ready = append(ready, endpoint)
 		}
 		if endpoint.StartedAt > 0 && (newest == nil || endpoint.StartedAt > newest.StartedAt) {
@@ -58,11 +58,11 @@
 		}
 	}
 	slices.SortFunc(ready, func(a, b membership.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	if s.fault == rogueOverloads && newest != nil {
+	if s.fault == faultIgnoresSlowStart && newest != nil {
 		return newest
 	}
 	if len(ready) == 0 {
 		return nil
 	}
-	return &ready[int(s.next.Add(1))%len(ready)]
+	return &ready[int(s.pickCount.Add(1))%len(ready)]
 }
--- a/internal/soak/harness_test.go
+++ b/internal/soak/harness_test.go
@@ -9,8 +9,8 @@
 	"cindersaddle/internal/standin"
 )
 
-// program is the path of the sidecar as it is shipped, faultProgram that of one with the seam of package fault.
-var program, faultProgram string
+// program is the path of the sidecar as it is shipped, faultSidecarPath that of one with the seam of package fault.
+var sidecarPath, faultSidecarPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "soak")
@@ -18,9 +18,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	program, err = standin.BuildSidecar(dir, "")
+	sidecarPath, err = standin.BuildSidecar(dir, "")
 	if err == nil {
-		faultProgram, err = standin.BuildSidecar(dir, "faults")
+		faultSidecarPath, err = standin.BuildSidecar(dir, "faults")
 	}
 	code := 1
 	if err != nil {
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(server.Close)
-		fleet.discovery.Set(readyEndpoint(endpointID(number), server.Addr()))
+		fleet.discovery.Set(readyListEntry(endpointID(number), server.Addr()))
 	}
 	return fleet
 }
@@ -65,7 +65,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	process, err := standin.StartProcess(program, dir, f.config(t, name, settings))
+	process, err := standin.StartProcess(sidecarPath, dir, f.config(t, name, settings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/soak/incompleteconn.go
+++ b/internal/soak/incompleteconn.go
@@ -19,7 +19,7 @@
 // openIncompleteConns opens connections one after the other that send nothing or a part of a request, and records when the
 // sidecar ends them. The first connections of all numbers are spread over half of the run.
 func (r *run) openIncompleteConns(sidecar *sidecar, number int, end time.Time) {
-	time.Sleep(time.Duration(number) * r.plan.Length / time.Duration(2*r.plan.IncompleteConns))
+	time.Sleep(time.Duration(number) * r.plan.TrafficDuration / time.Duration(2*r.plan.IncompleteConns))
 	part := incompleteRequest[:number%len(incompleteRequest)]
 	for time.Until(end) > incompleteConnWait {
 		conn, err := net.DialTimeout("tcp", sidecar.config.Listen, time.Second)
@@ -27,15 +27,15 @@
 			time.Sleep(incompleteConnPause)
 			continue
 		}
-		r.recordIncompleteConn(awaitEnd(conn, sidecar.id, part))
+		r.recordIncompleteConn(awaitResponseOrClose(conn, sidecar.id, part))
 		if part == "" { // one such connection for each number is enough
 			return
 		}
 	}
 }
 
-// awaitEnd sends a part of a request, and waits for a response or the end of the connection.
-func awaitEnd(conn net.Conn, sidecar SidecarID, part string) IncompleteConn {
+// awaitResponseOrClose sends a part of a request, and waits for a response or the end of the connection.
+func awaitResponseOrClose(conn net.Conn, sidecar SidecarID, part string) IncompleteConn {
 	defer conn.Close()
 	record := IncompleteConn{Sidecar: sidecar, OpenedAt: time.Now()}
 	io.WriteString(conn, part)
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -78,8 +78,8 @@
 	j.violations = append(j.violations, Violation{Rule: rule, TraceID: traceID, Text: fmt.Sprintf(format, args...)})
 }
 
-// eachKnownAttempt calls check with each attempt of a request that a client has sent.
-func (j *judge) eachKnownAttempt(check func(*Exchange, *Attempt)) {
+// forEachKnownAttempt calls check with each attempt of a request that a client has sent.
+func (j *judge) forEachKnownAttempt(check func(*Exchange, *Attempt)) {
 	for traceID, attempts := range j.attempts {
 		exchange, sent := j.exchanges[traceID]
 		if !sent {
--- a/internal/soak/log_test.go
+++ b/internal/soak/log_test.go
@@ -25,7 +25,7 @@
 			}
 			defer reader.Close()
 			prepare(reader)
-			sidecar, err := standin.StartProcessWithLog(program, t.TempDir(), fleet.config(t, "n0", defaultSettings()), writer)
+			sidecar, err := standin.StartProcessWithLog(sidecarPath, t.TempDir(), fleet.config(t, "n0", defaultSettings()), writer)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/soak/overdue_test.go
+++ b/internal/soak/overdue_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	raceEndpoints = 16
-	raceClasses   = 60
-	raceWaves     = 4                      // an attempt is overdue after half the objective while its class has few samples
-	raceObjective = 200 * time.Millisecond // of each class
-	raceLoad      = 24                     // clients whose requests keep the one processor of the sidecar busy
-	raceJitter    = 3 * time.Millisecond   // the heads of the responses come within this time around the moment
-	raceBodyPause = 12 * time.Millisecond  // between the parts of a body: within the grace of package upstream
-	raceProcesses = 3
+	raceEndpoints   = 16
+	raceClasses     = 60
+	raceWaves       = 4                      // an attempt is overdue after half the objective while its class has few samples
+	raceObjective   = 200 * time.Millisecond // of each class
+	raceLoadClients = 24                     // clients whose requests keep the one processor of the sidecar busy
+	raceJitter      = 3 * time.Millisecond   // the heads of the responses come within this time around the moment
+	raceBodyPause   = 12 * time.Millisecond  // between the parts of a body: within the grace of package upstream
+	raceProcesses   = 3
 )
 
 // TestResponseIsCompleteWhenItsAttemptIsOverdue repeats an incident.
@@ -43,15 +43,15 @@
 // broken by the endpoint, a client that left, an eviction, a shutdown and a panic are logged with other reasons.
 func TestResponseIsCompleteWhenItsAttemptIsOverdue(t *testing.T) {
 	for round := range raceProcesses {
-		for _, fault := range raceOverdueAgainstResponse(t, round) {
+		for _, fault := range runOverdueRace(t, round) {
 			t.Error(fault)
 		}
 	}
 }
 
-// raceOverdueAgainstResponse runs one sidecar whose attempts are overdue at the moment at which their responses begin, and
+// runOverdueRace runs one sidecar whose attempts are overdue at the moment at which their responses begin, and
 // returns what its clients got but should not.
-func raceOverdueAgainstResponse(t *testing.T, round int) (faults []string) {
+func runOverdueRace(t *testing.T, round int) (faults []string) {
 	behavior := func(r *http.Request) standin.Reply {
 		if !strings.HasPrefix(r.Header.Get("X-Qos"), "read") {
 			return standin.Reply{}
@@ -63,7 +63,7 @@
 	sidecar := fleet.startSidecar(t, fmt.Sprintf("n%d", round), raceSettings())
 	client := standin.NewClient(sidecar.Config.Listen)
 	defer client.Close()
-	stopLoad := startLoad(sidecar, raceLoad, round)
+	stopLoad := startLoad(sidecar, raceLoadClients, round)
 	for wave := range raceWaves {
 		var running sync.WaitGroup
 		for class := range raceClasses {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,13 +13,13 @@
 	Sidecars         int
 	Endpoints        int
 	Workers          int           // requests in flight at most, for each sidecar
-	Length           time.Duration // of the traffic
+	TrafficDuration  time.Duration // of the traffic
 	Settings         settingsDocument
 	Sockets          int // that a sidecar may have open
 	IncompleteConns  int // connections that send no complete request, for each sidecar
 	SystemCallFaults SystemCallFaults
 	FailureRate      float64 // fraction of the attempts that an endpoint does not serve
-	LeaveRate        float64 // fraction of the requests whose client leaves early
+	DisconnectRate   float64 // fraction of the requests whose client leaves early
 	Events           []Event // by time
 }
 
@@ -28,7 +28,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d: %d sidecars, %d endpoints, %d workers, %v, %d sockets, %d incomplete connections, "+
 		"system call faults %q, failure rate %.2f, leave rate %.2f\n",
-		p.Seed, p.Sidecars, p.Endpoints, p.Workers, p.Length, p.Sockets, p.IncompleteConns, p.SystemCallFaults.Spec, p.FailureRate, p.LeaveRate)
+		p.Seed, p.Sidecars, p.Endpoints, p.Workers, p.TrafficDuration, p.Sockets, p.IncompleteConns, p.SystemCallFaults.Spec, p.FailureRate, p.DisconnectRate)
 	for _, class := range p.Settings.Classes {
 		fmt.Fprintf(&text, "  class %s: deadline %.0f ms, deduplication window %.0f ms\n", class.Name, class.Deadline, class.DedupWindow)
 	}
@@ -52,12 +52,12 @@
 		Sidecars:         2 + random.IntN(3),
 		Endpoints:        5 + random.IntN(4),
 		Workers:          8 + random.IntN(8),
-		Length:           length,
+		TrafficDuration:  length,
 		Settings:         randomSettings(random),
 		Sockets:          []int{128, 256, 512}[random.IntN(3)],
 		SystemCallFaults: randomSystemCallFaults(random, seed),
 		FailureRate:      []float64{0.02, 0.1, 0.2}[random.IntN(3)],
-		LeaveRate:        []float64{0, 0.05, 0.15}[random.IntN(3)],
+		DisconnectRate:   []float64{0, 0.05, 0.15}[random.IntN(3)],
 	}
 	if random.IntN(4) == 0 {
 		plan.IncompleteConns = plan.Sockets
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// plansOfSeeds is the checksum of the plans of the first seedsChecked seeds. It changes with the draws, and with the texts of
+// plansChecksum is the checksum of the plans of the first checksummedSeeds seeds. It changes with the draws, and with the texts of
 // Plan.String too.
 const (
-	seedsChecked = 50
-	plansOfSeeds = "91ea6ddb3611e21e0346639749a266eb208636826ce911d1a4e0b5c211811fdb"
+	checksummedSeeds = 50
+	plansChecksum    = "91ea6ddb3611e21e0346639749a266eb208636826ce911d1a4e0b5c211811fdb"
 )
 
-// TestSeedsKeepTheirPlans checks that seeds give the same plans as when plansOfSeeds was recorded. Otherwise the seeds that are
+// TestSeedsKeepTheirPlans checks that seeds give the same plans as when plansChecksum was recorded. Otherwise the seeds that are
 // named in reports of failures would no longer show them.
 func TestSeedsKeepTheirPlans(t *testing.T) {
 	plans := sha256.New()
-	for seed := range uint64(seedsChecked) {
+	for seed := range uint64(checksummedSeeds) {
 		plan := NewPlan(seed+1, 7*time.Second)
 		settings, err := json.Marshal(plan.Settings)
 		if err != nil {
@@ -27,7 +27,7 @@
 		}
 		fmt.Fprintf(plans, "%v%s\n", plan, settings)
 	}
-	if got := fmt.Sprintf("%x", plans.Sum(nil)); got != plansOfSeeds {
-		t.Errorf("checksum of the plans %s, want %s", got, plansOfSeeds)
+	if got := fmt.Sprintf("%x", plans.Sum(nil)); got != plansChecksum {
+		t.Errorf("checksum of the plans %s, want %s", got, plansChecksum)
 	}
 }
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -46,7 +46,7 @@
 	EndedAt  time.Time // when a response or the end came; zero: neither within incompleteConnWait
 }
 
-// Records are what the parties of a run have seen.
+// Records are what the activities of a run have seen.
 type Records struct {
 	Plan            *Plan
 	BeganAt         time.Time // the start of the traffic
--- a/internal/soak/rule_client_disconnected.go
+++ b/internal/soak/rule_client_disconnected.go
@@ -13,7 +13,7 @@
 // It holds from disconnectSlack after the client closed its connection to the end of the run, by the first byte that the
 // endpoint receives.
 func (j *judge) checkClientsDisconnected() {
-	j.eachKnownAttempt(func(e *Exchange, attempt *Attempt) {
+	j.forEachKnownAttempt(func(e *Exchange, attempt *Attempt) {
 		if e.End != standin.ExchangeClientDisconnected {
 			return
 		}
--- a/internal/soak/rule_drain.go
+++ b/internal/soak/rule_drain.go
@@ -21,10 +21,10 @@
 		attempt := &j.Attempts[i]
 		sidecar := j.exchanges[attempt.TraceID].Sidecar
 		for index, notification := range j.notifications {
-			if !notification.concerns(sidecar, attempt.Endpoint) || notification.State == balance.Ready {
+			if !notification.matches(sidecar, attempt.Endpoint) || notification.State == balance.Ready {
 				continue
 			}
-			since := attempt.FirstByteAt.Sub(j.notifiedSince(&notification))
+			since := attempt.FirstByteAt.Sub(j.notificationTime(&notification))
 			if since > grace && !j.readyAgain(index, attempt.FirstByteAt) {
 				j.report(RuleDrain, attempt.TraceID, "endpoint %s received it %v after the notification that it is %s",
 					attempt.Endpoint, since, stateName(notification.State))
@@ -33,13 +33,13 @@
 	}
 }
 
-// concerns reports whether a sidecar was notified about an endpoint.
-func (n *Notification) concerns(sidecar SidecarID, endpoint EndpointID) bool {
+// matches reports whether a sidecar was notified about an endpoint.
+func (n *Notification) matches(sidecar SidecarID, endpoint EndpointID) bool {
 	return n.Sidecar == sidecar && n.Endpoint == endpoint
 }
 
-// notifiedSince returns when the sidecar counts as notified: not before the process that runs then can know of the change.
-func (j *judge) notifiedSince(notification *Notification) time.Time {
+// notificationTime returns when the sidecar counts as notified: not before the process that runs then can know of the change.
+func (j *judge) notificationTime(notification *Notification) time.Time {
 	since := notification.NotifiedAt
 	for _, incarnation := range j.Incarnations {
 		ended := !incarnation.EndedAt.IsZero() && incarnation.EndedAt.Before(notification.NotifiedAt)
@@ -60,7 +60,7 @@
 func (j *judge) readyAgain(index int, before time.Time) bool {
 	notification := &j.notifications[index]
 	return slices.ContainsFunc(j.notifications[index+1:], func(later Notification) bool {
-		return later.concerns(notification.Sidecar, notification.Endpoint) && later.State == balance.Ready && later.ReadableAt.Before(before)
+		return later.matches(notification.Sidecar, notification.Endpoint) && later.State == balance.Ready && later.ReadableAt.Before(before)
 	})
 }
 
--- a/internal/soak/rule_drain_test.go
+++ b/internal/soak/rule_drain_test.go
@@ -20,7 +20,7 @@
 	}{
 		{[]balance.EndpointState{balance.Gone, balance.Ready}, false}, {[]balance.EndpointState{balance.Ready, balance.Gone}, true},
 	} {
-		records := &Records{Plan: &Plan{Settings: defaultSettings(), Length: time.Second, Endpoints: 1}, BeganAt: began}
+		records := &Records{Plan: &Plan{Settings: defaultSettings(), TrafficDuration: time.Second, Endpoints: 1}, BeganAt: began}
 		for i := range 40 { // so many, and in no order, that an unstable sort mixes them
 			records.Notifications = append(records.Notifications, Notification{
 				Sidecar: "n1", Endpoint: "s-0", State: balance.Ready, ReadableAt: at,
@@ -48,7 +48,7 @@
 	}{
 		{at(2 * time.Second), true}, {at(4 * time.Second), false},
 	} {
-		records := &Records{Plan: &Plan{Settings: defaultSettings(), Length: time.Second, Endpoints: 1}, BeganAt: began}
+		records := &Records{Plan: &Plan{Settings: defaultSettings(), TrafficDuration: time.Second, Endpoints: 1}, BeganAt: began}
 		records.Notifications = []Notification{
 			{Sidecar: "n0", Endpoint: "s-0", State: balance.Gone, ReadableAt: at(time.Second), NotifiedAt: at(time.Second)},
 			{Sidecar: "n0", Endpoint: "s-0", State: balance.Ready, ReadableAt: at(3 * time.Second), NotifiedAt: at(7 * time.Second)},
--- a/internal/soak/rule_response.go
+++ b/internal/soak/rule_response.go
@@ -11,8 +11,8 @@
 const (
 	// lateResponseSlack is how long after the deadline a response may come.
 	lateResponseSlack = 500 * time.Millisecond
-	// crossingTime is how long a request may take to a sidecar that closes the connection meanwhile and does not read it.
-	crossingTime = 25 * time.Millisecond
+	// closeRaceWindow is how long a request may take to a sidecar that closes the connection meanwhile and does not read it.
+	closeRaceWindow = 25 * time.Millisecond
 )
 
 // checkResponses checks RuleResponse: each request that a sidecar has read gets one complete response of its own.
@@ -32,15 +32,15 @@
 	case standin.ExchangeServed, standin.ExchangeRejected, standin.ExchangeFailed:
 		j.checkCompleteResponse(e)
 	case standin.ExchangeTimedOut:
-		if !j.killed(e) {
+		if !j.processKilled(e) {
 			j.report(RuleResponse, e.TraceID, "no response")
 		}
 	case standin.ExchangeTruncated:
-		if !j.killed(e) && !j.responseBroken(e.TraceID) {
+		if !j.processKilled(e) && !j.responseBroken(e.TraceID) {
 			j.report(RuleResponse, e.TraceID, "truncated response, though no endpoint or network broke it: %v", e.Err)
 		}
 	case standin.ExchangeClosed:
-		if !j.killed(e) && j.wasRead(e) {
+		if !j.processKilled(e) && j.wasRead(e) {
 			j.report(RuleResponse, e.TraceID, "the connection was closed without a response: %v", e.Err)
 		}
 	}
@@ -64,5 +64,5 @@
 			return true
 		}
 	}
-	return errors.Is(e.Err, io.EOF) && e.EndedAt.Sub(e.SentAt) > crossingTime
+	return errors.Is(e.Err, io.EOF) && e.EndedAt.Sub(e.SentAt) > closeRaceWindow
 }
--- a/internal/soak/rule_slow_start.go
+++ b/internal/soak/rule_slow_start.go
@@ -20,13 +20,13 @@
 
 func (j *judge) checkSlowStart(endpoint EndpointID, restartedAt time.Time) {
 	rules := &j.Plan.Settings.Rules
-	window := rules.OverloadWindow.Duration()
+	window := rules.SlowStartOverloadWindow.Duration()
 	receivedAt := j.receivedSince(endpoint, restartedAt)
 	for first, from := range receivedAt {
 		to := from.Add(window)
 		end, _ := slices.BinarySearchFunc(receivedAt, to, time.Time.Compare)
-		capacity := j.meanRate() * rules.warmUpFraction(to.Sub(restartedAt))
-		limit := slowStartLimit(rules.OverloadFactor * capacity * window.Seconds())
+		capacity := j.meanRate() * rules.slowStartFraction(to.Sub(restartedAt))
+		limit := slowStartLimit(rules.SlowStartOverloadFactor * capacity * window.Seconds())
 		if received := float64(end - first); received > limit {
 			j.report(RuleSlowStart, "", "endpoint %s received %.0f requests in %v from %v after its start on, the limit is %.0f",
 				endpoint, received, window, from.Sub(restartedAt), limit)
@@ -49,23 +49,23 @@
 
 // meanRate returns the mean number of attempts per second at an endpoint.
 func (j *judge) meanRate() float64 {
-	return float64(len(j.Attempts)) / j.Plan.Length.Seconds() / float64(j.Plan.Endpoints)
+	return float64(len(j.Attempts)) / j.Plan.TrafficDuration.Seconds() / float64(j.Plan.Endpoints)
 }
 
-// warmUpFraction returns the fraction of its capacity that an endpoint has at some time after its start.
-func (r *ruleSettings) warmUpFraction(afterStart time.Duration) float64 {
-	return min(1, r.WarmUpInitialFraction+(1-r.WarmUpInitialFraction)*afterStart.Seconds()/r.WarmUpDuration.Duration().Seconds())
+// slowStartFraction returns the fraction of its capacity that an endpoint has at some time after its start.
+func (r *ruleSettings) slowStartFraction(afterStart time.Duration) float64 {
+	return min(1, r.SlowStartInitialFraction+(1-r.SlowStartInitialFraction)*afterStart.Seconds()/r.SlowStartDuration.Duration().Seconds())
 }
 
-// fewRequests is the mean number of requests below which the limit allows three standard deviations instead of two, as the
+// smallMean is the mean number of requests below which the limit allows three standard deviations instead of two, as the
 // Poisson distribution of few requests is skewed.
-const fewRequests = 30
+const smallMean = 30
 
 // slowStartLimit adds to a mean number of requests the deviation that chance allows, with a whole request for each standard
 // deviation.
 func slowStartLimit(mean float64) float64 {
 	deviations := 2.0
-	if mean < fewRequests {
+	if mean < smallMean {
 		deviations = 3
 	}
 	return mean + deviations*math.Sqrt(mean) + deviations
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -35,13 +35,13 @@
 	}
 	r.beganAt = time.Now()
 	r.records.BeganAt = r.beganAt
-	var parties sync.WaitGroup
-	r.startTraffic(&parties)
+	var activities sync.WaitGroup
+	r.startTraffic(&activities)
 	for _, event := range plan.Events {
-		parties.Go(func() { event.carryOut(r) })
+		activities.Go(func() { event.execute(r) })
 	}
-	parties.Wait()
-	return r.collect(), nil
+	activities.Wait()
+	return r.collectRecords(), nil
 }
 
 // start starts the endpoints, and then the sidecars that use them.
@@ -70,7 +70,7 @@
 }
 
 // collect returns the records at the end of a run.
-func (r *run) collect() *Records {
+func (r *run) collectRecords() *Records {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records := r.records
@@ -89,7 +89,7 @@
 	return &records
 }
 
-// close ends all parties.
+// close ends all activities.
 func (r *run) close() {
 	for _, sidecar := range r.sidecars {
 		sidecar.close()
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -12,7 +12,7 @@
 	Classes       []classSettings      `json:"classes"`
 	Tenants       []tenantSettings     `json:"tenants"`
 	Discovery     string               `json:"discovery"`
-	Kinds         []string             `json:"kinds"`
+	MachineTypes  []string             `json:"kinds"`
 	Zones         []string             `json:"zones"`
 	Zone          int                  `json:"zone"`
 	Ratings       string               `json:"weights"`
@@ -65,19 +65,19 @@
 
 // ruleSettings describe the timing, and endpoints that warm up or are overloaded.
 type ruleSettings struct {
-	AnswerGrace           balance.Milliseconds `json:"answer_slack_ms"`
-	MaxPollInterval       balance.Milliseconds `json:"ask_within_ms"`
-	WarmUpInitialFraction float64              `json:"cold_from"`
-	WarmUpDuration        balance.Milliseconds `json:"cold_ms"`
-	DrainGrace            balance.Milliseconds `json:"drain_grace_ms"`
-	OverloadWindow        balance.Milliseconds `json:"fall_ms"`
-	OverloadFactor        float64              `json:"fall_multiple"`
+	AnswerGrace              balance.Milliseconds `json:"answer_slack_ms"`
+	MaxPollInterval          balance.Milliseconds `json:"ask_within_ms"`
+	SlowStartInitialFraction float64              `json:"cold_from"`
+	SlowStartDuration        balance.Milliseconds `json:"cold_ms"`
+	DrainGrace               balance.Milliseconds `json:"drain_grace_ms"`
+	SlowStartOverloadWindow  balance.Milliseconds `json:"fall_ms"`
+	SlowStartOverloadFactor  float64              `json:"fall_multiple"`
 }
 
 const (
-	tenantName = "acme"
-	zoneName   = "room-1" // of all sidecars and endpoints
-	kindName   = "small"  // of all endpoints
+	tenantName      = "acme"
+	zoneName        = "room-1" // of all sidecars and endpoints
+	machineTypeName = "small"  // of all endpoints
 )
 
 // effectNames are the kinds of idempotency as the settings name them.
@@ -95,11 +95,11 @@
 			defaultClass("reserve", balance.IdempotencyKey, "cell", 3000),
 			defaultClass("pay", balance.NonIdempotent, "all", 0),
 		},
-		Tenants:   []tenantSettings{{Name: tenantName, QuotaShare: 1, QuotaRate: 1000}},
-		Discovery: "automatic",
-		Kinds:     []string{kindName},
-		Zones:     []string{zoneName, "room-2"},
-		Ratings:   "rough",
+		Tenants:      []tenantSettings{{Name: tenantName, QuotaShare: 1, QuotaRate: 1000}},
+		Discovery:    "automatic",
+		MachineTypes: []string{machineTypeName},
+		Zones:        []string{zoneName, "room-2"},
+		Ratings:      "rough",
 		Limits: limitSettings{
 			Cancellation: true, ConnIdleTimeout: 10000, ConnectTimeout: 1000, MaxAttempts: 5, MaxRetryAfter: 2000, MaxOpenRequests: 1000,
 			Hedging: true, HealthChecks: true, RetryAfter: true, StreamsPerConn: 1,
@@ -108,8 +108,8 @@
 		Quantum:       2,
 		Report:        reportSettings{Fields: []string{"busy", "rate"}, Mode: "piggyback"},
 		Rules: ruleSettings{
-			AnswerGrace: 8, MaxPollInterval: 10000, WarmUpInitialFraction: 0.12, WarmUpDuration: 24000, DrainGrace: 250,
-			OverloadWindow: 3000, OverloadFactor: 2.5,
+			AnswerGrace: 8, MaxPollInterval: 10000, SlowStartInitialFraction: 0.12, SlowStartDuration: 24000, DrainGrace: 250,
+			SlowStartOverloadWindow: 3000, SlowStartOverloadFactor: 2.5,
 		},
 	}
 }
@@ -123,8 +123,8 @@
 }
 
 const (
-	// shortWarmUp is a warm-up of which a run sees the greater part.
-	shortWarmUp balance.Milliseconds = 4000
+	// shortSlowStart is a warm-up of which a run sees the greater part.
+	shortSlowStart balance.Milliseconds = 4000
 	// minUsualDeadline is the shortest usual deadline of a class, usualDeadlineSpread by how much others are longer.
 	minUsualDeadline    balance.Milliseconds = 1000
 	usualDeadlineSpread balance.Milliseconds = 1000
@@ -152,7 +152,7 @@
 		}
 	}
 	settings.Limits.ConnIdleTimeout = connIdleTimeouts[random.IntN(len(connIdleTimeouts))]
-	settings.Rules.WarmUpDuration = shortWarmUp
+	settings.Rules.SlowStartDuration = shortSlowStart
 	return settings
 }
 
--- a/internal/soak/sidecar.go
+++ b/internal/soak/sidecar.go
@@ -14,13 +14,13 @@
 
 // sidecar is a sidecar of a run over all its processes, with its client and its discovery agent.
 type sidecar struct {
-	id          SidecarID
-	client      *standin.Client
-	config      standin.ProcessConfig
-	discovery   *standin.Discovery
-	process     Process // nil: none has been ready
-	incarnation *Incarnation
-	ending      bool // an event ends the process; no other event may do that or reload
+	id                  SidecarID
+	client              *standin.Client
+	config              standin.ProcessConfig
+	discovery           *standin.Discovery
+	process             Process // nil: none has been ready
+	incarnation         *Incarnation
+	terminationReserved bool // an event ends the process; no other event may do that or reload
 }
 
 // startSidecar starts a sidecar with its discovery agent and its client.
@@ -72,7 +72,7 @@
 		return err
 	}
 	r.setProcess(sidecar, process)
-	r.allowEnd(sidecar)
+	r.releaseTermination(sidecar)
 	return nil
 }
 
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	config := r.nextConfig(sidecar, admin)
+	config := r.prepareConfig(sidecar, admin)
 	dir := filepath.Join(r.dir, config.Name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -97,8 +97,8 @@
 	return r.launch(config, dir, r.environment()...)
 }
 
-// nextConfig returns the configuration of the next process of a sidecar.
-func (r *run) nextConfig(sidecar *sidecar, admin string) standin.ProcessConfig {
+// prepareConfig returns the configuration of the next process of a sidecar.
+func (r *run) prepareConfig(sidecar *sidecar, admin string) standin.ProcessConfig {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sidecar.config.Admin = admin
@@ -126,28 +126,28 @@
 	return sidecar.process
 }
 
-// endingProcess is a process that an event ends, with its record.
-type endingProcess struct {
+// terminatingProcess is a process that an event ends, with its record.
+type terminatingProcess struct {
 	process     Process
 	incarnation *Incarnation
 }
 
-// beginEnd returns the process of a sidecar and reserves its end for the caller, or returns false if it ends already.
-func (r *run) beginEnd(sidecar *sidecar) (ending endingProcess, ok bool) {
+// reserveTermination returns the process of a sidecar and reserves its end for the caller, or returns false if it ends already.
+func (r *run) reserveTermination(sidecar *sidecar) (terminating terminatingProcess, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if sidecar.ending {
-		return endingProcess{}, false
+	if sidecar.terminationReserved {
+		return terminatingProcess{}, false
 	}
-	sidecar.ending = true
-	return endingProcess{sidecar.process, sidecar.incarnation}, true
+	sidecar.terminationReserved = true
+	return terminatingProcess{sidecar.process, sidecar.incarnation}, true
 }
 
-// allowEnd lets events end the process of a sidecar again.
-func (r *run) allowEnd(sidecar *sidecar) {
+// releaseTermination lets events end the process of a sidecar again.
+func (r *run) releaseTermination(sidecar *sidecar) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sidecar.ending = false
+	sidecar.terminationReserved = false
 }
 
 // recordCrash records at the end of a run whether the process has ended without an event.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -18,9 +18,9 @@
 // launchProcess starts the built sidecar: with the seam of package fault if the environment names faults, and otherwise as it
 // is shipped.
 func launchProcess(config standin.ProcessConfig, dir string, environment ...string) (Process, error) {
-	path := program
+	path := sidecarPath
 	if len(environment) > 0 {
-		path = faultProgram
+		path = faultSidecarPath
 	}
 	process, err := standin.StartProcess(path, dir, config, environment...)
 	if process == nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// maxReported bounds the violations that are reported with their timelines.
-const maxReported = 4
+// maxReportedViolations bounds the violations that are reported with their timelines.
+const maxReportedViolations = 4
 
 func reportViolations(t *testing.T, records *Records, violations []Violation) {
 	t.Helper()
@@ -59,7 +59,7 @@
 		t.Errorf("%d violations under the plan of %v", len(violations), records.Plan)
 	}
 	for i, violation := range violations {
-		if i == maxReported {
+		if i == maxReportedViolations {
 			break
 		}
 		t.Errorf("rule %q, request %q: %s\n%s", violation.Rule, violation.TraceID, violation.Text, records.Timeline(violation.TraceID))
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -14,8 +14,8 @@
 	meanThinkTime = 30 * time.Millisecond
 	// notSentPause follows a request that could not be sent.
 	notSentPause = 10 * time.Millisecond
-	// meanLeaveTime is the mean time after which a client leaves that leaves early.
-	meanLeaveTime = 30 * time.Millisecond
+	// meanDisconnectTime is the mean time after which a client leaves that leaves early.
+	meanDisconnectTime = 30 * time.Millisecond
 	// minDeadlineFraction is the shortest deadline of a request, as a fraction of its class's deadline.
 	minDeadlineFraction = 0.7
 
@@ -35,7 +35,7 @@
 
 // startTraffic starts the clients of all sidecars.
 func (r *run) startTraffic(traffic *sync.WaitGroup) {
-	end := r.beganAt.Add(r.plan.Length)
+	end := r.beganAt.Add(r.plan.TrafficDuration)
 	for _, sidecar := range r.sidecars {
 		for worker := range r.plan.Workers {
 			traffic.Go(func() { r.sendRequests(sidecar, worker, end) })
@@ -78,8 +78,8 @@
 		Deadline:    (balance.Milliseconds(deadlineFraction) * class.Deadline).Duration(),
 		BodyBytes:   r.random.IntN(maxBodyBytes),
 	}
-	if r.random.Float64() < r.plan.LeaveRate {
-		request.LeaveAfter = time.Duration(1 + r.random.ExpFloat64()*float64(meanLeaveTime))
+	if r.random.Float64() < r.plan.DisconnectRate {
+		request.LeaveAfter = time.Duration(1 + r.random.ExpFloat64()*float64(meanDisconnectTime))
 	}
 	if r.random.IntN(longUploadInterval) == 0 {
 		request.BodyBytes = minLongUpload + r.random.IntN(longUploadSpread)
