--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// endpointsPerCell is the number of endpoints that share their memory of idempotency keys.
+	// endpointsPerCell is the number of endpoints in a cell, which share the idempotency keys that they have seen.
 	endpointsPerCell = 3
-	// minServiceTime is the shortest time until a response begins, meanServiceTime the mean of what comes on top.
-	minServiceTime  = 2 * time.Millisecond
-	meanServiceTime = 12 * time.Millisecond
-	// maxPartPause bounds the pause between two parts of a response.
+	// minServiceTime is the shortest time until a response begins. An exponentially distributed time with the mean
+	// meanExtraServiceTime is added to it.
+	minServiceTime       = 2 * time.Millisecond
+	meanExtraServiceTime = 12 * time.Millisecond
+	// maxPartPause is the exclusive upper bound of the pause between two parts of a response.
 	maxPartPause = 30 * time.Millisecond
-	// maxParts bounds the parts of a response.
+	// maxParts is the maximum number of parts in which a response is written.
 	maxParts = 3
-	// maxPadding bounds the padding of usual bodies, in bytes; one in longBodyInterval has longPadding.
+	// maxPadding is the exclusive upper bound of the padding of a body, in bytes. On average, one body in
+	// longBodyInterval has longPadding bytes instead.
 	maxPadding       = 4000
 	longPadding      = 100_000
 	longBodyInterval = 50
 )
 
-// framings are the framings of responses, which are equally frequent.
+// framings are the framings of responses, which are equally probable.
 var framings = []standin.Framing{standin.FramedByLength, standin.FramedByChunks, standin.FramedByClose}
 
-// failureReplies are the replies of attempts that are not served, which are equally frequent.
+// failureReplies are the replies to attempts that an endpoint does not serve, which are equally probable.
 var failureReplies = []standin.ReplyKind{
 	standin.ReplyError, standin.ReplyNeverExecuted, standin.ReplyReset, standin.ReplyHang, standin.ReplyMalformed,
 	standin.ReplyTruncated,
 }
 
-// endpoint is an endpoint of a run over all its incarnations, behind its proxy.
+// endpoint is one endpoint of a run over all its incarnations, with the proxy in front of it.
 type endpoint struct {
 	id             EndpointID
 	proxy          *standin.Proxy
-	hanging        atomic.Bool
-	server         *standin.Server   // of the current incarnation
-	formerAttempts []standin.Attempt // of earlier incarnations
-	listEntry      membership.Endpoint
+	hanging        atomic.Bool         // requests are received but get no response
+	server         *standin.Server     // the current incarnation
+	formerAttempts []standin.Attempt   // of earlier incarnations
+	listEntry      membership.Endpoint // the current entry in the endpoint list
 }
 
 // startEndpoint starts an endpoint and its proxy.
@@ -62,14 +64,15 @@
 	return nil
 }
 
-// readyListEntry returns the list entry of an endpoint that is ready at an address.
+// readyListEntry returns the entry in the endpoint list for an endpoint that is ready at an address.
 func readyListEntry(id EndpointID, address string) membership.Endpoint {
 	return membership.Endpoint{
-		ID: string(id), Address: address, Zone: zoneName, MachineType: machineTypeName, Cell: 1, Phase: membership.PhaseReady, Rating: 1,
+		ID: string(id), Address: address, Zone: zoneName, MachineType: machineTypeName, Cell: 1,
+		Phase: membership.PhaseReady, Rating: 1,
 	}
 }
 
-// endpoint returns the endpoint with an ID of the plan.
+// endpoint returns the endpoint with the given ID. It panics if the plan has no such endpoint.
 func (r *run) endpoint(id EndpointID) *endpoint {
 	for _, endpoint := range r.endpoints {
 		if endpoint.id == id {
@@ -79,7 +82,7 @@
 	panic("no endpoint " + id)
 }
 
-// behavior returns what an endpoint does with requests.
+// behavior returns the function that decides how an endpoint replies to requests.
 func (r *run) behavior(endpoint *endpoint) standin.Behavior {
 	return func(*http.Request) standin.Reply {
 		if endpoint.hanging.Load() {
@@ -89,7 +92,7 @@
 	}
 }
 
-// randomReply returns a reply that fails at the rate of the plan.
+// randomReply returns a random reply, which is a failure at the failure rate of the plan.
 func (r *run) randomReply() standin.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,13 +112,13 @@
 	return reply
 }
 
-// randomServiceTime returns the time until a response begins, in whole milliseconds. The caller holds mu.
+// randomServiceTime returns the time until a response begins, in whole milliseconds. The caller must hold r.mu.
 func (r *run) randomServiceTime() time.Duration {
-	variablePart := time.Duration(r.random.ExpFloat64() * float64(meanServiceTime))
-	return (minServiceTime + variablePart).Truncate(time.Millisecond)
+	extra := time.Duration(r.random.ExpFloat64() * float64(meanExtraServiceTime))
+	return (minServiceTime + extra).Truncate(time.Millisecond)
 }
 
-// randomPause returns a pause below limit, in whole milliseconds. The caller holds mu.
+// randomPause returns a pause shorter than limit, in whole milliseconds. The caller must hold r.mu.
 func (r *run) randomPause(limit time.Duration) time.Duration {
 	return time.Duration(r.random.IntN(int(limit/time.Millisecond))) * time.Millisecond
 }
--- a/internal/soak/event_delay.go
+++ b/internal/soak/event_delay.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// responseDelay is the delay of each read of what an endpoint sends, during DelayResponses.
+// responseDelay is by how much DelayResponses delays each chunk of data that is read from an endpoint.
 const responseDelay = 80 * time.Millisecond
 
-// DelayResponses delays what an endpoint sends by responseDelay for a length of time.
+// DelayResponses delays the data that an endpoint sends by responseDelay, for a limited time.
 type DelayResponses struct {
 	Endpoint EndpointID
 	Duration time.Duration
--- a/internal/soak/event_discovery.go
+++ b/internal/soak/event_discovery.go
@@ -7,7 +7,7 @@
 	"cindersaddle/internal/standin"
 )
 
-// DiscoveryOutage has the discovery agents of all sidecars respond to nothing for a length of time.
+// DiscoveryOutage stops the discovery agents of all sidecars from responding for a limited time.
 type DiscoveryOutage struct{ Duration time.Duration }
 
 func (a DiscoveryOutage) String() string { return fmt.Sprintf("discovery outage for %v", a.Duration) }
@@ -18,7 +18,7 @@
 	r.forEachDiscovery((*standin.Discovery).EndOutage)
 }
 
-// forEachDiscovery calls a method of the discovery agent of each sidecar.
+// forEachDiscovery calls a function for the discovery agent of each sidecar.
 func (r *run) forEachDiscovery(call func(*standin.Discovery)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/event_drain.go
+++ b/internal/soak/event_drain.go
@@ -7,7 +7,7 @@
 	"cindersaddle/internal/membership"
 )
 
-// DrainEndpoint lists an endpoint as draining, and as gone after a length of time.
+// DrainEndpoint lists an endpoint as draining for a limited time, and then as gone.
 type DrainEndpoint struct {
 	Endpoint EndpointID
 	Duration time.Duration
@@ -26,7 +26,7 @@
 	r.setPhase(endpoint, membership.PhaseGone)
 }
 
-// setPhase has the discovery of each sidecar list an endpoint in another phase.
+// setPhase changes the phase of an endpoint in the lists of all discovery agents.
 func (r *run) setPhase(endpoint *endpoint, phase membership.Phase) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/event_hang.go
+++ b/internal/soak/event_hang.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// HangEndpoint has an endpoint receive requests and respond to none for a length of time.
+// HangEndpoint makes an endpoint receive requests without responding to them, for a limited time.
 type HangEndpoint struct {
 	Endpoint EndpointID
 	Duration time.Duration
--- a/internal/soak/event_kill.go
+++ b/internal/soak/event_kill.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// KillSidecar ends the process of a sidecar by SIGKILL and starts another one.
+// KillSidecar kills the process of a sidecar with SIGKILL and starts another one.
 type KillSidecar struct{ Sidecar SidecarID }
 
 func (a KillSidecar) String() string { return fmt.Sprintf("SIGKILL to sidecar %s", a.Sidecar) }
@@ -22,7 +22,7 @@
 	r.restartSidecar(sidecar)
 }
 
-// mark sets a time of an incarnation to now.
+// recordTime sets a time of an incarnation to the current time.
 func (r *run) recordTime(at *time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/event_partition.go
+++ b/internal/soak/event_partition.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// PartitionEndpoint discards all traffic of an endpoint for a length of time, and then resets its connections.
+// PartitionEndpoint discards all traffic to and from an endpoint for a limited time, and then resets its connections.
 type PartitionEndpoint struct {
 	Endpoint EndpointID
 	Duration time.Duration
--- a/internal/soak/event_reload.go
+++ b/internal/soak/event_reload.go
@@ -12,14 +12,14 @@
 const (
 	// reloadInterval is the time between two reloads of a series.
 	reloadInterval = 350 * time.Millisecond
-	// reloadNotificationDelay is how long after SIGHUP a sidecar counts as notified by its new discovery agent.
+	// reloadNotificationDelay is the time from a reload until the sidecar counts as notified by its new discovery agent.
 	reloadNotificationDelay = 4 * time.Second
-	// formerDiscoveryCloseDelay is how long after SIGHUP the former discovery agent ends.
+	// formerDiscoveryCloseDelay is the time from SIGHUP until the former discovery agent is closed.
 	formerDiscoveryCloseDelay = 1500 * time.Millisecond
 )
 
-// ReloadSidecar gives a sidecar configurations with another address of discovery and SIGHUP, once and then at intervals until a
-// length of time is over.
+// ReloadSidecar reloads the configuration of a sidecar with SIGHUP, once and then every reloadInterval until Duration
+// has passed. Each reload changes the address of the discovery agent.
 type ReloadSidecar struct {
 	Sidecar  SidecarID
 	Duration time.Duration
@@ -39,7 +39,7 @@
 	reloads.Wait()
 }
 
-// reload gives a sidecar another discovery agent and ends the former one.
+// reload moves a sidecar to a new discovery agent and closes the former one.
 func (r *run) reload(sidecar *sidecar) {
 	next, err := standin.NewDiscovery()
 	if err != nil {
@@ -56,15 +56,17 @@
 	former.Close()
 }
 
-// replaceDiscovery makes next the discovery agent of a sidecar, unless its process ends. It returns the process, its new
-// configuration and the former agent, which is nil if the process ends.
-func (r *run) replaceDiscovery(sidecar *sidecar, next *standin.Discovery) (Process, standin.ProcessConfig, *standin.Discovery) {
+// replaceDiscovery makes next the discovery agent of a sidecar, unless an event is terminating the process. It returns
+// the process, its new configuration and the former agent. The former agent is nil if nothing was replaced.
+func (r *run) replaceDiscovery(
+	sidecar *sidecar, next *standin.Discovery,
+) (process Process, config standin.ProcessConfig, former *standin.Discovery) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if sidecar.terminationReserved {
 		return nil, standin.ProcessConfig{}, nil
 	}
-	former := sidecar.discovery
+	former = sidecar.discovery
 	r.records.addNotifications(sidecar)
 	for _, endpoint := range r.endpoints {
 		next.Set(endpoint.listEntry)
--- a/internal/soak/event_reset.go
+++ b/internal/soak/event_reset.go
@@ -8,7 +8,7 @@
 // ResetConnections resets all connections of an endpoint.
 type ResetConnections struct {
 	Endpoint EndpointID
-	Duration time.Duration // how long the consequences of the resets are excused
+	Duration time.Duration // how long the consequences of the resets do not count as violations
 }
 
 func (a ResetConnections) String() string {
--- a/internal/soak/event_restart.go
+++ b/internal/soak/event_restart.go
@@ -9,7 +9,8 @@
 	"cindersaddle/internal/standin"
 )
 
-// RestartEndpoint ends the process of an endpoint, which comes back at the same address after a downtime and warms up.
+// RestartEndpoint stops the server of an endpoint and starts another one at the same address after a downtime. The new
+// incarnation begins with slow start.
 type RestartEndpoint struct {
 	Endpoint EndpointID
 	Downtime time.Duration
@@ -38,7 +39,8 @@
 	r.setPhase(endpoint, membership.PhaseReady)
 }
 
-// beginIncarnation replaces the server of an endpoint, and records the start by the wall clock of the endpoint's machine.
+// beginIncarnation replaces the server of an endpoint. The endpoint list states the start by the wall clock of the
+// endpoint's machine, which StepClock steps; the records hold the real time.
 func (r *run) beginIncarnation(endpoint *endpoint, server *standin.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/event_shutdown.go
+++ b/internal/soak/event_shutdown.go
@@ -7,16 +7,15 @@
 )
 
 const (
-	// maxShutdownDeadline bounds the longest deadline that the SIGKILL after a SIGTERM waits for. It is
-	// exchange.MaxShutdownDeadline, stated again so that a wrong value there fails a run.
+	// maxShutdownDeadline is the longest request deadline that the platform waits for between SIGTERM and SIGKILL. It
+	// repeats the value of exchange.MaxShutdownDeadline, so that a wrong value there makes a run fail.
 	maxShutdownDeadline = 3 * time.Second
-	// killDelay is how long the SIGKILL waits beyond that: the platform's delay. The sidecar ends its work a little earlier, after
-	// the killMargin of package exchange.
+	// killDelay is how long after that deadline the platform sends SIGKILL. The sidecar ends its work a little earlier:
+	// at the shutdownMargin of package exchange after the deadline.
 	killDelay = 700 * time.Millisecond
 )
 
-// ShutdownSidecar sends SIGTERM to the process of a sidecar, SIGKILL at the earliest moment allowed if it still runs then, and
-// starts another process.
+// ShutdownSidecar terminates the process of a sidecar with SIGTERM and starts another one.
 type ShutdownSidecar struct{ Sidecar SidecarID }
 
 func (a ShutdownSidecar) String() string { return fmt.Sprintf("shutdown of sidecar %s", a.Sidecar) }
@@ -31,7 +30,8 @@
 	r.restartSidecar(sidecar)
 }
 
-// terminate sends SIGTERM to a process, and SIGKILL at the earliest moment allowed if it still runs then.
+// terminate sends SIGTERM to a process. If the process is still running at the earliest time at which the platform may
+// kill it, terminate sends SIGKILL.
 func (r *run) terminate(terminating terminatingProcess) {
 	r.mu.Lock()
 	terminating.incarnation.TermAt = time.Now()
--- a/internal/soak/event_suspend.go
+++ b/internal/soak/event_suspend.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SuspendSidecar gives the process of a sidecar no processor time for a length of time.
+// SuspendSidecar stops the process of a sidecar with SIGSTOP and continues it after a limited time.
 type SuspendSidecar struct {
 	Sidecar  SidecarID
 	Duration time.Duration
--- a/internal/soak/event_upgrade.go
+++ b/internal/soak/event_upgrade.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// upgradeNotificationDelay is how long after a successor is ready it counts as notified of the endpoint list.
+// upgradeNotificationDelay is the time from when a successor is ready until it counts as notified of the endpoint list.
 const upgradeNotificationDelay = 2 * time.Second
 
-// UpgradeSidecar starts a process beside that of a sidecar, and ends the predecessor when the successor is ready.
+// UpgradeSidecar starts a successor beside the process of a sidecar, and terminates the predecessor when the successor
+// is ready.
 type UpgradeSidecar struct{ Sidecar SidecarID }
 
 func (a UpgradeSidecar) String() string { return fmt.Sprintf("upgrade of sidecar %s", a.Sidecar) }
--- a/internal/soak/excuses.go
+++ b/internal/soak/excuses.go
@@ -7,16 +7,18 @@
 	"cindersaddle/internal/standin"
 )
 
-// excuseMargin is how long before and after a fault of the network or of an endpoint its consequences are excused.
+// excuseMargin is the time before and after a fault of the network or an endpoint in which its consequences are not
+// violations.
 const excuseMargin = time.Second
 
-// killed reports whether the process that had a request was killed without a SIGTERM before it.
+// processKilled reports whether the sidecar process that handled a request was killed without an earlier SIGTERM.
 func (j *judge) processKilled(e *Exchange) bool {
 	return j.killedBetween(e.Sidecar, e.BeganAt, e.EndedAt)
 }
 
-// killedBetween reports whether a process of a sidecar was ended by SIGKILL alone between two moments, or was ending at the first
-// one. After a SIGTERM, a process has had the time to respond to all requests that it had received.
+// killedBetween reports whether a process of the sidecar received SIGKILL without a SIGTERM by the time to, and had
+// not ended before the time from. Processes with a SIGTERM do not count, because they had time to respond to all
+// requests that they had received.
 func (j *judge) killedBetween(sidecar SidecarID, from, to time.Time) bool {
 	return slices.ContainsFunc(j.Incarnations, func(incarnation Incarnation) bool {
 		withoutTerm := !incarnation.KilledAt.IsZero() && incarnation.TermAt.IsZero()
@@ -25,8 +27,9 @@
 	})
 }
 
-// responseBroken reports whether an endpoint or the network broke a response to a request, or injected resets did, which look
-// the same to a sidecar.
+// responseBroken reports whether an endpoint or the network may have broken the response to a request. It is always
+// true if the plan injects resets into reads of responses, because a sidecar cannot distinguish these resets from those
+// of an endpoint.
 func (j *judge) responseBroken(traceID string) bool {
 	if j.Plan.SystemCallFaults.ResetsResponses {
 		return true
@@ -36,21 +39,21 @@
 	})
 }
 
-// connectionBroken reports whether an event may have broken the connection of an attempt while it was open.
+// connectionBroken reports whether an event may have broken the connection of an attempt while the attempt was open.
 func (j *judge) connectionBroken(attempt *Attempt) bool {
 	return slices.ContainsFunc(j.Plan.Events, func(event Event) bool {
 		breaker, ok := event.Action.(connectionBreaker)
 		if !ok {
 			return false
 		}
-		endpoint, length := breaker.brokenConnections()
+		endpoint, duration := breaker.brokenConnections()
 		beganAt := j.BeganAt.Add(event.At)
-		endedAt := beganAt.Add(length).Add(recordSlack)
+		endedAt := beganAt.Add(duration).Add(recordSlack)
 		return attempt.Endpoint == endpoint && attempt.openBetween(beganAt.Add(-excuseMargin), endedAt.Add(excuseMargin))
 	})
 }
 
-// openBetween reports whether an attempt was open at some time between two moments.
+// openBetween reports whether an attempt was open at any time between from and to.
 func (a *Attempt) openBetween(from, to time.Time) bool {
 	return a.LastByteAt.Before(to) && (a.EndedAt.IsZero() || a.EndedAt.After(from))
 }
--- a/internal/soak/ids.go
+++ b/internal/soak/ids.go
@@ -8,8 +8,8 @@
 // SidecarID identifies a sidecar of a run over all its incarnations.
 type SidecarID string
 
-// endpointID returns the ID of an endpoint by its number, from 0.
+// endpointID returns the ID of the endpoint with a number, counted from 0.
 func endpointID(number int) EndpointID { return EndpointID(fmt.Sprintf("s-%d", number)) }
 
-// sidecarID returns the ID of a sidecar by its number, from 0.
+// sidecarID returns the ID of the sidecar with a number, counted from 0.
 func sidecarID(number int) SidecarID { return SidecarID(fmt.Sprintf("n%d", number)) }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Rule is one of the rules that a run is judged by. The statement of a rule is at the method of judge that checks it.
+// Rule names a rule that each run must satisfy. The method of judge that checks a rule documents it.
 type Rule string
 
-// The rules.
+// The rules that Judge checks.
 const (
 	RuleResponse           Rule = "response"
 	RuleDuplicate          Rule = "duplicate"
@@ -22,27 +22,29 @@
 	RuleIncompleteRequest  Rule = "incomplete request"
 )
 
-// recordSlack is what a busy machine may take between an event and its record. All rules about times add it.
+// recordSlack is the tolerance for the time between an event and its record on a busy machine. Every rule that
+// compares times adds it.
 const recordSlack = 60 * time.Millisecond
 
 // Violation is one case in which a rule was broken.
 type Violation struct {
 	Rule    Rule
-	TraceID string // of the request; empty: the rule is not about one
-	Text    string
+	TraceID string // of the request; empty if the violation does not concern a single request
+	Text    string // describes the violation for a report
 }
 
-// judge holds the records of a run by request.
+// judge indexes the records of a run by request and collects the violations.
 type judge struct {
 	*Records
-	attempts  map[string][]Attempt // by trace ID, in their order
-	exchanges map[string]Exchange  // by trace ID, the last one
-	// notifications are in the order of NotifiedAt. Of the changes of one moment, the one delivered last holds.
+	attempts  map[string][]Attempt // by trace ID, sorted by LastByteAt
+	exchanges map[string]Exchange  // the last exchange of each trace ID
+	// notifications are sorted by NotifiedAt. Changes with the same time keep the order of their delivery, because
+	// the one delivered last is the valid one.
 	notifications []Notification
 	violations    []Violation
 }
 
-// Judge returns the violations of the rules.
+// Judge checks the records of a run against all rules and returns the violations.
 func Judge(records *Records) []Violation {
 	j := newJudge(records)
 	j.checkResponses()
@@ -73,12 +75,12 @@
 	return j
 }
 
-// report adds a violation.
+// report records a violation.
 func (j *judge) report(rule Rule, traceID, format string, args ...any) {
 	j.violations = append(j.violations, Violation{Rule: rule, TraceID: traceID, Text: fmt.Sprintf(format, args...)})
 }
 
-// forEachKnownAttempt calls check with each attempt of a request that a client has sent.
+// forEachKnownAttempt calls check for each attempt whose request was sent by a client.
 func (j *judge) forEachKnownAttempt(check func(*Exchange, *Attempt)) {
 	for traceID, attempts := range j.attempts {
 		exchange, sent := j.exchanges[traceID]
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// Plan is all that a seed decides.
+// Plan holds everything that a seed determines about a run.
 type Plan struct {
 	Seed             uint64
 	Sidecars         int
 	Endpoints        int
-	Workers          int           // requests in flight at most, for each sidecar
-	TrafficDuration  time.Duration // of the traffic
+	Workers          int           // maximum number of requests in flight per sidecar
+	TrafficDuration  time.Duration // clients begin requests during this time
 	Settings         settingsDocument
-	Sockets          int // that a sidecar may have open
-	IncompleteConns  int // connections that send no complete request, for each sidecar
+	Sockets          int // maximum number of sockets that a sidecar may have open
+	IncompleteConns  int // connections that send no complete request, per sidecar
 	SystemCallFaults SystemCallFaults
 	FailureRate      float64 // fraction of the attempts that an endpoint does not serve
-	DisconnectRate   float64 // fraction of the requests whose client leaves early
-	Events           []Event // by time
+	DisconnectRate   float64 // fraction of the requests whose client disconnects early
+	Events           []Event // sorted by time
 }
 
-// String returns the plan for a report.
+// String describes the plan for a report. TestSeedsKeepTheirPlans compares a checksum of this text.
 func (p *Plan) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d: %d sidecars, %d endpoints, %d workers, %v, %d sockets, %d incomplete connections, "+
 		"system call faults %q, failure rate %.2f, leave rate %.2f\n",
-		p.Seed, p.Sidecars, p.Endpoints, p.Workers, p.TrafficDuration, p.Sockets, p.IncompleteConns, p.SystemCallFaults.Spec, p.FailureRate, p.DisconnectRate)
+		p.Seed, p.Sidecars, p.Endpoints, p.Workers, p.TrafficDuration, p.Sockets, p.IncompleteConns,
+		p.SystemCallFaults.Spec, p.FailureRate, p.DisconnectRate)
 	for _, class := range p.Settings.Classes {
-		fmt.Fprintf(&text, "  class %s: deadline %.0f ms, deduplication window %.0f ms\n", class.Name, class.Deadline, class.DedupWindow)
+		fmt.Fprintf(&text, "  class %s: deadline %.0f ms, deduplication window %.0f ms\n",
+			class.Name, class.Deadline, class.DedupWindow)
 	}
 	for _, event := range p.Events {
 		fmt.Fprintf(&text, "  %v\n", event)
@@ -38,28 +40,49 @@
 	return text.String()
 }
 
-// planStream is the stream of random numbers that a plan is drawn from; trafficStream is that of its run.
+// The streams of random numbers of a seed.
 const (
-	planStream    = 1
-	trafficStream = 2
+	planStream    = 1 // for NewPlan
+	trafficStream = 2 // for requests and replies during the run
 )
 
-// NewPlan returns the plan of a seed, for a run of a length. The order of the draws is part of the meaning of a seed.
-func NewPlan(seed uint64, length time.Duration) *Plan {
+// The ranges of the numbers in a plan.
+const (
+	minSidecars  = 2
+	maxSidecars  = 4
+	minEndpoints = 5
+	maxEndpoints = 8
+	minWorkers   = 8 // per sidecar
+	maxWorkers   = 15
+
+	// incompleteConnsInterval is the number of plans of which one on average has incomplete connections.
+	incompleteConnsInterval = 4
+)
+
+// The values that a plan chooses from with equal probability.
+var (
+	socketLimits    = []int{128, 256, 512} // per sidecar
+	failureRates    = []float64{0.02, 0.1, 0.2}
+	disconnectRates = []float64{0, 0.05, 0.15}
+)
+
+// NewPlan returns the plan of a seed for a run with the given duration of the traffic. The order in which values are
+// drawn must not change, so that a seed keeps its plan.
+func NewPlan(seed uint64, trafficDuration time.Duration) *Plan {
 	random := rand.New(rand.NewPCG(seed, planStream))
 	plan := &Plan{
 		Seed:             seed,
-		Sidecars:         2 + random.IntN(3),
-		Endpoints:        5 + random.IntN(4),
-		Workers:          8 + random.IntN(8),
-		TrafficDuration:  length,
+		Sidecars:         minSidecars + random.IntN(maxSidecars-minSidecars+1),
+		Endpoints:        minEndpoints + random.IntN(maxEndpoints-minEndpoints+1),
+		Workers:          minWorkers + random.IntN(maxWorkers-minWorkers+1),
+		TrafficDuration:  trafficDuration,
 		Settings:         randomSettings(random),
-		Sockets:          []int{128, 256, 512}[random.IntN(3)],
+		Sockets:          socketLimits[random.IntN(len(socketLimits))],
 		SystemCallFaults: randomSystemCallFaults(random, seed),
-		FailureRate:      []float64{0.02, 0.1, 0.2}[random.IntN(3)],
-		DisconnectRate:   []float64{0, 0.05, 0.15}[random.IntN(3)],
+		FailureRate:      failureRates[random.IntN(len(failureRates))],
+		DisconnectRate:   disconnectRates[random.IntN(len(disconnectRates))],
 	}
-	if random.IntN(4) == 0 {
+	if random.IntN(incompleteConnsInterval) == 0 {
 		plan.IncompleteConns = plan.Sockets
 	}
 	plan.Events = drawEvents(plan, random)
--- a/internal/soak/rule_client_disconnected.go
+++ b/internal/soak/rule_client_disconnected.go
@@ -6,19 +6,21 @@
 	"cindersaddle/internal/standin"
 )
 
-// disconnectSlack is how long a sidecar may take to notice that a client has closed its connection.
+// disconnectSlack is how long a sidecar may take to detect that a client has closed its connection.
 const disconnectSlack = 100 * time.Millisecond
 
 // checkClientsDisconnected checks RuleClientDisconnected: no attempt begins after its client has disconnected.
-// It holds from disconnectSlack after the client closed its connection to the end of the run, by the first byte that the
-// endpoint receives.
+//
+// An attempt begins when the endpoint receives its first byte. The rule applies from disconnectSlack after the client
+// closed its connection until the end of the run.
 func (j *judge) checkClientsDisconnected() {
 	j.forEachKnownAttempt(func(e *Exchange, attempt *Attempt) {
 		if e.End != standin.ExchangeClientDisconnected {
 			return
 		}
 		if after := attempt.FirstByteAt.Sub(e.EndedAt); after > disconnectSlack+recordSlack {
-			j.report(RuleClientDisconnected, e.TraceID, "endpoint %s received it %v after its client had left", attempt.Endpoint, after)
+			j.report(RuleClientDisconnected, e.TraceID, "endpoint %s received the request %v after its client had disconnected",
+				attempt.Endpoint, after)
 		}
 	})
 }
--- a/internal/soak/rule_drain.go
+++ b/internal/soak/rule_drain.go
@@ -7,14 +7,16 @@
 	"cindersaddle/balance"
 )
 
-// drainSlack is how long a request may take from the decision of a sidecar until its first byte is read.
+// drainSlack is how long it may take from the sidecar's choice of an endpoint until the endpoint reads the first byte
+// of the request.
 const drainSlack = 50 * time.Millisecond
 
-// checkDrains checks RuleDrain: an endpoint receives nothing new from a sidecar that is notified that it drains or is gone.
+// checkDrains checks RuleDrain: once a sidecar has been notified that an endpoint is draining or gone, it starts no new
+// attempts at that endpoint.
 //
-// It holds from the notification, and the drain grace of the settings with drainSlack for the way of the request, until the
-// sidecar can read that the endpoint is ready again. That is judged by Notification.ReadableAt: a sidecar may use a change as
-// soon as it can read it, but has to only from Notification.NotifiedAt on.
+// The rule applies from the notification plus the configured drain grace and drainSlack, until the sidecar can read
+// that the endpoint is ready again. The end is judged by Notification.ReadableAt, because a sidecar may act on a change
+// as soon as it can read it, but must do so only from Notification.NotifiedAt on.
 func (j *judge) checkDrains() {
 	grace := j.Plan.Settings.Rules.DrainGrace.Duration() + drainSlack + recordSlack
 	for i := range j.Attempts {
@@ -24,47 +26,50 @@
 			if !notification.matches(sidecar, attempt.Endpoint) || notification.State == balance.Ready {
 				continue
 			}
-			since := attempt.FirstByteAt.Sub(j.notificationTime(&notification))
-			if since > grace && !j.readyAgain(index, attempt.FirstByteAt) {
-				j.report(RuleDrain, attempt.TraceID, "endpoint %s received it %v after the notification that it is %s",
-					attempt.Endpoint, since, stateName(notification.State))
+			elapsed := attempt.FirstByteAt.Sub(j.notificationTime(&notification))
+			if elapsed > grace && !j.readyAgain(index, attempt.FirstByteAt) {
+				j.report(RuleDrain, attempt.TraceID,
+					"endpoint %s received the request %v after the sidecar was notified that the endpoint is %s",
+					attempt.Endpoint, elapsed, stateName(notification.State))
 			}
 		}
 	}
 }
 
-// matches reports whether a sidecar was notified about an endpoint.
+// matches reports whether the notification tells the given sidecar about the given endpoint.
 func (n *Notification) matches(sidecar SidecarID, endpoint EndpointID) bool {
 	return n.Sidecar == sidecar && n.Endpoint == endpoint
 }
 
-// notificationTime returns when the sidecar counts as notified: not before the process that runs then can know of the change.
+// notificationTime returns when a sidecar counts as notified of a change. This is NotifiedAt, or later if a process
+// that was still running then, or started afterwards, could not know of the change before.
 func (j *judge) notificationTime(notification *Notification) time.Time {
-	since := notification.NotifiedAt
+	notifiedAt := notification.NotifiedAt
 	for _, incarnation := range j.Incarnations {
-		ended := !incarnation.EndedAt.IsZero() && incarnation.EndedAt.Before(notification.NotifiedAt)
-		if incarnation.Sidecar != notification.Sidecar || ended {
+		endedBefore := !incarnation.EndedAt.IsZero() && incarnation.EndedAt.Before(notification.NotifiedAt)
+		if incarnation.Sidecar != notification.Sidecar || endedBefore {
 			continue
 		}
-		for _, from := range []time.Time{incarnation.StartedAt, incarnation.NotifiedAfter} {
-			if from.After(since) {
-				since = from
+		for _, earliest := range []time.Time{incarnation.StartedAt, incarnation.NotifiedAfter} {
+			if earliest.After(notifiedAt) {
+				notifiedAt = earliest
 			}
 		}
 	}
-	return since
+	return notifiedAt
 }
 
-// readyAgain reports whether a sidecar could read before a moment that the endpoint of a notification, given by its index, was
-// ready again.
+// readyAgain reports whether a later notification than the one at index, for the same sidecar and endpoint, says that
+// the endpoint is ready and could be read before the given time.
 func (j *judge) readyAgain(index int, before time.Time) bool {
 	notification := &j.notifications[index]
 	return slices.ContainsFunc(j.notifications[index+1:], func(later Notification) bool {
-		return later.matches(notification.Sidecar, notification.Endpoint) && later.State == balance.Ready && later.ReadableAt.Before(before)
+		return later.matches(notification.Sidecar, notification.Endpoint) &&
+			later.State == balance.Ready && later.ReadableAt.Before(before)
 	})
 }
 
-// stateName returns the name of the state of an endpoint that is not ready.
+// stateName returns the name of a state other than balance.Ready.
 func stateName(state balance.EndpointState) string {
 	if state == balance.Draining {
 		return "draining"
--- a/internal/soak/rule_process.go
+++ b/internal/soak/rule_process.go
@@ -1,7 +1,7 @@
 package soak
 
-// checkProcesses checks RuleProcess: a process ends only by a signal, after a SIGTERM with exit code 0, and is ready in time
-// after its start. It holds for the whole run; the time until a process is ready is bounded by its Launcher.
+// checkProcesses checks RuleProcess: a process ends only after a signal, exits with code 0 after SIGTERM, and is ready
+// in time after its start. The rule applies to the whole run; the Launcher limits the time until a process is ready.
 func (j *judge) checkProcesses() {
 	for _, incarnation := range j.Incarnations {
 		if incarnation.Crash != nil {
--- a/internal/soak/rule_response.go
+++ b/internal/soak/rule_response.go
@@ -9,18 +9,22 @@
 )
 
 const (
-	// lateResponseSlack is how long after the deadline a response may come.
+	// lateResponseSlack is how long after the deadline a response may arrive.
 	lateResponseSlack = 500 * time.Millisecond
-	// closeRaceWindow is how long a request may take to a sidecar that closes the connection meanwhile and does not read it.
+	// closeRaceWindow is the time after a request was sent in which the sidecar may close the connection without
+	// having read the request, because the request and the close cross on the way.
 	closeRaceWindow = 25 * time.Millisecond
 )
 
-// checkResponses checks RuleResponse: each request that a sidecar has read gets one complete response of its own.
+// checkResponses checks RuleResponse: each request that a sidecar has read gets one complete response, and that is the
+// response to this request.
 //
-// It holds from the first byte of the request to its deadline. A response other than 200 may come lateResponseSlack later, as
-// the sidecar notices the deadline by a timer on a busy machine; a response with 200 may be long, and is given up by the client.
-// Excused are a process that is killed without SIGTERM, a response that the endpoint or the network broke, and a connection
-// that the sidecar closes before it has read the request.
+// The rule applies from the first byte of the request until its deadline. A response with a status other than 200 may
+// arrive up to lateResponseSlack later, because the sidecar detects the deadline by a timer on a busy machine. A
+// response with status 200 may be long; the rule does not limit its time, because the client gives up on it itself.
+//
+// The rule does not apply if the process was killed without SIGTERM, if the endpoint or the network broke the response,
+// or if the sidecar closed the connection before it had read the request.
 func (j *judge) checkResponses() {
 	for i := range j.Exchanges {
 		j.checkResponse(&j.Exchanges[i])
@@ -37,27 +41,29 @@
 		}
 	case standin.ExchangeTruncated:
 		if !j.processKilled(e) && !j.responseBroken(e.TraceID) {
-			j.report(RuleResponse, e.TraceID, "truncated response, though no endpoint or network broke it: %v", e.Err)
+			j.report(RuleResponse, e.TraceID,
+				"truncated response, although neither an endpoint nor the network broke it: %v", e.Err)
 		}
 	case standin.ExchangeClosed:
 		if !j.processKilled(e) && j.wasRead(e) {
-			j.report(RuleResponse, e.TraceID, "the connection was closed without a response: %v", e.Err)
+			j.report(RuleResponse, e.TraceID, "connection closed without a response: %v", e.Err)
 		}
 	}
 }
 
 func (j *judge) checkCompleteResponse(e *Exchange) {
 	if e.WrongBody {
-		j.report(RuleResponse, e.TraceID, "response to another request")
+		j.report(RuleResponse, e.TraceID, "received the response to another request")
 	}
 	late := e.EndedAt.Sub(e.SentAt) - e.Deadline
 	if e.End != standin.ExchangeServed && late > lateResponseSlack+recordSlack {
-		j.report(RuleResponse, e.TraceID, "response %v after the deadline", late)
+		j.report(RuleResponse, e.TraceID, "received the response %v after the deadline", late)
 	}
 }
 
-// wasRead reports whether a sidecar had read a request whose connection it closed: an endpoint received it before that (later, it
-// may be the client's repetition), or the connection ended without a reset, well after the request was written.
+// wasRead reports whether a sidecar had read a request whose connection it closed. It had if an endpoint received the
+// request before the close; an attempt after the close may belong to a repetition by the client. It also had if the
+// connection ended without a reset more than closeRaceWindow after the request was written.
 func (j *judge) wasRead(e *Exchange) bool {
 	for _, attempt := range j.attempts[e.TraceID] {
 		if attempt.FirstByteAt.Before(e.EndedAt) {
--- a/internal/soak/rule_slow_start.go
+++ b/internal/soak/rule_slow_start.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// checkSlowStarts checks RuleSlowStart: an endpoint that warms up gets no more from all sidecars together than the settings
-// allow.
+// checkSlowStarts checks RuleSlowStart: an endpoint in slow start receives no more requests from all sidecars together
+// than the settings allow.
 //
-// It holds from each request after the start of the endpoint's new incarnation, for one overload window. The limit is
-// the overload factor times the capacity at the end of the window, where the capacity of a warm endpoint is taken as the mean
-// rate of an endpoint in the run. slowStartLimit adds what chance allows, as the sidecars choose independently of each other.
+// The rule applies to each overload window that begins with a request after the start of the endpoint's new
+// incarnation. The limit is the overload factor times the capacity at the end of the window, where the capacity of an
+// endpoint after slow start is taken to be the mean rate per endpoint in the run. slowStartLimit adds an allowance for
+// random deviation, because the sidecars choose endpoints independently of each other.
 func (j *judge) checkSlowStarts() {
 	for endpoint, restartedAt := range j.RestartedAt {
 		j.checkSlowStart(endpoint, restartedAt)
@@ -28,14 +29,15 @@
 		capacity := j.meanRate() * rules.slowStartFraction(to.Sub(restartedAt))
 		limit := slowStartLimit(rules.SlowStartOverloadFactor * capacity * window.Seconds())
 		if received := float64(end - first); received > limit {
-			j.report(RuleSlowStart, "", "endpoint %s received %.0f requests in %v from %v after its start on, the limit is %.0f",
+			j.report(RuleSlowStart, "",
+				"endpoint %s received %.0f requests in the %v that begin %v after its start; the limit is %.0f",
 				endpoint, received, window, from.Sub(restartedAt), limit)
 			return
 		}
 	}
 }
 
-// receivedSince returns when an endpoint received its requests since its restart, in their order.
+// receivedSince returns the times at which an endpoint received requests after its restart, in ascending order.
 func (j *judge) receivedSince(endpoint EndpointID, restartedAt time.Time) []time.Time {
 	var receivedAt []time.Time
 	for _, attempt := range j.Attempts {
@@ -47,26 +49,32 @@
 	return receivedAt
 }
 
-// meanRate returns the mean number of attempts per second at an endpoint.
+// meanRate returns the mean number of attempts per second and endpoint over the run.
 func (j *judge) meanRate() float64 {
 	return float64(len(j.Attempts)) / j.Plan.TrafficDuration.Seconds() / float64(j.Plan.Endpoints)
 }
 
-// slowStartFraction returns the fraction of its capacity that an endpoint has at some time after its start.
+// slowStartFraction returns the fraction of the full capacity that an endpoint has at the given time after its start.
 func (r *ruleSettings) slowStartFraction(afterStart time.Duration) float64 {
-	return min(1, r.SlowStartInitialFraction+(1-r.SlowStartInitialFraction)*afterStart.Seconds()/r.SlowStartDuration.Duration().Seconds())
+	initial := r.SlowStartInitialFraction
+	return min(1, initial+(1-initial)*afterStart.Seconds()/r.SlowStartDuration.Duration().Seconds())
 }
 
-// smallMean is the mean number of requests below which the limit allows three standard deviations instead of two, as the
-// Poisson distribution of few requests is skewed.
-const smallMean = 30
+const (
+	// allowedDeviations is how many standard deviations the number of requests may be above its mean.
+	allowedDeviations = 2.0
+	// allowedDeviationsSmallMean replaces allowedDeviations if the mean is below smallMean requests, because the
+	// Poisson distribution of few requests is skewed.
+	allowedDeviationsSmallMean = 3.0
+	smallMean                  = 30
+)
 
-// slowStartLimit adds to a mean number of requests the deviation that chance allows, with a whole request for each standard
-// deviation.
+// slowStartLimit returns the largest permitted number of requests if mean are expected. It adds the allowed standard
+// deviations of a Poisson distribution, and one whole request for each of them.
 func slowStartLimit(mean float64) float64 {
-	deviations := 2.0
+	deviations := allowedDeviations
 	if mean < smallMean {
-		deviations = 3
+		deviations = allowedDeviationsSmallMean
 	}
 	return mean + deviations*math.Sqrt(mean) + deviations
 }
--- a/internal/soak/rule_unknown_request.go
+++ b/internal/soak/rule_unknown_request.go
@@ -1,7 +1,7 @@
 package soak
 
-// checkUnknownRequests checks RuleUnknownRequest: an endpoint receives only requests that a client has sent. It holds for the
-// whole run and without slack, as a sidecar invents no trace IDs.
+// checkUnknownRequests checks RuleUnknownRequest: endpoints receive only requests that a client has sent. The rule
+// applies to the whole run and has no tolerance, because a sidecar never creates trace IDs.
 func (j *judge) checkUnknownRequests() {
 	for traceID := range j.attempts {
 		if _, sent := j.exchanges[traceID]; !sent {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// run is a run in progress.
+// run holds the state of a run in progress.
 type run struct {
 	plan      *Plan
 	launch    Launcher
-	dir       string
-	beganAt   time.Time
-	clockStep atomic.Int64 // of the wall clocks of all machines, in nanoseconds
+	dir       string       // for the files of the sidecars
+	beganAt   time.Time    // the start of the traffic
+	clockStep atomic.Int64 // how far the wall clocks of all machines are stepped, in nanoseconds
 	endpoints []*endpoint
 	sidecars  []*sidecar
 
-	mu           sync.Mutex // guards the fields below, and those of endpoints and sidecars that change
+	mu           sync.Mutex // guards the fields below and the mutable fields of endpoints and sidecars
 	records      Records
 	incarnations []*Incarnation
 	random       *rand.Rand
 }
 
-// Run carries a plan out with sidecars of a launcher, whose files are in dir, and returns the records. It returns an error if a
-// party cannot be started at the beginning.
+// Run executes a plan and returns the records. It starts the sidecars with launch and keeps their files in dir. It
+// returns an error if an endpoint or a sidecar cannot be started at the beginning of the run.
 func Run(plan *Plan, launch Launcher, dir string) (*Records, error) {
 	r := &run{plan: plan, launch: launch, dir: dir, random: rand.New(rand.NewPCG(plan.Seed, trafficStream))}
 	r.records = Records{Plan: plan, Cells: map[EndpointID]int{}, RestartedAt: map[EndpointID]time.Time{}}
@@ -44,7 +44,7 @@
 	return r.collectRecords(), nil
 }
 
-// start starts the endpoints, and then the sidecars that use them.
+// start starts the endpoints, then the sidecars that use them.
 func (r *run) start() error {
 	for number := range r.plan.Endpoints {
 		if err := r.startEndpoint(number); err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// recordStartError records that a process or server could not be started.
+// recordStartError records that a process or a server could not be started.
 func (r *run) recordStartError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +89,7 @@
 	return &records
 }
 
-// close ends all activities.
+// close stops all sidecars and endpoints.
 func (r *run) close() {
 	for _, sidecar := range r.sidecars {
 		sidecar.close()
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -7,7 +7,7 @@
 	"cindersaddle/balance"
 )
 
-// settingsDocument is the part of the settings that a run chooses, with the keys of the configuration file.
+// settingsDocument holds the settings of a sidecar, as in its configuration file.
 type settingsDocument struct {
 	Classes       []classSettings      `json:"classes"`
 	Tenants       []tenantSettings     `json:"tenants"`
@@ -27,8 +27,8 @@
 // classSettings are the settings of a class.
 type classSettings struct {
 	Name             string               `json:"name"`
-	Idempotency      balance.Idempotency  `json:"-"` // as Effect says
-	Effect           string               `json:"effect"`
+	Idempotency      balance.Idempotency  `json:"-"`      // the parsed form of Effect
+	Effect           string               `json:"effect"` // one of effectNames
 	DedupScope       string               `json:"group"`
 	LatencyObjective balance.Milliseconds `json:"on_time_ms"`
 	Deadline         balance.Milliseconds `json:"hard_limit_ms"`
@@ -43,7 +43,7 @@
 	QuotaRate  float64 `json:"allowance_per_s"` // requests per second
 }
 
-// limitSettings are what a sidecar may do.
+// limitSettings are the limits of a sidecar and the features that it may use.
 type limitSettings struct {
 	Cancellation    bool                 `json:"cancel"`
 	ConnIdleTimeout balance.Milliseconds `json:"conn_idle_ms"`
@@ -57,13 +57,13 @@
 	StreamsPerConn  int                  `json:"streams_per_conn"`
 }
 
-// reportSettings describe the load reports.
+// reportSettings are the settings of load reports.
 type reportSettings struct {
 	Fields []string `json:"fields"`
 	Mode   string   `json:"via"`
 }
 
-// ruleSettings describe the timing, and endpoints that warm up or are overloaded.
+// ruleSettings are the settings of response times, discovery, draining and slow start.
 type ruleSettings struct {
 	AnswerGrace              balance.Milliseconds `json:"answer_slack_ms"`
 	MaxPollInterval          balance.Milliseconds `json:"ask_within_ms"`
@@ -80,14 +80,14 @@
 	machineTypeName = "small"  // of all endpoints
 )
 
-// effectNames are the kinds of idempotency as the settings name them.
+// effectNames maps each kind of idempotency to its name in the settings.
 var effectNames = map[balance.Idempotency]string{
 	balance.Idempotent:     "read_like",
 	balance.IdempotencyKey: "idempotency_key",
 	balance.NonIdempotent:  "non_idempotent",
 }
 
-// defaultSettings returns settings with a class of each kind of idempotency. Times are in milliseconds, as in the document.
+// defaultSettings returns settings with one class for each kind of idempotency. All times are in milliseconds.
 func defaultSettings() settingsDocument {
 	return settingsDocument{
 		Classes: []classSettings{
@@ -101,8 +101,8 @@
 		Zones:        []string{zoneName, "room-2"},
 		Ratings:      "rough",
 		Limits: limitSettings{
-			Cancellation: true, ConnIdleTimeout: 10000, ConnectTimeout: 1000, MaxAttempts: 5, MaxRetryAfter: 2000, MaxOpenRequests: 1000,
-			Hedging: true, HealthChecks: true, RetryAfter: true, StreamsPerConn: 1,
+			Cancellation: true, ConnIdleTimeout: 10000, ConnectTimeout: 1000, MaxAttempts: 5, MaxRetryAfter: 2000,
+			MaxOpenRequests: 1000, Hedging: true, HealthChecks: true, RetryAfter: true, StreamsPerConn: 1,
 		},
 		InstanceCount: 1,
 		Quantum:       2,
@@ -114,29 +114,39 @@
 	}
 }
 
-// defaultClass returns a class whose endpoints remember idempotency keys for dedupWindow.
-func defaultClass(name string, idempotency balance.Idempotency, dedupScope string, dedupWindow balance.Milliseconds) classSettings {
+// defaultClass returns a class with the given name, idempotency, dedup scope and dedup window, and usual times.
+func defaultClass(
+	name string, idempotency balance.Idempotency, dedupScope string, dedupWindow balance.Milliseconds,
+) classSettings {
 	return classSettings{
-		Name: name, Idempotency: idempotency, Effect: effectNames[idempotency], DedupScope: dedupScope, DedupWindow: dedupWindow,
-		LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1,
+		Name: name, Idempotency: idempotency, Effect: effectNames[idempotency],
+		DedupScope: dedupScope, DedupWindow: dedupWindow, LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1,
 	}
 }
 
 const (
-	// shortSlowStart is a warm-up of which a run sees the greater part.
+	// shortSlowStart is a duration of slow start that is short enough for a run to see the greater part of it.
 	shortSlowStart balance.Milliseconds = 4000
-	// minUsualDeadline is the shortest usual deadline of a class, usualDeadlineSpread by how much others are longer.
+	// minUsualDeadline is the shortest usual deadline of a class. Others are longer by less than usualDeadlineSpread.
 	minUsualDeadline    balance.Milliseconds = 1000
 	usualDeadlineSpread balance.Milliseconds = 1000
-	// minShortDeadline and shortDeadlineSpread are the same for short deadlines.
+	// minShortDeadline and shortDeadlineSpread are the same for plans with short deadlines.
 	minShortDeadline    balance.Milliseconds = 300
 	shortDeadlineSpread balance.Milliseconds = 400
+	// minObjectiveFraction is the shortest latency objective, as a fraction of the deadline of the class. Others are
+	// longer by less than objectiveFractionSpread.
+	minObjectiveFraction    = 0.3
+	objectiveFractionSpread = 0.4
+	// minDedupWindowMultiple is the shortest dedup window, as a multiple of the deadline of the class. Others are longer
+	// by less than dedupWindowMultipleSpread.
+	minDedupWindowMultiple    = 0.5
+	dedupWindowMultipleSpread = 2
 )
 
-// connIdleTimeouts are the idle timeouts of connections, which are equally frequent.
+// connIdleTimeouts are the idle timeouts of connections, which are equally probable.
 var connIdleTimeouts = []balance.Milliseconds{600, 2000, 10000}
 
-// randomSettings returns settings with usual or short deadlines.
+// randomSettings returns random settings. With equal probability, all classes have usual or short deadlines.
 func randomSettings(random *rand.Rand) settingsDocument {
 	settings := defaultSettings()
 	short := random.IntN(2) == 0
@@ -146,9 +156,11 @@
 		if short {
 			class.Deadline = minShortDeadline + shortDeadlineSpread*balance.Milliseconds(random.Float64())
 		}
-		class.LatencyObjective = class.Deadline * balance.Milliseconds(0.3+0.4*random.Float64())
+		objectiveFraction := minObjectiveFraction + objectiveFractionSpread*random.Float64()
+		class.LatencyObjective = class.Deadline * balance.Milliseconds(objectiveFraction)
 		if class.DedupWindow > 0 {
-			class.DedupWindow = class.Deadline * balance.Milliseconds(0.5+2*random.Float64())
+			windowMultiple := minDedupWindowMultiple + dedupWindowMultipleSpread*random.Float64()
+			class.DedupWindow = class.Deadline * balance.Milliseconds(windowMultiple)
 		}
 	}
 	settings.Limits.ConnIdleTimeout = connIdleTimeouts[random.IntN(len(connIdleTimeouts))]
@@ -156,7 +168,7 @@
 	return settings
 }
 
-// longestDeadline returns the longest deadline of all classes.
+// longestDeadline returns the longest deadline of any class.
 func (s *settingsDocument) longestDeadline() time.Duration {
 	var longest balance.Milliseconds
 	for _, class := range s.Classes {
@@ -165,7 +177,7 @@
 	return longest.Duration()
 }
 
-// dedupWindow returns how long endpoints remember the idempotency keys of a class, 0 for an unknown class.
+// dedupWindow returns how long endpoints remember the idempotency keys of a class, or 0 for an unknown class.
 func (s *settingsDocument) dedupWindow(className string) time.Duration {
 	for _, class := range s.Classes {
 		if class.Name == className {
--- a/internal/soak/sidecar.go
+++ b/internal/soak/sidecar.go
@@ -9,18 +9,18 @@
 	"cindersaddle/internal/standin"
 )
 
-// memoryLimit of a sidecar, in MB.
-const memoryLimit = 96
+// memoryLimitMB is the memory that a sidecar may use, in MB.
+const memoryLimitMB = 96
 
-// sidecar is a sidecar of a run over all its processes, with its client and its discovery agent.
+// sidecar is one sidecar of a run over all its processes, with its client and its discovery agent.
 type sidecar struct {
 	id                  SidecarID
 	client              *standin.Client
 	config              standin.ProcessConfig
 	discovery           *standin.Discovery
-	process             Process // nil: none has been ready
-	incarnation         *Incarnation
-	terminationReserved bool // an event ends the process; no other event may do that or reload
+	process             Process      // nil until the first process is ready
+	incarnation         *Incarnation // of the process that was started last
+	terminationReserved bool         // an event is terminating the process; no other event may terminate or reload it
 }
 
 // startSidecar starts a sidecar with its discovery agent and its client.
@@ -42,19 +42,19 @@
 	return r.startProcess(sidecar)
 }
 
-// sidecarConfig returns the configuration of a sidecar without what each process adds.
+// sidecarConfig returns the part of a sidecar's configuration that is the same for all its processes.
 func (r *run) sidecarConfig(number int, listen, discovery string) standin.ProcessConfig {
 	settings := r.plan.Settings
 	settings.InstanceIndex, settings.InstanceCount = number, r.plan.Sidecars
 	return standin.ProcessConfig{
 		Name: string(sidecarID(number)), Listen: listen, Discovery: discovery,
 		Seed:     fmt.Sprintf("%x", r.plan.Seed+uint64(number)),
-		Limits:   standin.ProcessLimits{Cores: 1, MemoryMB: memoryLimit, Sockets: r.plan.Sockets},
+		Limits:   standin.ProcessLimits{Cores: 1, MemoryMB: memoryLimitMB, Sockets: r.plan.Sockets},
 		Settings: settings,
 	}
 }
 
-// sidecar returns the sidecar with an ID of the plan.
+// sidecar returns the sidecar with the given ID. It panics if the plan has no such sidecar.
 func (r *run) sidecar(id SidecarID) *sidecar {
 	for _, sidecar := range r.sidecars {
 		if sidecar.id == id {
@@ -64,7 +64,7 @@
 	panic("no sidecar " + id)
 }
 
-// startProcess starts the next process of a sidecar.
+// startProcess starts the next process of a sidecar and waits until it is ready.
 func (r *run) startProcess(sidecar *sidecar) error {
 	r.addIncarnation(sidecar, &Incarnation{Sidecar: sidecar.id, StartedAt: time.Now()})
 	process, err := r.launchProcess(sidecar)
@@ -76,14 +76,14 @@
 	return nil
 }
 
-// restartSidecar starts the next process of a sidecar, and records an error.
+// restartSidecar starts the next process of a sidecar and records the error if that fails.
 func (r *run) restartSidecar(sidecar *sidecar) {
 	if err := r.startProcess(sidecar); err != nil {
 		r.recordStartError(err)
 	}
 }
 
-// launchProcess starts a process of a sidecar with an admin address of its own.
+// launchProcess starts a process of a sidecar, which gets its own admin address.
 func (r *run) launchProcess(sidecar *sidecar) (Process, error) {
 	admin, err := standin.FreeAddress()
 	if err != nil {
@@ -97,7 +97,8 @@
 	return r.launch(config, dir, r.environment()...)
 }
 
-// prepareConfig returns the configuration of the next process of a sidecar.
+// prepareConfig returns the configuration of the next process of a sidecar, with its admin address and the current
+// endpoint list.
 func (r *run) prepareConfig(sidecar *sidecar, admin string) standin.ProcessConfig {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +107,7 @@
 	return sidecar.config
 }
 
-// addIncarnation records a new process of a sidecar as its current one.
+// addIncarnation records a new process of a sidecar and makes it the current incarnation.
 func (r *run) addIncarnation(sidecar *sidecar, incarnation *Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,13 +127,14 @@
 	return sidecar.process
 }
 
-// terminatingProcess is a process that an event ends, with its record.
+// terminatingProcess is a process that an event terminates, with its record.
 type terminatingProcess struct {
 	process     Process
 	incarnation *Incarnation
 }
 
-// reserveTermination returns the process of a sidecar and reserves its end for the caller, or returns false if it ends already.
+// reserveTermination reserves the process of a sidecar for the caller to terminate, and returns it. It returns false if
+// another event has reserved the process.
 func (r *run) reserveTermination(sidecar *sidecar) (terminating terminatingProcess, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,21 +145,21 @@
 	return terminatingProcess{sidecar.process, sidecar.incarnation}, true
 }
 
-// releaseTermination lets events end the process of a sidecar again.
+// releaseTermination lets other events terminate or reload the process of a sidecar again.
 func (r *run) releaseTermination(sidecar *sidecar) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sidecar.terminationReserved = false
 }
 
-// recordCrash records at the end of a run whether the process has ended without an event.
+// recordCrash records a crash if the last process has ended before the end of the run. It is called at that end.
 func (s *sidecar) recordCrash() {
 	if ended, exit := s.process.Wait(0); ended {
-		s.incarnation.Crash = fmt.Errorf("the process has ended: %v", exit)
+		s.incarnation.Crash = fmt.Errorf("the process has ended before the end of the run, exit error: %v", exit)
 	}
 }
 
-// logLines returns the lines of all sidecars' logs that contain a text.
+// logLines returns the lines that contain a text, from the logs of all sidecars.
 func (r *run) logLines(text string) (lines []string) {
 	for _, sidecar := range r.sidecars {
 		lines = append(lines, sidecar.process.LogLines(text)...)
@@ -165,7 +167,7 @@
 	return lines
 }
 
-// close ends the sidecar with its client and its discovery agent.
+// close kills the process of the sidecar, and closes its client and its discovery agent.
 func (s *sidecar) close() {
 	if s.process != nil {
 		s.process.Kill()
--- a/internal/soak/systemcallfaults.go
+++ b/internal/soak/systemcallfaults.go
@@ -7,11 +7,11 @@
 
 // SystemCallFaults are failures of system calls that package fault injects into the sidecars.
 type SystemCallFaults struct {
-	Spec            string // in the form that package fault reads; empty: none, and the sidecars run as they are shipped
-	ResetsResponses bool   // a sidecar sees resets while it receives responses that no endpoint sent
+	Spec            string // in the syntax of package fault; empty for no faults, when the sidecars run as shipped
+	ResetsResponses bool   // injects connection resets while a sidecar reads a response
 }
 
-// systemCallFaults are the faults that a plan chooses from. A third of the plans has none.
+// systemCallFaults are the faults from which a plan chooses with equal probability. A third of them are empty.
 var systemCallFaults = []SystemCallFaults{
 	{},
 	{},
@@ -24,7 +24,8 @@
 	},
 }
 
-// randomSystemCallFaults returns one of systemCallFaults, which injects its failures by seed.
+// randomSystemCallFaults returns a random element of systemCallFaults. Its Spec contains the seed of the plan, from
+// which package fault decides which calls fail.
 func randomSystemCallFaults(random *rand.Rand, seed uint64) SystemCallFaults {
 	faults := systemCallFaults[random.IntN(len(systemCallFaults))]
 	if faults.enabled() {
@@ -33,5 +34,5 @@
 	return faults
 }
 
-// enabled reports whether there are any faults.
+// enabled reports whether any faults are injected.
 func (f SystemCallFaults) enabled() bool { return f.Spec != "" }
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// timeline is the list of what happened at which moments.
+// timeline lists what happened in a run, with the times.
 type timeline []timelineEntry
 
 type timelineEntry struct {
@@ -15,15 +15,15 @@
 	text string
 }
 
-// add adds an entry, or none if its time is zero.
+// add adds an entry unless its time is zero.
 func (t *timeline) add(at time.Time, format string, args ...any) {
 	if !at.IsZero() {
 		*t = append(*t, timelineEntry{at, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Timeline returns the history of a run for a report: what the records and the logs hold about a request, or about none if
-// traceID is empty, and all starts and ends of processes.
+// Timeline returns a chronological report of a request: what the records and the logs contain about it, and the starts
+// and ends of all processes. If traceID is empty, it contains only the processes.
 func (r *Records) Timeline(traceID string) string {
 	var history timeline
 	r.addRequest(&history, traceID)
@@ -41,19 +41,21 @@
 	return text.String()
 }
 
-// addRequest adds what clients and endpoints have seen of a request.
+// addRequest adds what clients and endpoints recorded about a request.
 func (r *Records) addRequest(history *timeline, traceID string) {
 	for _, e := range r.Exchanges {
 		if e.TraceID == traceID {
-			history.add(e.BeganAt, "client of %s writes class %s, deadline %v, reused connection: %v, leaves after %v",
+			history.add(e.BeganAt,
+				"client of sidecar %s starts a request of class %s, deadline %v, reused connection: %v, disconnects after %v",
 				e.Sidecar, e.Class, e.Deadline, e.ReusedConn, e.LeaveAfter)
-			history.add(e.SentAt, "client has written the last byte")
-			history.add(e.EndedAt, "client: %v, status %d, %v", e.End, e.Status, e.Err)
+			history.add(e.SentAt, "client wrote the last byte")
+			history.add(e.EndedAt, "client: %v, status %d, error: %v", e.End, e.Status, e.Err)
 		}
 	}
 	for _, attempt := range r.Attempts {
 		if attempt.TraceID == traceID {
-			history.add(attempt.LastByteAt, "endpoint %s has the request, %v remain", attempt.Endpoint, attempt.ExpiresIn)
+			history.add(attempt.LastByteAt, "endpoint %s received the request, stated remaining time %v",
+				attempt.Endpoint, attempt.ExpiresIn)
 			history.add(attempt.EndedAt, "endpoint %s: %v", attempt.Endpoint, attempt.End)
 		}
 	}
@@ -62,9 +64,9 @@
 // addProcesses adds the starts and ends of all processes.
 func (r *Records) addProcesses(history *timeline) {
 	for _, incarnation := range r.Incarnations {
-		history.add(incarnation.StartedAt, "sidecar %s starts", incarnation.Sidecar)
-		history.add(incarnation.TermAt, "SIGTERM to %s", incarnation.Sidecar)
-		history.add(incarnation.KilledAt, "SIGKILL to %s", incarnation.Sidecar)
-		history.add(incarnation.EndedAt, "sidecar %s has ended", incarnation.Sidecar)
+		history.add(incarnation.StartedAt, "process of sidecar %s started", incarnation.Sidecar)
+		history.add(incarnation.TermAt, "SIGTERM to sidecar %s", incarnation.Sidecar)
+		history.add(incarnation.KilledAt, "SIGKILL to sidecar %s", incarnation.Sidecar)
+		history.add(incarnation.EndedAt, "process of sidecar %s ended", incarnation.Sidecar)
 	}
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -12,28 +12,30 @@
 const (
 	// meanThinkTime is the mean pause of a worker between two requests.
 	meanThinkTime = 30 * time.Millisecond
-	// notSentPause follows a request that could not be sent.
+	// notSentPause is the additional pause after a request that could not be sent.
 	notSentPause = 10 * time.Millisecond
-	// meanDisconnectTime is the mean time after which a client leaves that leaves early.
+	// meanDisconnectTime is the mean time after which a client that disconnects early does so, from its last byte on.
 	meanDisconnectTime = 30 * time.Millisecond
-	// minDeadlineFraction is the shortest deadline of a request, as a fraction of its class's deadline.
+	// minDeadlineFraction is the shortest deadline of a request, as a fraction of the deadline of its class.
 	minDeadlineFraction = 0.7
 
-	// maxBodyBytes bounds usual bodies of requests. One request in longUploadInterval has more than a sidecar buffers:
-	// minLongUpload bytes and up to longUploadSpread more.
-	maxBodyBytes       = 500
-	minLongUpload      = 70_000
-	longUploadSpread   = 200_000
-	longUploadInterval = 50
+	// maxBodyBytes is the exclusive upper bound of the body of a usual request. On average, one request in
+	// longUploadInterval has a body that is longer than a sidecar buffers: at least minLongUploadBytes and less than
+	// longUploadSpreadBytes more.
+	maxBodyBytes          = 500
+	minLongUploadBytes    = 70_000
+	longUploadSpreadBytes = 200_000
+	longUploadInterval    = 50
 
-	// One request in slowUploadInterval is written in parts, up to maxUploadParts, with pauses up to maxUploadPause.
+	// On average, one request in slowUploadInterval is written in minUploadParts to maxUploadParts parts, with a pause
+	// shorter than maxUploadPause between two parts.
 	slowUploadInterval = 30
 	minUploadParts     = 2
 	maxUploadParts     = 4
 	maxUploadPause     = 100 * time.Millisecond
 )
 
-// startTraffic starts the clients of all sidecars.
+// startTraffic starts the workers of all sidecars' clients, and the clients with incomplete requests.
 func (r *run) startTraffic(traffic *sync.WaitGroup) {
 	end := r.beganAt.Add(r.plan.TrafficDuration)
 	for _, sidecar := range r.sidecars {
@@ -46,10 +48,10 @@
 	}
 }
 
-// sendRequests sends the requests of one worker, one after the other, until the end of the traffic.
+// sendRequests sends the requests of one worker one after the other until the end of the traffic.
 func (r *run) sendRequests(sidecar *sidecar, worker int, end time.Time) {
 	for number := 0; time.Now().Before(end); number++ {
-		// The last letter: no trace ID is the beginning of another one, as logs are searched for them.
+		// The suffix ".x" ensures that no trace ID is a prefix of another one, because logs are searched for trace IDs.
 		request := r.randomRequest(fmt.Sprintf("%s.%d.%d.x", sidecar.id, worker, number))
 		if exchange := sidecar.client.Do(request); exchange.End == standin.ExchangeNotSent {
 			time.Sleep(notSentPause)
@@ -64,7 +66,7 @@
 	return time.Duration(r.random.ExpFloat64() * float64(meanThinkTime))
 }
 
-// randomRequest returns a request with a trace ID.
+// randomRequest returns a random request with the given trace ID.
 func (r *run) randomRequest(traceID string) standin.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +84,7 @@
 		request.LeaveAfter = time.Duration(1 + r.random.ExpFloat64()*float64(meanDisconnectTime))
 	}
 	if r.random.IntN(longUploadInterval) == 0 {
-		request.BodyBytes = minLongUpload + r.random.IntN(longUploadSpread)
+		request.BodyBytes = minLongUploadBytes + r.random.IntN(longUploadSpreadBytes)
 	}
 	if r.random.IntN(slowUploadInterval) == 0 {
 		request.Parts = minUploadParts + r.random.IntN(maxUploadParts-minUploadParts+1)
