--- a/internal/soak/faultysidecar_exchange_test.go
+++ b/internal/soak/faultysidecar_exchange_test.go
@@ -14,21 +14,23 @@
 )
 
 const (
-	// faultInterval is the interval of calls of pick at which a request is subject to the fault.
+	// faultInterval is the number of picks per fault: a request has the fault if the number of picks before it is a
+	// multiple of faultInterval.
 	faultInterval = 7
-	// lateForwardDelay is well beyond the slack of RuleClientDisconnected.
+	// lateForwardDelay is how long after the client disconnected a request is forwarded. It is much longer than the
+	// slack of RuleClientDisconnected.
 	lateForwardDelay = 400 * time.Millisecond
 )
 
-// faultyExchange is a request that a faultySidecar forwards.
+// faultyExchange is a request that a faultySidecar forwards to an endpoint.
 type faultyExchange struct {
 	sidecar      *faultySidecar
 	incoming     *http.Request
 	body         []byte
-	injectsFault bool // the sidecar injects its fault on this request
+	injectsFault bool // whether the sidecar's fault applies to this request
 }
 
-// ServeHTTP forwards a request, and injects the fault on some of them.
+// ServeHTTP forwards a request to an endpoint. The fault of the sidecar applies to some of the requests.
 func (s *faultySidecar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	e := &faultyExchange{sidecar: s, incoming: r, body: body, injectsFault: s.pickCount.Load()%faultInterval == 0}
@@ -45,12 +47,12 @@
 	e.respond(w, response, err)
 }
 
-// injects reports whether a fault is the one of the sidecar, and is committed on this request.
+// injects reports whether the given fault is the sidecar's and applies to this request.
 func (e *faultyExchange) injects(fault sidecarFault) bool {
 	return e.injectsFault && e.sidecar.fault == fault
 }
 
-// outgoing returns the request that goes to an endpoint.
+// outgoing returns the request to send to an endpoint.
 func (e *faultyExchange) outgoing() *http.Request {
 	request, _ := http.NewRequest(e.incoming.Method, "http://endpoint/api", strings.NewReader(string(e.body)))
 	request.Header = e.incoming.Header.Clone()
@@ -63,14 +65,14 @@
 	return request
 }
 
-// forwardLate waits until the client has disconnected, and has the request sent some time after.
+// forwardLate waits until the client has disconnected, and sends the request lateForwardDelay later.
 func (e *faultyExchange) forwardLate(endpoint *membership.Endpoint) {
 	<-e.incoming.Context().Done()
 	request := e.outgoing()
 	time.AfterFunc(lateForwardDelay, func() { roundTrip(context.Background(), endpoint, request) })
 }
 
-// forward returns the body of an endpoint's response.
+// forward sends the request to an endpoint and returns the body of the response.
 func (e *faultyExchange) forward(endpoint *membership.Endpoint) ([]byte, error) {
 	if e.injects(faultParallelAttempts) {
 		if other := e.sidecar.pick(); other != nil {
@@ -86,7 +88,7 @@
 	return response, err
 }
 
-// respond passes the result of forward to the client.
+// respond sends the client the response that belongs to the result of forward.
 func (e *faultyExchange) respond(w http.ResponseWriter, response []byte, err error) {
 	switch {
 	case e.injects(faultClosesConns):
@@ -106,7 +108,8 @@
 	}
 }
 
-// roundTrip sends a request over a connection of its own.
+// roundTrip sends a request over a new connection and returns the body of the response. It returns an error if the
+// status is not 200.
 func roundTrip(ctx context.Context, endpoint *membership.Endpoint, request *http.Request) ([]byte, error) {
 	conn, err := net.DialTimeout("tcp", endpoint.Address, time.Second)
 	if err != nil {
--- a/internal/soak/faultysidecar_list_test.go
+++ b/internal/soak/faultysidecar_list_test.go
@@ -10,10 +10,11 @@
 	"cindersaddle/internal/membership"
 )
 
-// listPollInterval is well within the drain grace, so that the list is known in time.
+// listPollInterval is the interval of polls of the endpoint list. It is much shorter than the drain grace, so that the
+// sidecar learns of a draining endpoint in time.
 const listPollInterval = 20 * time.Millisecond
 
-// pollUntilEnded polls discovery until the sidecar has ended.
+// pollUntilEnded polls the endpoint list until the sidecar has ended.
 func (s *faultySidecar) pollUntilEnded() {
 	for {
 		select {
@@ -29,7 +30,7 @@
 	}
 }
 
-// pollList returns the endpoint list of a discovery agent.
+// pollList requests the endpoint list from the discovery agent at an address.
 func pollList(discovery string) (*membership.EndpointList, error) {
 	response, err := http.Get("http://" + discovery + "/discovery/hosts")
 	if err != nil {
@@ -43,7 +44,8 @@
 	return membership.Parse(body)
 }
 
-// pick returns an endpoint, another one for each call, or nil.
+// pick returns the next ready endpoint in turn, or nil if there is none. With faultIgnoresDraining, it takes all
+// endpoints for ready. With faultIgnoresSlowStart, it returns the endpoint that started last.
 func (s *faultySidecar) pick() *membership.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/faultysidecar_test.go
+++ b/internal/soak/faultysidecar_test.go
@@ -12,9 +12,10 @@
 	"cindersaddle/internal/standin"
 )
 
-// sidecarFault is what a faultySidecar does wrong.
+// sidecarFault is a fault of a faultySidecar. Its value is the name of a subtest.
 type sidecarFault string
 
+// The faults. Each of them except faultNone breaks one rule.
 const (
 	faultNone               sidecarFault = "none"
 	faultClosesConns        sidecarFault = "closes connections without a response"
@@ -32,28 +33,36 @@
 	faultNoHeaderTimeout    sidecarFault = "keeps connections without a complete request open"
 )
 
-// faultySidecar is a sidecar in the process of the test that keeps the rules under quietPlan, but for one fault.
+// faultySidecar is a minimal sidecar that runs in the test process. Under quietPlan it keeps all rules except the one
+// that its fault breaks.
 type faultySidecar struct {
 	fault     sidecarFault
 	config    standin.ProcessConfig
 	listener  net.Listener
 	server    *http.Server
-	pickCount atomic.Int64
-	ended     chan struct{}
+	pickCount atomic.Int64  // number of picks from the ready endpoints
+	ended     chan struct{} // closed by Kill
 	endOnce   sync.Once
 
 	mu   sync.Mutex
 	list membership.EndpointList
 }
 
+// headerTimeout is how long a faultySidecar waits for the header of a request. It is shorter than
+// incompleteRequestLimit.
+const headerTimeout = 2 * time.Second
+
+// launchFaultySidecar returns a Launcher of sidecars with the given fault.
 func launchFaultySidecar(fault sidecarFault) Launcher {
 	return func(config standin.ProcessConfig, _ string, _ ...string) (Process, error) {
 		listener, err := net.Listen("tcp", config.Listen)
 		if err != nil {
 			return nil, err
 		}
-		s := &faultySidecar{fault: fault, config: config, listener: listener, list: config.Known, ended: make(chan struct{})}
-		s.server = &http.Server{Handler: s, ReadHeaderTimeout: 2 * time.Second}
+		s := &faultySidecar{
+			fault: fault, config: config, listener: listener, list: config.Known, ended: make(chan struct{}),
+		}
+		s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
 		if fault == faultNoHeaderTimeout {
 			s.server.ReadHeaderTimeout = 0
 		}
@@ -66,10 +75,13 @@
 	}
 }
 
+// A faultySidecar ignores signals and has neither a configuration file nor a log.
+
 func (s *faultySidecar) Signal(syscall.Signal) error             { return nil }
 func (s *faultySidecar) WriteConfig(standin.ProcessConfig) error { return nil }
 func (s *faultySidecar) LogLines(string) []string                { return nil }
 
+// Kill closes the server and all its connections.
 func (s *faultySidecar) Kill() {
 	s.endOnce.Do(func() {
 		s.server.Close()
@@ -77,13 +89,14 @@
 	})
 }
 
+// Wait waits until Kill was called or the timeout has passed. The exit error is always nil.
 func (s *faultySidecar) Wait(timeout time.Duration) (bool, error) {
 	select {
 	case <-s.ended:
 	case <-time.After(timeout):
 	}
 	select {
-	case <-s.ended: // also where both have come
+	case <-s.ended: // also if the timeout passed at the same time
 		return true, nil
 	default:
 		return false, nil
--- a/internal/soak/harness_test.go
+++ b/internal/soak/harness_test.go
@@ -9,7 +9,8 @@
 	"cindersaddle/internal/standin"
 )
 
-// program is the path of the sidecar as it is shipped, faultSidecarPath that of one with the seam of package fault.
+// sidecarPath is the path of the sidecar program as shipped. faultSidecarPath is the path of the program with the fault
+// injection of package fault.
 var sidecarPath, faultSidecarPath string
 
 func TestMain(m *testing.M) {
@@ -34,11 +35,11 @@
 
 // testFleet is a set of endpoints with a discovery agent that lists them.
 type testFleet struct {
-	dir       string
+	dir       string // for the files of the sidecars
 	discovery *standin.Discovery
 }
 
-// startFleet starts endpoints, which are stopped at the end of the test.
+// startFleet starts count endpoints with the given behavior. They are closed at the end of the test.
 func startFleet(t *testing.T, count int, behavior standin.Behavior) *testFleet {
 	t.Helper()
 	fleet := &testFleet{dir: t.TempDir()}
@@ -58,7 +59,7 @@
 	return fleet
 }
 
-// startSidecar starts a sidecar of the fleet, which is killed at the end of the test.
+// startSidecar starts a sidecar that uses the fleet. It is killed at the end of the test.
 func (f *testFleet) startSidecar(t *testing.T, name string, settings any) *standin.Process {
 	t.Helper()
 	dir := filepath.Join(f.dir, name)
@@ -73,7 +74,7 @@
 	return process
 }
 
-// config returns the configuration of a sidecar of the fleet.
+// config returns the configuration of a sidecar that uses the fleet.
 func (f *testFleet) config(t *testing.T, name string, settings any) standin.ProcessConfig {
 	t.Helper()
 	listen, err := standin.FreeAddress()
@@ -82,6 +83,7 @@
 	}
 	return standin.ProcessConfig{
 		Name: name, Listen: listen, Discovery: f.discovery.Addr(), Seed: "8c1f30d27a5be964",
-		Limits: standin.ProcessLimits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Known: f.discovery.List(), Settings: settings,
+		Limits: standin.ProcessLimits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Known: f.discovery.List(),
+		Settings: settings,
 	}
 }
--- a/internal/soak/log_test.go
+++ b/internal/soak/log_test.go
@@ -11,7 +11,12 @@
 	"cindersaddle/internal/standin"
 )
 
-// TestLogThatNobodyReads checks that requests are served although the pipe that takes the log is full, or its reader has ended.
+// loggedRequests is the number of requests that the test sends. Each of them is logged twice, which together is more
+// than a pipe can buffer.
+const loggedRequests = 800
+
+// TestLogThatNobodyReads checks that a sidecar still responds to requests when the pipe for its log is full or the read
+// end of the pipe is closed.
 func TestLogThatNobodyReads(t *testing.T) {
 	for name, prepare := range map[string]func(reader *os.File){
 		"full":   func(*os.File) {},
@@ -25,19 +30,22 @@
 			}
 			defer reader.Close()
 			prepare(reader)
-			sidecar, err := standin.StartProcessWithLog(sidecarPath, t.TempDir(), fleet.config(t, "n0", defaultSettings()), writer)
+			config := fleet.config(t, "n0", defaultSettings())
+			sidecar, err := standin.StartProcessWithLog(sidecarPath, t.TempDir(), config, writer)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(sidecar.Kill)
 			client := standin.NewClient(sidecar.Config.Listen)
 			defer client.Close()
-			for i := range 800 { // each request is logged twice, in more bytes together than a pipe holds
+			for i := range loggedRequests {
 				exchange := client.Do(standin.Request{
-					TraceID: fmt.Sprintf("log-%d", i), Class: "pay", Idempotency: balance.NonIdempotent, Tenant: tenantName, Deadline: 2 * time.Second,
+					TraceID: fmt.Sprintf("log-%d", i), Class: "pay", Idempotency: balance.NonIdempotent,
+					Tenant: tenantName, Deadline: 2 * time.Second,
 				})
 				if exchange.End != standin.ExchangeFailed && exchange.End != standin.ExchangeRejected {
-					t.Fatalf("request %d: %v (%v), want a response of the sidecar", i, exchange.End, exchange.Err)
+					t.Fatalf("request %d: got %v (error: %v), want %v or %v",
+						i, exchange.End, exchange.Err, standin.ExchangeFailed, standin.ExchangeRejected)
 				}
 			}
 		})
--- a/internal/soak/overdue_test.go
+++ b/internal/soak/overdue_test.go
@@ -14,50 +14,54 @@
 )
 
 const (
-	raceEndpoints   = 16
-	raceClasses     = 60
-	raceWaves       = 4                      // an attempt is overdue after half the objective while its class has few samples
-	raceObjective   = 200 * time.Millisecond // of each class
-	raceLoadClients = 24                     // clients whose requests keep the one processor of the sidecar busy
-	raceJitter      = 3 * time.Millisecond   // the heads of the responses come within this time around the moment
-	raceBodyPause   = 12 * time.Millisecond  // between the parts of a body: within the grace of package upstream
-	raceProcesses   = 3
+	raceProcesses = 3 // sidecars, one after the other
+	raceEndpoints = 16
+	raceClasses   = 60
+	// raceWaves is the number of requests of each class. It is small, because an attempt is overdue after half the
+	// latency objective only while its class has few samples.
+	raceWaves     = 4
+	raceObjective = 200 * time.Millisecond // the latency objective of each class
+	// raceLoadClients is the number of clients that keep the only processor of the sidecar busy.
+	raceLoadClients = 24
+	// The heads of the responses arrive in a period of raceJitter around the time at which their attempts are overdue.
+	// raceJitterBefore is the fraction of the period that is before that time.
+	raceJitter       = 3 * time.Millisecond
+	raceJitterBefore = 0.6
+	// raceBodyPause is the pause between the parts of a body. It is shorter than unknownLengthGrace of package upstream.
+	raceBodyPause = 12 * time.Millisecond
 )
 
-// TestResponseIsCompleteWhenItsAttemptIsOverdue repeats an incident.
+// TestResponseIsCompleteWhenItsAttemptIsOverdue guards against truncated responses when the head of a response of
+// unknown length arrives just as the balancer cancels the attempt as overdue, to retry it at another endpoint.
 //
-// Seen: the client of an idempotent request had its connection ended without a complete response, 84 ms after the
-// request had reached its only endpoint, which had executed it within 10 ms. The sidecar was not shutting down. When the run was
-// repeated, which did not show the fault, this sidecar cancelled an attempt as overdue after 67 ms.
+// A cancellation interrupts the read of a response by setting a read deadline in the past. If the reader mistakes that
+// for the end of unknownLengthGrace, it streams the part of the body that it has. The event loop then passes this part
+// on as the final response of an attempt that it has cancelled. The next read fails, and the client's connection is
+// closed without a complete response: in one run 84 ms after its only endpoint received the request, which it had
+// executed within 10 ms. In a repetition of that run, the sidecar cancelled an attempt as overdue after 67 ms.
 //
-// How it came about: the head of a response of unknown length came at the moment at which its attempt was overdue, and
-// the event loop, which had both to handle, took the timer first. The balancer cancelled the attempt to retry elsewhere.
-//
-// Cause: a cancellation interrupts reads by a deadline in the past. The reader of the response took that for the end of
-// the time in which a body of unknown length may come completely, and began to stream the part that had come. The event
-// loop gave that to the client as the final response although it had cancelled the attempt; the next read of the body
-// failed, so that the connection had to be ended.
-//
-// Proof: here, with real processes, the clients get what was seen, and the sidecar logs an attempt that is both cancelled and
-// streamed. With the order forced, TestInterruptedResponseIsNotStreamed in package upstream fails each time. A response
-// broken by the endpoint, a client that left, an eviction, a shutdown and a panic are logged with other reasons.
+// Such a failure logs an attempt that is both cancelled and streamed. A response broken by the endpoint, a client that
+// disconnected, an eviction, a shutdown and a panic are logged with other reasons. This test depends on timing;
+// TestInterruptedResponseIsNotStreamed in package upstream forces the order of the events.
 func TestResponseIsCompleteWhenItsAttemptIsOverdue(t *testing.T) {
 	for round := range raceProcesses {
-		for _, fault := range runOverdueRace(t, round) {
-			t.Error(fault)
+		for _, failure := range runOverdueRace(t, round) {
+			t.Error(failure)
 		}
 	}
 }
 
-// runOverdueRace runs one sidecar whose attempts are overdue at the moment at which their responses begin, and
-// returns what its clients got but should not.
-func runOverdueRace(t *testing.T, round int) (faults []string) {
+// runOverdueRace runs one sidecar whose attempts become overdue at about the time at which their responses begin. It
+// returns a description of each exchange that ended without a complete response or with a wrong body.
+func runOverdueRace(t *testing.T, round int) (failures []string) {
 	behavior := func(r *http.Request) standin.Reply {
 		if !strings.HasPrefix(r.Header.Get("X-Qos"), "read") {
 			return standin.Reply{}
 		}
-		delay := raceObjective/2 + time.Duration((rand.Float64()-0.6)*float64(raceJitter))
-		return standin.Reply{Delay: delay, Framing: standin.FramedByClose, Parts: 2, PartPause: raceBodyPause, Padding: 2000}
+		delay := raceObjective/2 + time.Duration((rand.Float64()-raceJitterBefore)*float64(raceJitter))
+		return standin.Reply{
+			Delay: delay, Framing: standin.FramedByClose, Parts: 2, PartPause: raceBodyPause, Padding: 2000,
+		}
 	}
 	fleet := startFleet(t, raceEndpoints, behavior)
 	sidecar := fleet.startSidecar(t, fmt.Sprintf("n%d", round), raceSettings())
@@ -69,7 +73,8 @@
 		for class := range raceClasses {
 			running.Go(func() {
 				client.Do(standin.Request{
-					TraceID: standin.TraceID(round*100000 + wave*1000 + class), Class: raceClass(class), Tenant: tenantName, Deadline: 5 * time.Second,
+					TraceID: standin.TraceID(round*100000 + wave*1000 + class), Class: raceClass(class),
+					Tenant: tenantName, Deadline: 5 * time.Second,
 				})
 			})
 		}
@@ -78,17 +83,19 @@
 	stopLoad()
 	for _, exchange := range client.Exchanges() {
 		if exchange.End == standin.ExchangeTruncated || exchange.End == standin.ExchangeClosed || exchange.WrongBody {
-			line := fmt.Sprintf("request %s of class %s: %v (%v), want a complete response", exchange.TraceID, exchange.Class, exchange.End, exchange.Err)
-			faults = append(faults, line+"\n"+strings.Join(sidecar.LogLines(exchange.TraceID), "\n"))
+			line := fmt.Sprintf("request %s of class %s: got %v (error: %v, wrong body: %v), want a complete response",
+				exchange.TraceID, exchange.Class, exchange.End, exchange.Err, exchange.WrongBody)
+			failures = append(failures, line+"\n"+strings.Join(sidecar.LogLines(exchange.TraceID), "\n"))
 		}
 	}
-	return faults
+	return failures
 }
 
-// raceClass returns the name of an idempotent class.
+// raceClass returns the name of the idempotent class with a number.
 func raceClass(number int) string { return fmt.Sprintf("read-%d", number) }
 
-// raceSettings are settings with many classes, each of which takes half of its objective for overdue at first.
+// raceSettings returns settings with raceClasses additional idempotent classes. While a class has few samples, its
+// attempts are overdue after half the latency objective.
 func raceSettings() any {
 	settings := defaultSettings()
 	for number := range raceClasses {
@@ -100,7 +107,8 @@
 	return settings
 }
 
-// startLoad starts clients that send requests of another class one after the other, until stop is called.
+// startLoad starts clients that send requests of the class "pay" one after the other until stop is called. stop waits
+// until the clients have ended.
 func startLoad(sidecar *standin.Process, clients, round int) (stop func()) {
 	done := make(chan struct{})
 	var running sync.WaitGroup
@@ -115,7 +123,8 @@
 				default:
 				}
 				client.Do(standin.Request{
-					TraceID: fmt.Sprintf("load-%d-%d-%d", round, i, number), Class: "pay", Idempotency: balance.NonIdempotent, Tenant: tenantName, Deadline: 2 * time.Second,
+					TraceID: fmt.Sprintf("load-%d-%d-%d", round, i, number), Class: "pay", Idempotency: balance.NonIdempotent,
+					Tenant: tenantName, Deadline: 2 * time.Second,
 				})
 			}
 		})
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// plansChecksum is the checksum of the plans of the first checksummedSeeds seeds. It changes with the draws, and with the texts of
-// Plan.String too.
+// plansChecksum is the SHA-256 checksum of the plans of the first checksummedSeeds seeds. It also depends on the texts
+// of Plan.String.
 const (
 	checksummedSeeds = 50
 	plansChecksum    = "91ea6ddb3611e21e0346639749a266eb208636826ce911d1a4e0b5c211811fdb"
 )
 
-// TestSeedsKeepTheirPlans checks that seeds give the same plans as when plansChecksum was recorded. Otherwise the seeds that are
-// named in reports of failures would no longer show them.
+// TestSeedsKeepTheirPlans checks that each seed still gives the plan that it gave when plansChecksum was recorded.
+// Otherwise, the seeds named in failure reports would no longer reproduce the failures.
 func TestSeedsKeepTheirPlans(t *testing.T) {
 	plans := sha256.New()
 	for seed := range uint64(checksummedSeeds) {
@@ -28,6 +28,6 @@
 		fmt.Fprintf(plans, "%v%s\n", plan, settings)
 	}
 	if got := fmt.Sprintf("%x", plans.Sum(nil)); got != plansChecksum {
-		t.Errorf("checksum of the plans %s, want %s", got, plansChecksum)
+		t.Errorf("got checksum %s of the plans, want %s", got, plansChecksum)
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -15,8 +15,8 @@
 	soakLength = flag.Duration("soak.length", 7*time.Second, "length of the traffic of a run")
 )
 
-// launchProcess starts the built sidecar: with the seam of package fault if the environment names faults, and otherwise as it
-// is shipped.
+// launchProcess starts a sidecar process. It uses the program with fault injection if there are additional environment
+// variables, and the program as shipped otherwise.
 func launchProcess(config standin.ProcessConfig, dir string, environment ...string) (Process, error) {
 	path := sidecarPath
 	if len(environment) > 0 {
@@ -29,7 +29,7 @@
 	return process, err
 }
 
-// TestSoak runs plans of faults and checks that no rule is broken. By hand, with more seeds:
+// TestSoak runs the plans of several seeds and checks that no rule is broken. To run more seeds:
 //
 //	go test ./internal/soak -run TestSoak -soak.seeds=50 -timeout 60m
 func TestSoak(t *testing.T) {
@@ -45,23 +45,26 @@
 			for _, exchange := range records.Exchanges {
 				ends[exchange.End]++
 			}
-			t.Logf("%d requests: %v; %d attempts, %d processes", len(records.Exchanges), ends, len(records.Attempts), len(records.Incarnations))
+			t.Logf("%d requests: %v; %d attempts, %d processes",
+				len(records.Exchanges), ends, len(records.Attempts), len(records.Incarnations))
 		})
 	}
 }
 
-// maxReportedViolations bounds the violations that are reported with their timelines.
+// maxReportedViolations is the maximum number of violations that are reported with their timelines.
 const maxReportedViolations = 4
 
+// reportViolations fails the test if there are violations, and reports the first of them with their timelines.
 func reportViolations(t *testing.T, records *Records, violations []Violation) {
 	t.Helper()
 	if len(violations) > 0 {
-		t.Errorf("%d violations under the plan of %v", len(violations), records.Plan)
+		t.Errorf("got %d violations, want none; plan: %v", len(violations), records.Plan)
 	}
 	for i, violation := range violations {
 		if i == maxReportedViolations {
 			break
 		}
-		t.Errorf("rule %q, request %q: %s\n%s", violation.Rule, violation.TraceID, violation.Text, records.Timeline(violation.TraceID))
+		t.Errorf("rule %q, request %q: %s\n%s",
+			violation.Rule, violation.TraceID, violation.Text, records.Timeline(violation.TraceID))
 	}
 }
