--- a/internal/soak/excuses.go
+++ b/internal/soak/exceptions.go
@@ -7,9 +7,9 @@
 	"cindersaddle/internal/standin"
 )
 
-// excuseMargin is the time before and after a fault of the network or an endpoint in which its consequences are not
-// violations.
-const excuseMargin = time.Second
+// faultEffectMargin is the time before and after a fault of the network or an endpoint in which its consequences do not
+// count as violations.
+const faultEffectMargin = time.Second
 
 // processKilled reports whether the sidecar process that handled a request was killed without an earlier SIGTERM.
 func (j *judge) processKilled(e *Exchange) bool {
@@ -49,7 +49,8 @@
 		endpoint, duration := breaker.brokenConnections()
 		beganAt := j.BeganAt.Add(event.At)
 		endedAt := beganAt.Add(duration).Add(recordSlack)
-		return attempt.Endpoint == endpoint && attempt.openBetween(beganAt.Add(-excuseMargin), endedAt.Add(excuseMargin))
+		return attempt.Endpoint == endpoint &&
+			attempt.openBetween(beganAt.Add(-faultEffectMargin), endedAt.Add(faultEffectMargin))
 	})
 }
 
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -55,7 +55,7 @@
 	minWorkers   = 8 // per sidecar
 	maxWorkers   = 15
 
-	// incompleteConnsInterval is the number of plans of which one on average has incomplete connections.
+	// On average, one plan in incompleteConnsInterval has connections without a complete request.
 	incompleteConnsInterval = 4
 )
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -27,7 +27,7 @@
 // time.
 type Launcher func(config standin.ProcessConfig, dir string, environment ...string) (Process, error)
 
-// The environment variables of package fault, which only builds for tests contain.
+// The environment variables of package fault. Only builds for tests read them.
 const (
 	envFaults    = "CINDERSADDLE_FAULTS"
 	envClockStep = "CINDERSADDLE_CLOCK_STEP_FILE"
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -55,7 +55,7 @@
 	Notifications   []Notification
 	Incarnations    []Incarnation
 	IncompleteConns []IncompleteConn
-	Cells           map[EndpointID]int
+	Cells           map[EndpointID]int         // the number of each endpoint's cell
 	RestartedAt     map[EndpointID]time.Time   // when an endpoint restarted, which begins its slow start
 	StartErrs       []error                    // from processes that did not become ready in time, and from servers
 	LogLines        func(text string) []string // returns the lines of the sidecars' logs that contain text
--- a/internal/soak/rule_expiry.go
+++ b/internal/soak/rule_expiry.go
@@ -9,9 +9,9 @@
 // checkExpiry checks RuleExpiry: the remaining time stated by an attempt is at most the time that its client still
 // waits.
 //
-// The rule applies to each attempt of a request that the client wrote completely. The remaining time counts from the
-// last byte that the client wrote to the last byte that the endpoint read. An attempt may state up to expirySlack more,
-// because the sidecar writes the time before the endpoint reads it.
+// The rule applies to each attempt of a request that the client wrote completely. The client's deadline counts from the
+// last byte that it wrote, and the remaining time is that from the last byte that the endpoint read until the deadline.
+// An attempt may state up to expirySlack more, because the sidecar writes the time before the endpoint reads it.
 func (j *judge) checkExpiry() {
 	j.forEachKnownAttempt(func(e *Exchange, attempt *Attempt) {
 		remaining := e.SentAt.Add(e.Deadline).Sub(attempt.LastByteAt)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -69,7 +69,7 @@
 	r.records.StartErrs = append(r.records.StartErrs, err)
 }
 
-// collect returns the records at the end of a run.
+// collectRecords returns the records of a run. It is called at the end of the run.
 func (r *run) collectRecords() *Records {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -7,7 +7,7 @@
 	"cindersaddle/balance"
 )
 
-// settingsDocument holds the settings of a sidecar, as in its configuration file.
+// settingsDocument holds the settings of a sidecar that a run sets, under the keys of the configuration file.
 type settingsDocument struct {
 	Classes       []classSettings      `json:"classes"`
 	Tenants       []tenantSettings     `json:"tenants"`
@@ -63,7 +63,7 @@
 	Mode   string   `json:"via"`
 }
 
-// ruleSettings are the settings of response times, discovery, draining and slow start.
+// ruleSettings are the settings of timing, and of endpoints that are in slow start or overloaded.
 type ruleSettings struct {
 	AnswerGrace              balance.Milliseconds `json:"answer_slack_ms"`
 	MaxPollInterval          balance.Milliseconds `json:"ask_within_ms"`
@@ -114,7 +114,7 @@
 	}
 }
 
-// defaultClass returns a class with the given name, idempotency, dedup scope and dedup window, and usual times.
+// defaultClass returns a class with the given properties. Its endpoints remember idempotency keys for dedupWindow.
 func defaultClass(
 	name string, idempotency balance.Idempotency, dedupScope string, dedupWindow balance.Milliseconds,
 ) classSettings {
