--- a/internal/soak/rule_drain_test.go
+++ b/internal/soak/rule_drain_test.go
@@ -9,9 +9,9 @@
 	"cindersaddle/internal/standin"
 )
 
-// TestLastChangeOfOneMomentHolds checks that the last of several changes with the same time decides: an endpoint that a
-// new discovery agent lists as gone and as ready at the same time may be used only if it was listed as ready last.
-func TestLastChangeOfOneMomentHolds(t *testing.T) {
+// TestLastOfSimultaneousChangesDecides checks that the last of several changes with the same time decides: an endpoint
+// that a new discovery agent lists as gone and as ready at the same time may be used only if it was listed as ready last.
+func TestLastOfSimultaneousChangesDecides(t *testing.T) {
 	began := time.Now()
 	at := began.Add(time.Second)
 	for _, test := range []struct {
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestEndpointIsReadyOnceThatIsReadable checks that a sidecar may use an endpoint as soon as a new discovery agent
+// TestEndpointMayBeUsedOnceListedReady checks that a sidecar may use an endpoint as soon as a new discovery agent
 // lists it as ready, although the sidecar counts as notified only later.
-func TestEndpointIsReadyOnceThatIsReadable(t *testing.T) {
+func TestEndpointMayBeUsedOnceListedReady(t *testing.T) {
 	began := time.Now()
 	at := func(after time.Duration) time.Time { return began.Add(after) }
 	for _, test := range []struct {
