--- a/internal/soak/rule_drain_test.go
+++ b/internal/soak/rule_drain_test.go
@@ -9,8 +9,8 @@
 	"cindersaddle/internal/standin"
 )
 
-// TestLastOfSimultaneousChangesDecides checks that the last of several changes with the same time decides: an endpoint
-// that a new discovery agent lists as gone and as ready at the same time may be used only if it was listed as ready last.
+// TestLastOfSimultaneousChangesDecides checks that the last of several changes with the same time decides. An endpoint
+// that a new discovery agent lists as gone and as ready at the same time may be used only if ready was listed last.
 func TestLastOfSimultaneousChangesDecides(t *testing.T) {
 	began := time.Now()
 	at := began.Add(time.Second)
