--- a/internal/soak/event_drain.go
+++ b/internal/soak/event_drain.go
@@ -7,26 +7,26 @@
 	"cindersaddle/internal/membership"
 )
 
-// DrainEndpoint lists an endpoint as draining, and as gone after a length of time.
+// DrainEndpoint lists an endpoint as draining for a limited time, and then as gone.
 type DrainEndpoint struct {
 	Endpoint EndpointID
-	Length   time.Duration
+	Duration time.Duration
 }
 
 func (a DrainEndpoint) String() string {
-	return fmt.Sprintf("drain of endpoint %s for %v", a.Endpoint, a.Length)
+	return fmt.Sprintf("drain of endpoint %s for %v", a.Endpoint, a.Duration)
 }
 
-func (a DrainEndpoint) brokenConnections() (EndpointID, time.Duration) { return a.Endpoint, a.Length }
+func (a DrainEndpoint) brokenConnections() (EndpointID, time.Duration) { return a.Endpoint, a.Duration }
 
-func (a DrainEndpoint) carryOut(r *run) {
+func (a DrainEndpoint) execute(r *run) {
 	endpoint := r.endpoint(a.Endpoint)
 	r.setPhase(endpoint, membership.PhaseDraining)
-	time.Sleep(a.Length)
+	time.Sleep(a.Duration)
 	r.setPhase(endpoint, membership.PhaseGone)
 }
 
-// setPhase has the discovery of each sidecar list an endpoint in another phase.
+// setPhase changes the phase of an endpoint in the lists of all discovery agents.
 func (r *run) setPhase(endpoint *endpoint, phase membership.Phase) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/event_partition.go
+++ b/internal/soak/event_partition.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// PartitionEndpoint discards all traffic of an endpoint for a length of time, and then resets its connections.
+// PartitionEndpoint discards all traffic to and from an endpoint for a limited time, and then resets its connections.
 type PartitionEndpoint struct {
 	Endpoint EndpointID
-	Length   time.Duration
+	Duration time.Duration
 }
 
 func (a PartitionEndpoint) String() string {
-	return fmt.Sprintf("partition of endpoint %s for %v", a.Endpoint, a.Length)
+	return fmt.Sprintf("partition of endpoint %s for %v", a.Endpoint, a.Duration)
 }
 
 func (a PartitionEndpoint) brokenConnections() (EndpointID, time.Duration) {
-	return a.Endpoint, a.Length
+	return a.Endpoint, a.Duration
 }
 
-func (a PartitionEndpoint) carryOut(r *run) {
+func (a PartitionEndpoint) execute(r *run) {
 	proxy := r.endpoint(a.Endpoint).proxy
 	proxy.Partition()
-	time.Sleep(a.Length)
+	time.Sleep(a.Duration)
 	proxy.Heal()
 	proxy.ResetAll()
 }
--- a/internal/soak/event_shutdown.go
+++ b/internal/soak/event_shutdown.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// maxShutdownDeadline bounds the longest deadline that the SIGKILL after a SIGTERM waits for. It is
-	// exchange.MaxShutdownDeadline, stated again so that a wrong value there fails a run.
+	// maxShutdownDeadline is the longest request deadline that the platform waits for between SIGTERM and SIGKILL. It
+	// repeats the value of exchange.MaxShutdownDeadline, so that a wrong value there makes a run fail.
 	maxShutdownDeadline = 3 * time.Second
-	// killDelay is how long the SIGKILL waits beyond that: the platform's delay. The sidecar ends its work a little earlier, after
-	// the killMargin of package exchange.
+	// killDelay is how long after that deadline the platform sends SIGKILL. The sidecar ends its work a little earlier:
+	// at the shutdownMargin of package exchange after the deadline.
 	killDelay = 700 * time.Millisecond
 )
 
-// ShutdownSidecar sends SIGTERM to the process of a sidecar, SIGKILL at the earliest moment allowed if it still runs then, and
-// starts another process.
+// ShutdownSidecar terminates the process of a sidecar with SIGTERM and starts another one.
 type ShutdownSidecar struct{ Sidecar SidecarID }
 
 func (a ShutdownSidecar) String() string { return fmt.Sprintf("shutdown of sidecar %s", a.Sidecar) }
 
-func (a ShutdownSidecar) carryOut(r *run) {
+func (a ShutdownSidecar) execute(r *run) {
 	sidecar := r.sidecar(a.Sidecar)
-	ending, ok := r.beginEnd(sidecar)
+	terminating, ok := r.reserveTermination(sidecar)
 	if !ok {
 		return
 	}
-	r.terminate(ending)
+	r.terminate(terminating)
 	r.restartSidecar(sidecar)
 }
 
-// terminate sends SIGTERM to a process, and SIGKILL at the earliest moment allowed if it still runs then.
-func (r *run) terminate(ending endingProcess) {
+// terminate sends SIGTERM to a process. If the process is still running at the earliest time at which the platform may
+// kill it, terminate sends SIGKILL.
+func (r *run) terminate(terminating terminatingProcess) {
 	r.mu.Lock()
-	ending.incarnation.TermAt = time.Now()
+	terminating.incarnation.TermAt = time.Now()
 	r.mu.Unlock()
-	ending.process.Signal(syscall.SIGTERM)
-	ended, exit := ending.process.Wait(min(r.plan.Settings.longestDeadline(), maxShutdownDeadline) + killDelay)
+	terminating.process.Signal(syscall.SIGTERM)
+	ended, exit := terminating.process.Wait(min(r.plan.Settings.longestDeadline(), maxShutdownDeadline) + killDelay)
 	r.mu.Lock()
 	now := time.Now()
 	if !ended {
-		ending.incarnation.KilledAt = now
+		terminating.incarnation.KilledAt = now
 	} else if exit != nil {
-		ending.incarnation.Crash = fmt.Errorf("exit after SIGTERM: %w", exit)
+		terminating.incarnation.Crash = fmt.Errorf("exit after SIGTERM: %w", exit)
 	}
-	ending.incarnation.EndedAt = now
+	terminating.incarnation.EndedAt = now
 	r.mu.Unlock()
-	ending.process.Kill()
+	terminating.process.Kill()
 }
--- a/internal/soak/rogue_list_test.go
+++ b/internal/soak/faultysidecar_list_test.go
@@ -10,16 +10,17 @@
 	"cindersaddle/internal/membership"
 )
 
-// roguePollInterval is well within the drain grace, so that the list is known in time.
-const roguePollInterval = 20 * time.Millisecond
+// listPollInterval is the interval of polls of the endpoint list. It is much shorter than the drain grace, so that the
+// sidecar learns of a draining endpoint in time.
+const listPollInterval = 20 * time.Millisecond
 
-// followList polls discovery until the sidecar has ended.
-func (s *rogueSidecar) followList() {
+// pollUntilEnded polls the endpoint list until the sidecar has ended.
+func (s *faultySidecar) pollUntilEnded() {
 	for {
 		select {
 		case <-s.ended:
 			return
-		case <-time.After(roguePollInterval):
+		case <-time.After(listPollInterval):
 		}
 		if list, err := pollList(s.config.Discovery); err == nil {
 			s.mu.Lock()
@@ -29,7 +30,7 @@
 	}
 }
 
-// pollList returns the endpoint list of a discovery agent.
+// pollList requests the endpoint list from the discovery agent at an address.
 func pollList(discovery string) (*membership.EndpointList, error) {
 	response, err := http.Get("http://" + discovery + "/discovery/hosts")
 	if err != nil {
@@ -43,14 +44,15 @@
 	return membership.Parse(body)
 }
 
-// pick returns an endpoint, another one for each call, or nil.
-func (s *rogueSidecar) pick() *membership.Endpoint {
+// pick returns the next ready endpoint in turn, or nil if there is none. With faultIgnoresDraining, it takes all
+// endpoints for ready. With faultIgnoresSlowStart, it returns the endpoint that started last.
+func (s *faultySidecar) pick() *membership.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ready []membership.Endpoint
 	var newest *membership.Endpoint
 	for _, endpoint := range s.list.Endpoints {
-		if endpoint.Phase == "ready" || s.fault == rogueAnyEndpoint {
+		if endpoint.Phase == "ready" || s.fault == faultIgnoresDraining {
 			ready = append(ready, endpoint)
 		}
 		if endpoint.StartedAt > 0 && (newest == nil || endpoint.StartedAt > newest.StartedAt) {
@@ -58,11 +60,11 @@
 		}
 	}
 	slices.SortFunc(ready, func(a, b membership.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	if s.fault == rogueOverloads && newest != nil {
+	if s.fault == faultIgnoresSlowStart && newest != nil {
 		return newest
 	}
 	if len(ready) == 0 {
 		return nil
 	}
-	return &ready[int(s.next.Add(1))%len(ready)]
+	return &ready[int(s.pickCount.Add(1))%len(ready)]
 }
