--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -58,7 +58,7 @@
 	defer gate.Open()
 	sidecar, _ := startWithEndpointAndAdmin(t, gate.Hold(sidecartest.Respond(200, "held")))
 	conn := sidecar.dial()
-	sidecar.write(conn, sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	gate.AwaitRequest(t)
 	if got := sidecar.metric("pending"); got != "1" {
 		t.Errorf("%s requests are pending, want 1", got)
@@ -145,7 +145,7 @@
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	sidecar.waitUntilReady()
 	conn := sidecar.dial()
-	sidecar.write(conn, sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	gate.AwaitRequest(t)
 	sidecar.shutdown()
 	sidecartest.WaitFor(t, "the sidecar is not ready", func() bool {
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -57,7 +57,7 @@
 				})
 				sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
 				conn := sidecar.dial()
-				sidecar.write(conn, sidecar.rawRequest("read"))
+				sidecar.write(conn, sidecar.rawRequestHead("read"))
 				sidecartest.Next(t, started)
 				io.WriteString(conn, text) // of a long text, the last part may find the connection closed
 				disconnect(conn)
@@ -99,7 +99,7 @@
 	sidecar.discovery.Lists <- membership.EndpointList{Endpoints: []membership.Endpoint{{Phase: "odd"}}} // the event loop logs the failure
 	sidecartest.Next(t, barrier.reached)
 	conn := blocker.dialBlocked(sidecar)
-	sidecar.write(conn, sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	sidecartest.Next(t, blocker.blocked)
 	disconnect(conn)
 	close(barrier.release)
@@ -113,7 +113,7 @@
 func checkDisconnectWithoutEndpoints(t *testing.T, disconnect func(net.Conn)) {
 	endpoints, requestCount := startServersWithSharedSteps(t, 1, sidecartest.Respond(200, "served"))
 	sidecar, _, conn := startWithBlockedClient(t, sidecartest.Config(t), slog.DiscardHandler)
-	sidecar.write(conn, sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	sidecar.waitForPending(1)
 	disconnect(conn)
 	sidecar.discovery.Lists <- sidecartest.CompleteList(42, endpoints...)
@@ -127,7 +127,7 @@
 	gate := sidecartest.NewGate()
 	endpoints, requestCount := startServersWithSharedSteps(t, 2, gate.Hold(sidecartest.Respond(500, "")), sidecartest.Respond(200, "served"))
 	sidecar, _, conn := startWithBlockedClient(t, sidecartest.Config(t, endpoints...), slog.DiscardHandler)
-	sidecar.write(conn, sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	gate.AwaitRequest(t)
 	disconnect(conn)
 	gate.Open()
@@ -145,11 +145,11 @@
 	barrier := newLogBarrier("attempt failed")
 	sidecar, blocker := startWithReadBlocker(t, cfg, barrier)
 	for range 4 {
-		sidecar.write(sidecar.dial(), sidecar.rawRequest("read"))
+		sidecar.write(sidecar.dial(), sidecar.rawRequestHead("read"))
 		gate.AwaitRequest(t)
 	}
 	conn := blocker.dialBlocked(sidecar)
-	sidecar.write(conn, sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	sidecartest.Next(t, blocker.blocked)
 	sidecartest.Next(t, barrier.reached) // the attempt found the pool full, and would find a free connection once the gate is open
 	close(barrier.release)
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -28,12 +28,12 @@
 	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
 	pending := sidecar.dial()
-	sidecar.write(pending, sidecar.rawRequest("read"))
+	sidecar.write(pending, sidecar.rawRequestHead("read"))
 	gate.AwaitRequest(t)
 	for range 100 {
 		sidecar.dial()
 		idle := sidecar.dial()
-		sidecar.write(idle, sidecar.rawRequest("read"))
+		sidecar.write(idle, sidecar.rawRequestHead("read"))
 		io.Copy(io.Discard, sidecar.expectResponse(idle, "client after many idle ones", http.StatusOK).Body)
 	}
 	gate.Open()
@@ -51,7 +51,7 @@
 	persistent := 0
 	for range 60 {
 		conn := sidecar.dial()
-		sidecar.write(conn, sidecar.rawRequest("read"))
+		sidecar.write(conn, sidecar.rawRequestHead("read"))
 		resp := sidecar.expectResponse(conn, "request", http.StatusOK)
 		io.Copy(io.Discard, resp.Body)
 		if !resp.Close {
@@ -71,7 +71,7 @@
 	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
 	for i := range 60 {
-		partial := sidecar.rawRequest("pay", "Content-Length: 100") + "half"
+		partial := sidecar.rawRequestHead("pay", "Content-Length: 100") + "half"
 		sidecar.write(sidecar.dial(), partial[:len(partial)-40*(i%2)]) // part of the head, or of the body
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
 			t.Fatalf("after %d incomplete requests: status %d, want 200", i, resp.StatusCode)
@@ -87,10 +87,10 @@
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
-	slow, text := sidecar.dial(), sidecar.rawRequest("pay", "Content-Length: 2")+"ab"
+	slow, text := sidecar.dial(), sidecar.rawRequestHead("pay", "Content-Length: 2")+"ab"
 	for _, b := range []byte(text) {
 		sidecar.write(slow, string(b))
-		partial := sidecar.rawRequest("read")
+		partial := sidecar.rawRequestHead("read")
 		sidecar.write(sidecar.dial(), partial[:len(partial)/2])
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
 			t.Fatalf("client beside the slow one: status %d, want 200", resp.StatusCode)
@@ -106,8 +106,8 @@
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
 		"nothing": "", "half a head": "POST /api HTTP/1.1\r\nX-Qos: p",
-		"half a body":  sidecar.rawRequest("pay", "Content-Length: 100") + "half",
-		"half a chunk": sidecar.rawRequest("pay", "Transfer-Encoding: chunked") + "10\r\nhalf",
+		"half a body":  sidecar.rawRequestHead("pay", "Content-Length: 100") + "half",
+		"half a chunk": sidecar.rawRequestHead("pay", "Transfer-Encoding: chunked") + "10\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -95,7 +95,7 @@
 			cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr), sidecartest.ReadyEndpoint("s-2", server.Addr))
 			sidecar := startSidecar(t, withAdmin(cfg))
 			client := sidecar.dial()
-			sidecar.write(client, strings.Replace(sidecar.rawRequest("read"), "HTTP/1.1", test.version, 1))
+			sidecar.write(client, strings.Replace(sidecar.rawRequestHead("read"), "HTTP/1.1", test.version, 1))
 			resp := sidecar.expectResponse(client, "request with a truncated response", http.StatusOK)
 			if _, err := io.ReadFull(resp.Body, make([]byte, len(sidecartest.LongBody)/2)); err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/golden_cases_test.go
+++ b/internal/sidecar/golden_cases_test.go
@@ -157,7 +157,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	ln := sidecartest.Listen(t)
-	go func() { done <- serve(ctx, cfg, environment{clients: ln}, nil, slog.New(slog.DiscardHandler)) }()
+	go func() {
+		done <- serve(ctx, cfg, startupResources{clientListener: ln}, nil, slog.New(slog.DiscardHandler))
+	}()
 	t.Cleanup(func() {
 		cancel()
 		if err := sidecartest.Next(t, done); err != nil {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -27,7 +27,7 @@
 	client    *http.Client
 	reloads   chan os.Signal     // each signal reloads the configuration, as SIGHUP does
 	shutdown  context.CancelFunc // starts the shutdown, as SIGTERM does
-	done      chan error         // receives the error with which the sidecar ended
+	exitError chan error         // receives the error with which the sidecar ended
 }
 
 // newTestSidecar returns a sidecar that is not started, with its discovery service and its client.
@@ -65,25 +65,25 @@
 func startSidecarWith(t *testing.T, cfg *config.Config, log slog.Handler, hooks readHooks) *testSidecar {
 	t.Helper()
 	sidecar := newTestSidecar(t)
-	sidecar.done = make(chan error, 1)
+	sidecar.exitError = make(chan error, 1)
 	sidecar.reloads = make(chan os.Signal, 1)
 	cfg.Discovery = sidecar.discovery.Addr
 	ln := sidecartest.Listen(t)
 	sidecar.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	sidecar.shutdown = cancel
-	env := environment{clients: ln, admin: sidecar.listenAdmin(cfg), readHooks: hooks}
-	go func() { sidecar.done <- serve(ctx, cfg, env, sidecar.reloads, slog.New(log)) }()
-	t.Cleanup(sidecar.end)
+	env := startupResources{clientListener: ln, adminListener: sidecar.listenAdmin(cfg), readHooks: hooks}
+	go func() { sidecar.exitError <- serve(ctx, cfg, env, sidecar.reloads, slog.New(log)) }()
+	t.Cleanup(sidecar.stopAndWait)
 	return sidecar
 }
 
 // end shuts the sidecar down, and fails the test if that fails or takes too long.
-func (sidecar *testSidecar) end() {
+func (sidecar *testSidecar) stopAndWait() {
 	sidecar.client.CloseIdleConnections()
 	sidecar.shutdown()
 	select {
-	case err := <-sidecar.done:
+	case err := <-sidecar.exitError:
 		if err != nil {
 			sidecar.t.Errorf("the sidecar ended with an error: %v", err)
 		}
@@ -131,15 +131,15 @@
 	return request
 }
 
-// newRequestNamed makes a request with the method and headers of a class and the name of another one.
-func (sidecar *testSidecar) newRequestNamed(class, name string) *http.Request {
+// newRequestForClass makes a request with the method and headers of a class and the name of another one.
+func (sidecar *testSidecar) newRequestForClass(class, name string) *http.Request {
 	request := sidecar.newRequest(class)
 	request.Header.Set("X-Qos", name)
 	return request
 }
 
-// rawRequest returns the head of a valid request of a class as it is sent over the wire, with additional header lines.
-func (sidecar *testSidecar) rawRequest(class string, lines ...string) string {
+// rawRequestHead returns the head of a valid request of a class as it is sent over the wire, with additional header lines.
+func (sidecar *testSidecar) rawRequestHead(class string, lines ...string) string {
 	request := sidecar.newRequest(class)
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s /api HTTP/1.1\r\nHost: app.svc\r\n", request.Method)
@@ -165,9 +165,9 @@
 	return resp, string(body)
 }
 
-// statusOf sends a request and returns the status, or 0 after a transport error, which fails the test. Unlike do
+// sendForStatus sends a request and returns the status, or 0 after a transport error, which fails the test. Unlike do
 // it may be called from any goroutine.
-func (sidecar *testSidecar) statusOf(request *http.Request) int {
+func (sidecar *testSidecar) sendForStatus(request *http.Request) int {
 	sidecar.t.Helper()
 	resp, err := sidecar.client.Do(request)
 	if err != nil {
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -5,8 +5,9 @@
 	"cindersaddle/internal/config"
 )
 
-// applyLimits divides the limits of the sidecar among its processes, which are two during an upgrade, and the sockets of this
-// process between clients and endpoints.
+// applyLimits sets this process's part of the sidecar's socket and memory limits. processes is the number of processes
+// that share the limits: 1, or more during an upgrade. The remaining sockets are divided evenly between clients and
+// endpoints.
 func (s *service) applyLimits(processes int) {
 	sockets := s.cfg.Limits.Sockets/processes - config.ReservedSockets
 	if s.cfg.AdminListen != "" {
@@ -14,7 +15,7 @@
 	}
 	sockets = max(sockets, config.MinSockets-config.ReservedSockets)
 	upstreamSockets := sockets / 2
-	s.pool.SetLimit(upstreamSockets)
-	s.conns.SetLimit(sockets - upstreamSockets)
+	s.upstreamPool.SetLimit(upstreamSockets)
+	s.clientConns.SetLimit(sockets - upstreamSockets)
 	s.cfg.Limits.ApplyMemory(processes)
 }
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -13,66 +13,70 @@
 )
 
 const (
-	// listenRetryTime is how long listening is retried. A new process has 10 s to be ready.
-	listenRetryTime = 5 * time.Second
-	// listenRetryPause is the time between two attempts.
-	listenRetryPause = 20 * time.Millisecond
+	// listenRetryTimeout is how long listenWithRetry retries. It leaves half of the 10 s in which a new process must be
+	// ready.
+	listenRetryTimeout = 5 * time.Second
+	// listenRetryInterval is the pause between two attempts to listen.
+	listenRetryInterval = 20 * time.Millisecond
 )
 
-// ListenError is the error of an address that cannot be listened at.
+// ListenError reports that the sidecar cannot listen on one of its addresses.
 type ListenError struct {
-	Purpose string // whose address it is
+	Purpose string // which address it is: "client" or "admin"
 	Address string // host and port, as configured
 	Err     error
 }
 
+// Error returns the purpose, the address and the cause.
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("%s address %q: %v", e.Purpose, e.Address, e.Err)
+	return fmt.Sprintf("listen on %s address %q: %v", e.Purpose, e.Address, e.Err)
 }
 
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// listen opens the listeners that the environment does not have yet. Where there is an admin address, the clients' address
-// is shared with the other process of an upgrade. It returns a *ListenError.
-func (env *environment) listen(cfg *config.Config) (err error) {
+// listen opens the client listener, unless the predecessor handed one over, and the admin listener if an admin address
+// is configured. With an admin address, upgrades are possible, so the client address is opened for sharing with another
+// process. The error is a *ListenError.
+func (r *startupResources) listen(cfg *config.Config) (err error) {
 	listenForClients := listenTCP
 	if cfg.AdminListen != "" {
 		listenForClients = downstream.ListenShared
 	}
-	if env.clients == nil {
-		if env.clients, err = listenWithRetry(listenForClients, cfg.Listen); err != nil {
-			return &ListenError{Purpose: "clients'", Address: cfg.Listen, Err: err}
+	if r.clientListener == nil {
+		if r.clientListener, err = listenWithRetry(listenForClients, cfg.Listen); err != nil {
+			return &ListenError{Purpose: "client", Address: cfg.Listen, Err: err}
 		}
 	}
 	if cfg.AdminListen == "" {
 		return nil
 	}
-	if env.admin, err = listenWithRetry(listenTCP, cfg.AdminListen); err != nil {
-		env.clients.Close()
+	if r.adminListener, err = listenWithRetry(listenTCP, cfg.AdminListen); err != nil {
+		r.clientListener.Close()
 		return &ListenError{Purpose: "admin", Address: cfg.AdminListen, Err: err}
 	}
 	return nil
 }
 
-// listenTCP listens at an address that no other process listens at.
+// listenTCP listens on an address without sharing it with other processes.
 func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// listenWithRetry calls listen until it succeeds, fails with a permanent error, or listenRetryTime is over, and returns its last
-// result.
+// listenWithRetry calls listen until it succeeds, fails with a permanent error, or listenRetryTimeout has passed. It
+// returns the last result.
 //
-// The process before this one may still be ending: then the address is in use, or the machine has no resources left. Without a
-// retry, the new process would exit, and nobody would serve. A permanent error is reported at once.
+// A previous process that is still shutting down may hold the address, or the machine may be out of resources for a
+// moment. Without a retry the new process would exit, and no process would be left to serve.
 func listenWithRetry(listen func(address string) (net.Listener, error), address string) (net.Listener, error) {
-	for began := time.Now(); ; time.Sleep(listenRetryPause) {
+	for start := time.Now(); ; time.Sleep(listenRetryInterval) {
 		listener, err := listen(address)
-		if err == nil || !isTemporary(err) || time.Since(began) > listenRetryTime {
+		if err == nil || !isTemporaryListenError(err) || time.Since(start) > listenRetryTimeout {
 			return listener, err
 		}
 	}
 }
 
-// isTemporary reports whether an error of listening may pass. EADDRNOTAVAIL also means that the address is not one of this
-// machine.
-func isTemporary(err error) bool {
+// isTemporaryListenError reports whether a later attempt to listen may succeed. EADDRNOTAVAIL counts as permanent,
+// although socket.Exhausted includes it: a listener also gets it for an address that does not belong to this machine.
+func isTemporaryListenError(err error) bool {
 	return errors.Is(err, syscall.EADDRINUSE) || socket.Exhausted(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -65,10 +65,10 @@
 	statuses := make(chan int, 2)
 	for _, class := range []string{"read", "pay"} {
 		request := sidecar.newRequest(class)
-		go func() { statuses <- sidecar.statusOf(request) }()
+		go func() { statuses <- sidecar.sendForStatus(request) }()
 		gate.AwaitRequest(t)
 	}
-	if resp, _ := sidecar.do(sidecar.newRequestNamed("read", "pay-2")); resp.StatusCode != 400 {
+	if resp, _ := sidecar.do(sidecar.newRequestForClass("read", "pay-2")); resp.StatusCode != 400 {
 		t.Errorf("class of the new file before the reload: status %d, want 400", resp.StatusCode)
 	}
 	file.write(file.replace(
@@ -93,7 +93,7 @@
 		class, name string
 		want        int
 	}{{"read", "pay-2", 200}, {"read", "pay", 200}, {"pay", "pay", 405}, {"read", "read", 400}, {"reserve", "reserve", 200}} {
-		if resp, _ := sidecar.do(sidecar.newRequestNamed(test.class, test.name)); resp.StatusCode != test.want {
+		if resp, _ := sidecar.do(sidecar.newRequestForClass(test.class, test.name)); resp.StatusCode != test.want {
 			t.Errorf("%s in the form of %s: status %d, want %d", test.name, test.class, resp.StatusCode, test.want)
 		}
 	}
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	conn := sidecar.dial()
-	sidecar.write(conn, sidecar.rawRequest("pay", "Content-Length: 60000000"))
+	sidecar.write(conn, sidecar.rawRequestHead("pay", "Content-Length: 60000000"))
 	sidecar.expectResponse(conn, "body above the limit", http.StatusRequestEntityTooLarge)
 	if got := len(server.Requests()); got != 0 {
 		t.Errorf("%d invalid requests reached the endpoint", got)
@@ -126,12 +126,12 @@
 func TestRequestSmuggling(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
-		"two lengths":          sidecar.rawRequest("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequest("read"),
-		"two lengths, swapped": sidecar.rawRequest("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequest("read"),
-		"behind the body":      sidecar.rawRequest("pay", "Content-Length: 2") + "ab" + sidecar.rawRequest("read"),
-		"too short a length":   sidecar.rawRequest("pay", "Content-Length: 2") + "abcdef",
-		"body of a read":       sidecar.rawRequest("read", "Content-Length: 2") + "ab",
-		"behind a bad one":     sidecar.rawRequest("none") + sidecar.rawRequest("read"),
+		"two lengths":          sidecar.rawRequestHead("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequestHead("read"),
+		"two lengths, swapped": sidecar.rawRequestHead("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequestHead("read"),
+		"behind the body":      sidecar.rawRequestHead("pay", "Content-Length: 2") + "ab" + sidecar.rawRequestHead("read"),
+		"too short a length":   sidecar.rawRequestHead("pay", "Content-Length: 2") + "abcdef",
+		"body of a read":       sidecar.rawRequestHead("read", "Content-Length: 2") + "ab",
+		"behind a bad one":     sidecar.rawRequestHead("none") + sidecar.rawRequestHead("read"),
 	} {
 		conn := sidecar.dial()
 		sidecar.write(conn, text)
@@ -150,7 +150,7 @@
 func TestDuplicateTraceID(t *testing.T) {
 	gate := sidecartest.NewGate()
 	sidecar, _ := startWithEndpoint(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
-	text := sidecar.rawRequest("pay", "Content-Length: 2") + "ab"
+	text := sidecar.rawRequestHead("pay", "Content-Length: 2") + "ab"
 	first, second := sidecar.dial(), sidecar.dial()
 	sidecar.write(first, text)
 	gate.AwaitRequest(t)
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -17,62 +17,63 @@
 )
 
 const (
-	// connIdleFraction is the fraction of an endpoint's idle timeout after which the sidecar closes an idle connection. A request
-	// that is written while the endpoint closes the connection fails, so that the sidecar must close it first.
+	// connIdleFraction is the fraction of the endpoints' idle timeout after which the sidecar closes an idle connection.
+	// The sidecar must close it first, because a request that is written while the endpoint closes the connection fails.
 	connIdleFraction = 0.8
-	// defaultConnectTimeout applies where the configuration has none.
+	// defaultConnectTimeout applies if the configuration has no connect timeout.
 	defaultConnectTimeout = time.Second
-	// defaultConnIdleTime applies where the configuration has no idle timeout.
+	// defaultConnIdleTime applies if the configuration has no idle timeout.
 	defaultConnIdleTime = time.Minute
 )
 
-// Paths of health checks. The second one returns a load report too.
+// Endpoint paths for health checks.
 const (
 	healthCheckPath = "/alive"
-	loadReportPath  = "/metrics/load"
+	loadReportPath  = "/metrics/load" // the response is also a load report
 )
 
-// service holds the components of the process. Its fields do not change.
+// service holds the components of the process. Its fields do not change after newService.
 type service struct {
-	cfg      *config.Config // at the start; reloads do not change it
-	env      environment
-	log      *slog.Logger
-	state    *exchange.ServiceState
-	counters *metrics.Metrics
-	loop     *eventloop.Loop
-	watcher  *discovery.Watcher
-	pool     *upstream.Pool
-	conns    *downstream.ConnTracker
-	clients  *downstream.Server
+	cfg          *config.Config // as loaded at startup; reloads do not change it
+	resources    startupResources
+	log          *slog.Logger
+	state        *exchange.ServiceState
+	metrics      *metrics.Metrics
+	loop         *eventloop.Loop
+	watcher      *discovery.Watcher
+	upstreamPool *upstream.Pool
+	clientConns  *downstream.ConnTracker
+	clientServer *downstream.Server
 }
 
-// newService builds the components. They run until ctx is done.
-func newService(ctx context.Context, cfg *config.Config, env environment, log *slog.Logger) *service {
+// newService builds the components. The event loop and the client server stop when ctx is done.
+func newService(ctx context.Context, cfg *config.Config, resources startupResources, log *slog.Logger) *service {
 	s := &service{
-		cfg:      cfg,
-		env:      env,
-		log:      log,
-		state:    &exchange.ServiceState{},
-		counters: &metrics.Metrics{},
+		cfg:       cfg,
+		resources: resources,
+		log:       log,
+		state:     &exchange.ServiceState{},
+		metrics:   &metrics.Metrics{},
 	}
-	s.pool = newPool(cfg, shortenIdleTimeout(cfg))
-	s.loop = eventloop.New(ctx, cfg, s.state, s.counters, log)
-	s.loop.SetPredecessorState(env.predecessor)
+	s.upstreamPool = newPool(cfg, shortenIdleTimeout(cfg))
+	s.loop = eventloop.New(ctx, cfg, s.state, s.metrics, log)
+	s.loop.SetPredecessorState(resources.predecessorState)
 	s.watcher = discovery.NewWatcher(cfg, s.loop)
-	client := upstream.NewClient(s.pool, cfg.LoadReportFields, checkPath(cfg), s.counters)
+	client := upstream.NewClient(s.upstreamPool, cfg.LoadReportFields, selectHealthCheckPath(cfg), s.metrics)
 	s.loop.Attach(client, s.watcher)
-	s.conns = downstream.NewConnTracker(0) // applyLimits sets the limit
-	s.conns.Log = log
-	s.conns.BeforeRead = env.readHooks.before
-	s.conns.AfterRead = env.readHooks.after
+	s.clientConns = downstream.NewConnTracker(0) // applyLimits sets the limit
+	s.clientConns.Log = log
+	s.clientConns.BeforeRead = resources.readHooks.before
+	s.clientConns.AfterRead = resources.readHooks.after
 	s.applyLimits(1)
 	replayBytes := exchange.ReplayBufferBytes(cfg.Limits.MemoryMB)
-	s.clients = downstream.NewServer(s.state, s.loop, s.conns, replayBytes, ctx.Done())
+	s.clientServer = downstream.NewServer(s.state, s.loop, s.clientConns, replayBytes, ctx.Done())
 	return s
 }
 
-// shortenIdleTimeout replaces the endpoints' idle timeout in the configuration by the time after which the pool closes an idle
-// connection, as the balancer must know that, and returns it; 0: the configuration has no idle timeout.
+// shortenIdleTimeout returns how long the pool keeps an idle connection: connIdleFraction of the endpoints' idle
+// timeout, or 0 if the configuration has no idle timeout. It also writes that time to cfg, because the balancer must
+// know when the pool closes a connection.
 func shortenIdleTimeout(cfg *config.Config) time.Duration {
 	idleTime := (cfg.Balance.ConnIdleTimeout * connIdleFraction).Duration()
 	if idleTime > 0 {
@@ -81,8 +82,8 @@
 	return idleTime
 }
 
-// newPool returns the pool of connections to endpoints, of which applyLimits sets the limit. idleTime is how long it keeps an
-// idle connection; 0: the default.
+// newPool returns the pool of connections to endpoints. applyLimits sets its connection limit. idleTime is how long the
+// pool keeps an idle connection; 0 means defaultConnIdleTime.
 func newPool(cfg *config.Config, idleTime time.Duration) *upstream.Pool {
 	return upstream.NewPool(upstream.PoolConfig{
 		ConnectTimeout: cmp.Or(cfg.Balance.ConnectTimeout.Duration(), defaultConnectTimeout),
@@ -91,8 +92,8 @@
 	})
 }
 
-// checkPath returns the path of health checks.
-func checkPath(cfg *config.Config) string {
+// selectHealthCheckPath returns the endpoint path for health checks: loadReportPath unless load reports are disabled.
+func selectHealthCheckPath(cfg *config.Config) string {
 	if cfg.Balance.LoadReports == balance.LoadReportsNone {
 		return healthCheckPath
 	}
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -9,19 +9,20 @@
 	"cindersaddle/internal/exchange"
 )
 
-// shutDown ends serving within the bounds of exchange.ShutdownTimes. Clients get the responses of the requests that were
-// accepted. New connections go to the successor if there is one, and are otherwise served for Config.AcceptDuringShutdown.
+// shutDown shuts the client server down within the time limits of exchange.ShutdownTimes. Accepted requests still get
+// their responses. If a successor has taken over, new connections go to it; otherwise this process accepts them for
+// Config.AcceptDuringShutdown.
 func (s *service) shutDown(server *http.Server, listener *downstream.Listener) error {
-	takenOver := s.env.upgrade.Retire()
+	takenOver := s.resources.handover.Retire()
 	s.log.Info("ending", "upgrade", takenOver)
 	longestDeadline := exchange.LongestDeadline(s.state.Settings.Load().Classes)
 	times := exchange.NewShutdownTimes(time.Now(), min(longestDeadline, exchange.MaxShutdownDeadline))
 	s.state.Shutdown.Store(times)
 	s.state.ShuttingDown.Store(true)
-	limit, cancel := context.WithDeadline(context.Background(), times.EndBy)
+	ctx, cancel := context.WithDeadline(context.Background(), times.EndBy)
 	defer cancel()
 	if takenOver {
-		return s.clients.ShutdownAfterUpgrade(limit, server, listener)
+		return s.clientServer.ShutdownAfterUpgrade(ctx, server, listener)
 	}
-	return s.clients.Shutdown(limit, server, listener, s.cfg.AcceptDuringShutdown)
+	return s.clientServer.Shutdown(ctx, server, listener, s.cfg.AcceptDuringShutdown)
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -61,11 +61,11 @@
 	cfg.AcceptDuringShutdown = 3 * time.Second // idle connections stay open for this time
 	sidecar := startSidecar(t, cfg)
 	for name, writtenPart := range map[string]float64{"half written": 0.5, "begun": 0.01, "not begun": 0} {
-		text := sidecar.rawRequest("read")
+		text := sidecar.rawRequestHead("read")
 		before := int(writtenPart * float64(len(text)))
 		conn := sidecar.dial()
 		reader := bufio.NewReader(conn)
-		sidecar.write(conn, sidecar.rawRequest("read"))
+		sidecar.write(conn, sidecar.rawRequestHead("read"))
 		resp := sidecar.expectResponse(reader, name+", before the shutdown", http.StatusOK)
 		if resp.Close {
 			t.Fatalf("%s: the response before the shutdown announces a close", name)
@@ -99,10 +99,10 @@
 	ln := sidecartest.Listen(t)
 	sidecar := &testSidecar{t: t, addr: ln.Addr().String()}
 	conn := sidecar.dial()
-	sidecar.write(conn, sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := serve(ctx, cfg, environment{clients: ln}, nil, slog.New(slog.DiscardHandler)); err != nil {
+	if err := serve(ctx, cfg, startupResources{clientListener: ln}, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Errorf("the sidecar ended with an error: %v", err)
 	}
 	if resp := sidecar.expectResponse(conn, "request before the first accept", http.StatusOK); !resp.Close {
@@ -125,7 +125,7 @@
 		}
 	}})
 	sendRequest := func(conn net.Conn) *bufio.Reader {
-		sidecar.write(conn, sidecar.rawRequest("read"))
+		sidecar.write(conn, sidecar.rawRequestHead("read"))
 		reader := bufio.NewReader(conn)
 		io.Copy(io.Discard, sidecar.expectResponse(reader, "first request", http.StatusOK).Body)
 		return reader
@@ -133,7 +133,7 @@
 	first, second := sidecar.dial(), sidecar.dial() // the shutdown looks for idle connections in this order
 	reader, secondReader := sendRequest(first), sendRequest(second)
 	armed.Store(true)
-	sidecar.write(first, sidecar.rawRequest("read"))
+	sidecar.write(first, sidecar.rawRequestHead("read"))
 	sidecartest.Next(t, read)
 	sidecar.shutdown()
 	if _, err := secondReader.ReadByte(); err != io.EOF { // the shutdown has passed over the first connection by then
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,15 +1,16 @@
-// Package sidecar builds the sidecar process from the other packages, starts it and shuts it down. A client's request passes
-// through them in this order:
+// Package sidecar builds the components of the sidecar process, starts them and shuts them down. A client's request
+// passes through these packages in order:
 //
-//	downstream  accepts connections of clients and reads requests
-//	eventloop   owns the requests and package balance, which decides what is sent where
-//	upstream    sends attempts to endpoints over its pool of connections
+//	downstream  accepts client connections and reads requests
+//	eventloop   owns the open requests and the balancer, which decides where each attempt is sent
+//	upstream    sends attempts to endpoints over pooled connections
 //
-// Beside these, discovery follows the endpoint list, admin serves readiness and metrics, and upgrade connects the predecessor and
-// the successor of an upgrade. The packages share the types of package exchange; config loads what they are configured with.
+// Other packages run beside them: discovery keeps the endpoint list up to date, admin serves readiness and metrics, and
+// upgrade hands the listener and the learned state of a predecessor process over to its successor. The packages share
+// the types of package exchange and are configured through package config.
 //
-// The components that do work of their own have one goroutine each, started by service.start and ended by the context that
-// serve owns. They outlive the caller's context: a shutdown needs them until the last request has its response.
+// service.start starts a goroutine for each component that needs one. These goroutines run until serve cancels its own
+// context. That is later than the caller's context ends: a shutdown needs them until the last request has its response.
 package sidecar
 
 import (
@@ -27,38 +28,41 @@
 	"cindersaddle/internal/upgrade"
 )
 
-// Run serves until ctx is done, and then until all requests that were accepted have their responses. On each signal of reloads
-// it loads the configuration again. If another process of this sidecar runs, Run takes over from it. Run owns cfg. It returns a
-// *ListenError if an address cannot be listened at, and another error if serving ends before ctx does.
+// Run serves until ctx is done, and then shuts down gracefully: accepted requests still get their responses. If another
+// process of this sidecar is running, Run takes over from it. Each signal on reloads triggers a configuration reload.
+// Run owns cfg. It returns a *ListenError if it cannot listen on an address, and another error if serving ends before
+// ctx is done or the shutdown fails.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan os.Signal, log *slog.Logger) error {
-	env := environment{upgrade: upgrade.NewHandover(cfg, log)}
-	if env.upgrade != nil {
-		env.takeOver(cfg, log)
+	resources := startupResources{handover: upgrade.NewHandover(cfg, log)}
+	if resources.handover != nil {
+		resources.takeOver(cfg, log)
 	}
-	if err := env.listen(cfg); err != nil {
+	if err := resources.listen(cfg); err != nil {
 		return err
 	}
-	return serve(ctx, cfg, env, reloads, log)
+	return serve(ctx, cfg, resources, reloads, log)
 }
 
-// environment is what connects the process to others. Only clients is always set.
-type environment struct {
-	clients     net.Listener      // for the application's requests
-	admin       net.Listener      // for readiness and metrics; nil: there is no admin address
-	upgrade     *upgrade.Handover // to the other process of an upgrade; nil: upgrades are not possible
-	predecessor *upgrade.State    // learned by the previous process; nil: there is none
-	readHooks   readHooks         // for tests
+// startupResources holds the listeners and the upgrade state that exist before the components are built. When serve is
+// called, only clientListener is always set.
+type startupResources struct {
+	clientListener   net.Listener      // for requests of the application
+	adminListener    net.Listener      // for readiness and metrics; nil without an admin address
+	handover         *upgrade.Handover // to predecessor and successor; nil if upgrades are not possible
+	predecessorState *upgrade.State    // learned by the predecessor; nil without one
+	readHooks        readHooks         // for tests
 }
 
-// readHooks are functions that tests run around each read from a client; see downstream.ConnTracker. Each may be nil.
+// readHooks are functions that tests run before and after each read from a client connection; see
+// downstream.ConnTracker. Each may be nil.
 type readHooks struct {
 	before func(client net.Addr)
 	after  func()
 }
 
-// takeOver gets the state and the listener of the process that serves now, if there is one.
-func (env *environment) takeOver(cfg *config.Config, log *slog.Logger) {
-	state, listener, err := env.upgrade.RequestState()
+// takeOver gets the learned state and the client listener from the process that is serving, if there is one.
+func (r *startupResources) takeOver(cfg *config.Config, log *slog.Logger) {
+	state, listener, err := r.handover.RequestState()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -66,54 +70,60 @@
 		log.Info("starting cold", "error", err)
 		return
 	}
-	env.predecessor = state
-	env.clients = listener
+	r.predecessorState = state
+	r.clientListener = listener
 	cfg.UsePredecessor(state.Discovery, state.List)
 	log.Info("taking over", "endpoints", len(state.List.Endpoints), "revision", state.List.Revision)
 }
 
-// serve runs the components until ctx is done and the shutdown after it has ended. It owns the context of the components,
-// and returns after the last of their goroutines.
-func serve(ctx context.Context, cfg *config.Config, env environment, reloads <-chan os.Signal, log *slog.Logger) error {
-	log.Info("listening", "address", env.clients.Addr().String())
-	inner, stop := context.WithCancel(context.Background())
-	s := newService(inner, cfg, env, log)
-	defer s.pool.CloseAll() // after the last attempt has ended
-	var tasks sync.WaitGroup
-	s.start(inner, &tasks, reloads)
-	defer tasks.Wait()
-	defer stop()
+// serve runs the components until ctx is done and the shutdown that follows is complete. It owns the context of the
+// components, and returns when the last of their goroutines has ended.
+func serve(
+	ctx context.Context, cfg *config.Config, resources startupResources, reloads <-chan os.Signal, log *slog.Logger,
+) error {
+	log.Info("listening", "address", resources.clientListener.Addr().String())
+	componentCtx, stopComponents := context.WithCancel(context.Background())
+	s := newService(componentCtx, cfg, resources, log)
+	defer s.upstreamPool.CloseAll() // after the last attempt has ended
+	var components sync.WaitGroup
+	s.start(componentCtx, &components, reloads)
+	defer components.Wait()
+	defer stopComponents()
 	return s.serveClients(ctx)
 }
 
-// start starts the goroutines of the components. They end when ctx is done.
-func (s *service) start(ctx context.Context, tasks *sync.WaitGroup, reloads <-chan os.Signal) {
-	tasks.Go(s.loop.Run)
-	tasks.Go(func() { s.watcher.Run(ctx) })
-	tasks.Go(func() { s.pool.Run(ctx) })
-	tasks.Go(func() { s.loop.WatchReloads(ctx, s.cfg, reloads) })
-	if s.env.admin != nil {
-		server := admin.New(s.counters, s.state.IsReady)
-		tasks.Go(func() { server.Serve(ctx, s.env.admin, s.log) })
+// start starts the goroutines of the components and adds them to components. They end when ctx is done.
+func (s *service) start(ctx context.Context, components *sync.WaitGroup, reloads <-chan os.Signal) {
+	components.Go(s.loop.Run)
+	components.Go(func() { s.watcher.Run(ctx) })
+	components.Go(func() { s.upstreamPool.Run(ctx) })
+	components.Go(func() { s.loop.WatchReloads(ctx, s.cfg, reloads) })
+	if s.resources.adminListener != nil {
+		server := admin.New(s.metrics, s.state.IsReady)
+		components.Go(func() { server.Serve(ctx, s.resources.adminListener, s.log) })
 	}
-	if s.env.upgrade != nil {
-		process := upgrade.Process{Listener: s.env.clients, ExportState: s.loop.ExportState, CountChanged: s.applyLimits}
-		tasks.Go(func() { s.env.upgrade.Run(ctx, process) })
+	if s.resources.handover != nil {
+		process := upgrade.Process{
+			Listener:     s.resources.clientListener,
+			ExportState:  s.loop.ExportState,
+			CountChanged: s.applyLimits,
+		}
+		components.Go(func() { s.resources.handover.Run(ctx, process) })
 	}
 }
 
-// serveClients serves clients until ctx is done, and then shuts down.
+// serveClients serves clients until ctx is done, and then shuts the client server down.
 func (s *service) serveClients(ctx context.Context) error {
-	server := s.clients.HTTPServer(s.log)
-	listener := downstream.NewListener(s.env.clients, s.conns, s.pool)
-	if ctx.Err() != nil { // the signal came during the start: the first responses must announce the close
+	server := s.clientServer.HTTPServer(s.log)
+	listener := downstream.NewListener(s.resources.clientListener, s.clientConns, s.upstreamPool)
+	if ctx.Err() != nil { // shutdown signal during startup: even the first responses must announce the close
 		s.state.ShuttingDown.Store(true)
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }() // ends when shutDown closes the listener
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }() // ends when shutDown closes the listener
 	select {
-	case err := <-failed:
-		return fmt.Errorf("serve clients at %s: %w", s.env.clients.Addr(), err)
+	case err := <-serveErr:
+		return fmt.Errorf("serve clients at %s: %w", s.resources.clientListener.Addr(), err)
 	case <-ctx.Done():
 		return s.shutDown(server, listener)
 	}
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -117,7 +117,7 @@
 	partialReaderAddr, accepted := startPartialReader(t, int64(len(sidecartest.LongBody)*3), "")
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", partialReaderAddr)))
 	conn := sidecar.dial()
-	go io.WriteString(conn, sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(text)))+text)
+	go io.WriteString(conn, sidecar.rawRequestHead("pay", fmt.Sprintf("Content-Length: %d", len(text)))+text)
 	sidecar.expectResponse(conn, "request whose body is not buffered", http.StatusServiceUnavailable)
 	if len(accepted) != 1 {
 		t.Errorf("%d attempts, want 1", len(accepted))
@@ -129,7 +129,7 @@
 func TestTruncatedRequestBody(t *testing.T) {
 	sidecar, server := startWithEndpointAndAdmin(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
-	head := sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(sidecartest.LongBody)))
+	head := sidecar.rawRequestHead("pay", fmt.Sprintf("Content-Length: %d", len(sidecartest.LongBody)))
 	sidecar.write(conn, head+sidecartest.LongBody[:len(sidecartest.LongBody)/2])
 	sidecar.waitForPending(1)
 	conn.Close()
@@ -147,7 +147,7 @@
 func TestSlowBodyKeepsDeadline(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
-	text := strings.Replace(sidecar.rawRequest("pay", "Content-Length: 4"), "15000m", "300m", 1)
+	text := strings.Replace(sidecar.rawRequestHead("pay", "Content-Length: 4"), "15000m", "300m", 1)
 	sidecar.write(conn, text+"ab")
 	time.Sleep(350 * time.Millisecond) // longer than the deadline of the request
 	sidecar.write(conn, "cd")
@@ -163,8 +163,8 @@
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	conn := sidecar.dial()
 	long := strings.Repeat("x", 4*http1.MaxBufferedBody)
-	sidecar.write(conn, sidecar.rawRequest("pay", fmt.Sprintf("Content-Length: %d", len(long)))+long[10:])
-	sidecar.write(conn, long[:10]+sidecar.rawRequest("read"))
+	sidecar.write(conn, sidecar.rawRequestHead("pay", fmt.Sprintf("Content-Length: %d", len(long)))+long[10:])
+	sidecar.write(conn, long[:10]+sidecar.rawRequestHead("read"))
 	got, err := io.ReadAll(conn)
 	if !strings.HasPrefix(string(got), "HTTP/1.1 400") {
 		t.Errorf("response %q, error %v, want status 400", got, err)
