--- a/internal/sidecar/admin_helpers_test.go
+++ b/internal/sidecar/admin_helpers_test.go
@@ -9,12 +9,12 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// metric reads the value of one metric at the admin address, or "absent" where it is not exported.
+// metric returns the value of a metric at the admin address, or "absent" if it is not exported.
 func (sidecar *testSidecar) metric(name string) string {
 	sidecar.t.Helper()
 	resp, text := sidecar.callAdmin("GET", "/api/telemetry")
 	if resp.StatusCode != 200 {
-		sidecar.t.Fatalf("GET /api/telemetry: status %d, want 200", resp.StatusCode)
+		sidecar.t.Fatalf("GET /api/telemetry: got status %d, want 200", resp.StatusCode)
 	}
 	for line := range strings.Lines(text) {
 		if value, ok := strings.CutPrefix(line, "edge_node_"+name+" "); ok {
@@ -24,24 +24,25 @@
 	return "absent"
 }
 
-// waitForPending waits until a number of requests are pending: their clients wait for the response.
-func (sidecar *testSidecar) waitForPending(count int) {
+// waitForPendingRequests waits until count requests are pending, that is, their clients wait for the response.
+func (sidecar *testSidecar) waitForPendingRequests(count int) {
 	sidecar.t.Helper()
 	sidecartest.WaitFor(sidecar.t, fmt.Sprintf("%d requests are pending", count), func() bool {
 		return sidecar.metric("pending") == strconv.Itoa(count)
 	})
 }
 
-// resultCounts returns the numbers of completed, rejected and failed requests of a class, in this order.
+// resultCounts returns the numbers of completed, rejected and failed requests of a class, in this order and separated by
+// spaces.
 func (sidecar *testSidecar) resultCounts(class string) string {
-	all := make([]string, 0, 3)
+	counts := make([]string, 0, 3)
 	for _, result := range []string{"completed", "rejected", "failed"} {
-		all = append(all, sidecar.metric(fmt.Sprintf("downstream_requests_total{lane=%q,result=%q}", class, result)))
+		counts = append(counts, sidecar.metric(fmt.Sprintf("downstream_requests_total{lane=%q,result=%q}", class, result)))
 	}
-	return strings.Join(all, " ")
+	return strings.Join(counts, " ")
 }
 
-// callAdmin makes a request to the admin address.
+// callAdmin sends a request to the admin address and returns the response and its body.
 func (sidecar *testSidecar) callAdmin(method, path string) (*http.Response, string) {
 	sidecar.t.Helper()
 	request, err := http.NewRequest(method, "http://"+sidecar.adminAddr+path, nil)
@@ -51,7 +52,7 @@
 	return sidecar.do(request)
 }
 
-// waitUntilReady waits until the readiness endpoint reports 200.
+// waitUntilReady waits until the readiness path of the admin address responds with 200.
 func (sidecar *testSidecar) waitUntilReady() {
 	sidecar.t.Helper()
 	sidecartest.WaitFor(sidecar.t, "the sidecar is ready", func() bool {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -13,8 +13,8 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestMetricsCountRequests checks that the counters of results and attempts match the requests that the endpoint received and
-// the responses of the clients, and that a request which is not valid is not counted.
+// TestMetricsCountRequests checks that the result and attempt counters match the responses to clients and the requests
+// that the endpoint received. An invalid request is not counted.
 func TestMetricsCountRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t,
 		sidecartest.Respond(200, "ok"),
@@ -23,36 +23,37 @@
 		sidecartest.Respond(200, "ok"),
 	)
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))))
-	if got := sidecar.resultCounts("read") + " " + sidecar.resultCounts("pay") + " " + sidecar.metric("upstream_requests_total"); got != "0 0 0 0 0 0 0" {
-		t.Errorf("counters at the start: %s, want only zeros", got)
+	results := sidecar.resultCounts("read") + " " + sidecar.resultCounts("pay")
+	if got := results + " " + sidecar.metric("upstream_requests_total"); got != "0 0 0 0 0 0 0" {
+		t.Errorf("counters at the start: got %s, want 0 0 0 0 0 0 0", got)
 	}
 	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
-		t.Fatalf("read: status %d, want 200", resp.StatusCode)
+		t.Fatalf("read: got status %d, want 200", resp.StatusCode)
 	}
-	sidecar.do(sidecar.newRequest("pay")) // it may have been executed, so that it counts as failed
+	sidecar.do(sidecar.newRequest("pay")) // counts as failed, because it may have been executed
 	request := sidecar.newRequest("pay")
 	request.Header.Set(exchange.ExpiryHeader, "300m")
-	if resp, _ := sidecar.do(request); resp.StatusCode != 503 { // it was never executed, so that it counts as rejected
-		t.Fatalf("request that was never executed: status %d, want 503", resp.StatusCode)
+	if resp, _ := sidecar.do(request); resp.StatusCode != 503 { // counts as rejected, because it was never executed
+		t.Fatalf("request that was never executed: got status %d, want 503", resp.StatusCode)
 	}
-	bad := sidecar.newRequest("pay")
-	bad.Header.Set("X-Customer", "x")
-	sidecar.do(bad) // not valid, so that it is not counted
+	invalid := sidecar.newRequest("pay")
+	invalid.Header.Set("X-Customer", "x")
+	sidecar.do(invalid) // not counted
 	for name, want := range map[string]string{"read": "1 0 0", "pay": "0 1 1", "reserve": "0 0 0"} {
 		if got := sidecar.resultCounts(name); got != want {
-			t.Errorf("%s: completed, rejected and failed requests are %s, want %s", name, got, want)
+			t.Errorf("%s: got %s completed, rejected and failed requests, want %s", name, got, want)
 		}
 	}
 	if got := sidecar.metric("upstream_requests_total"); got != fmt.Sprint(len(server.Requests())) {
-		t.Errorf("%s attempts are counted, the server received %d", got, len(server.Requests()))
+		t.Errorf("got %s counted attempts, want the %d that the server received", got, len(server.Requests()))
 	}
 	if got := sidecar.metric("pending"); got != "0" {
-		t.Errorf("%s requests are pending at the end, want 0", got)
+		t.Errorf("got %s pending requests at the end, want 0", got)
 	}
 }
 
-// TestMetricsCountPendingRequests checks that a request is pending until it ends, also when its client disconnects, and
-// that a request whose client disconnected has no result.
+// TestMetricsCountPendingRequests checks that a request counts as pending until its client disconnects, and that such a
+// request adds to no result counter.
 func TestMetricsCountPendingRequests(t *testing.T) {
 	gate := sidecartest.NewGate()
 	defer gate.Open()
@@ -61,16 +62,16 @@
 	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	gate.AwaitRequest(t)
 	if got := sidecar.metric("pending"); got != "1" {
-		t.Errorf("%s requests are pending, want 1", got)
+		t.Errorf("got %s pending requests, want 1", got)
 	}
 	conn.Close()
-	sidecar.waitForPending(0)
+	sidecar.waitForPendingRequests(0)
 	if got := sidecar.resultCounts("read"); got != "0 0 0" {
-		t.Errorf("results after the client disconnected: %s, want none", got)
+		t.Errorf("after the client disconnected: got %s completed, rejected and failed requests, want 0 0 0", got)
 	}
 }
 
-// TestMetricsCountEndpoints checks that a draining endpoint is counted as an endpoint and as unavailable.
+// TestMetricsCountEndpoints checks that the metrics count a draining endpoint as an endpoint and as unavailable.
 func TestMetricsCountEndpoints(t *testing.T) {
 	draining := sidecartest.DrainingEndpoint("s-2", "127.0.0.1:2")
 	cfg := sidecartest.Config(t,
@@ -81,12 +82,12 @@
 	sidecar := startSidecar(t, withAdmin(cfg))
 	sidecartest.WaitFor(t, "the endpoint list is applied", func() bool { return sidecar.metric("members") == "3" })
 	if got := sidecar.metric("members_unavailable"); got != "1" {
-		t.Errorf("%s endpoints are unavailable, want 1", got)
+		t.Errorf("got %s unavailable endpoints, want 1", got)
 	}
 }
 
 // TestAdminRejectsBadRequests checks the status for unknown paths, wrong methods and malformed requests at the admin
-// address, and that it does not serve the API of the clients.
+// address, which does not serve the client API either.
 func TestAdminRejectsBadRequests(t *testing.T) {
 	sidecar, _ := startWithEndpointAndAdmin(t, sidecartest.Respond(200, ""))
 	sidecar.waitUntilReady()
@@ -98,24 +99,25 @@
 		{"PUT", "/api/telemetry", 405}, {"GET", "/api", 404}, {"GET", "/up", 404}, {"POST", "/", 404},
 	} {
 		if resp, _ := sidecar.callAdmin(test.method, test.path); resp.StatusCode != test.want || !resp.Close {
-			t.Errorf("%s %s: status %d, closing: %v", test.method, test.path, resp.StatusCode, resp.Close)
+			t.Errorf("%s %s: got status %d, close %v, want status %d and a close",
+				test.method, test.path, resp.StatusCode, resp.Close, test.want)
 		}
 	}
 	for _, text := range []string{"\x00\x01\r\n\r\n", "GET\r\n\r\n", "GET /api/ready HTTP/1.1\r\nHost\r\n\r\n"} {
 		conn := sidecar.dialAddr(sidecar.adminAddr)
 		sidecar.write(conn, text)
 		if got, _ := io.ReadAll(conn); !strings.HasPrefix(string(got), "HTTP/1.1 400") {
-			t.Errorf("%q: response %q, want status 400", text, got)
+			t.Errorf("%q: got response %q, want status 400", text, got)
 		}
 	}
 	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
-		t.Errorf("client address: status %d, want 200", resp.StatusCode)
+		t.Errorf("client address: got status %d, want 200", resp.StatusCode)
 	}
 }
 
-// TestAdminServesBesideIdleConnections tests the failure in which clients open more connections to the admin address than it
-// allows, and send no complete request. A health check behind them would get its response only when they time out.
-// It must get its response before.
+// TestAdminServesBesideIdleConnections guards against the failure that clients without a complete request occupy all
+// connections of the admin address, so that a health check has to wait until they time out. A health check must get its
+// response earlier.
 func TestAdminServesBesideIdleConnections(t *testing.T) {
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:1"))))
 	sidecar.waitUntilReady()
@@ -125,20 +127,20 @@
 	}
 	start := time.Now()
 	if resp, _ := sidecar.callAdmin("GET", "/api/ready"); resp.StatusCode != 200 {
-		t.Errorf("GET /api/ready: status %d, want 200", resp.StatusCode)
+		t.Errorf("GET /api/ready: got status %d, want 200", resp.StatusCode)
 	}
 	if elapsed := time.Since(start); elapsed >= admin.HeaderTimeout {
-		t.Errorf("response after %v, when the idle connections had timed out", elapsed)
+		t.Errorf("got the response after %v, want less than the timeout %v of idle connections", elapsed, admin.HeaderTimeout)
 	}
 }
 
-// TestReadiness checks that a process is ready once it knows endpoints, and not ready during its shutdown.
+// TestReadiness checks that a process is not ready before it knows endpoints and during its shutdown, and ready in between.
 func TestReadiness(t *testing.T) {
 	gate := sidecartest.NewGate()
 	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
 	sidecar := startSidecar(t, withAdmin(sidecartest.Config(t)))
 	if resp, _ := sidecar.callAdmin("GET", "/api/ready"); resp.StatusCode != 503 {
-		t.Errorf("ready without endpoints: status %d, want 503", resp.StatusCode)
+		t.Errorf("readiness without endpoints: got status %d, want 503", resp.StatusCode)
 	}
 	sidecartest.Next(t, sidecar.discovery.Queries)
 	sidecar.discovery.Lists <- sidecartest.CompleteList(42, sidecartest.ReadyEndpoint("s-1", server.Addr))
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// socketsForFewClients is a limit of which 20 sockets are for clients.
+	// socketsForFewClients is a socket limit that leaves 20 sockets for clients: half of the rest after
+	// config.ReservedSockets.
 	socketsForFewClients = 64
-	// socketsForManyClients is a limit of which 100 sockets are for clients, and 25 of those for idle connections.
+	// socketsForManyClients is a socket limit that leaves 100 sockets for clients, at most 25 of them for idle connections.
 	socketsForManyClients = 224
 )
 
-// TestIdleClientsAreClosedFirst tests the failure in which idle connections occupy all sockets for clients. New clients would get
-// no connection. They must be served in place of the idle ones, and a connection with a pending request must not be closed for
-// them.
+// TestIdleClientsAreClosedFirst guards against idle connections that occupy all client sockets, so that new clients cannot
+// connect. The sidecar must close idle connections to serve new clients, but no connection with a pending request.
 func TestIdleClientsAreClosedFirst(t *testing.T) {
 	gate := sidecartest.NewGate()
 	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "served"))
@@ -40,9 +40,9 @@
 	sidecar.expectResponse(pending, "pending request", http.StatusOK)
 }
 
-// TestIdleConnectionLimit tests the failure in which an application keeps so many connections open that it has no descriptors
-// left, before the sidecar reaches its own limit. Only some connections may persist after a response; with the others, the response
-// must announce the close.
+// TestIdleConnectionLimit guards against an application that runs out of descriptors because the sidecar keeps all of its
+// connections open, before the sidecar reaches its own limit. Only a limited number of connections may persist after a
+// response. The responses on all others must announce the close.
 func TestIdleConnectionLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -59,12 +59,13 @@
 		}
 	}
 	if persistent < 20 || persistent > 30 {
-		t.Errorf("%d of 60 connections persist, want about 25", persistent)
+		t.Errorf("got %d of 60 connections that persist, want 20 to 30", persistent)
 	}
 }
 
-// TestSlowestRequestIsClosedAtLimit tests the failure in which clients with incomplete requests occupy all sockets for clients.
-// Nobody else would be served until they time out. At the limit, the request that progresses slowest must be closed.
+// TestSlowestRequestIsClosedAtLimit guards against clients with incomplete requests that occupy all client sockets, so that
+// no other client is served until they time out. At the limit, the sidecar must close the connection whose request
+// progresses slowest.
 func TestSlowestRequestIsClosedAtLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -72,16 +73,17 @@
 	sidecar := startSidecar(t, cfg)
 	for i := range 60 {
 		partial := sidecar.rawRequestHead("pay", "Content-Length: 100") + "half"
-		sidecar.write(sidecar.dial(), partial[:len(partial)-40*(i%2)]) // part of the head, or of the body
+		sidecar.write(sidecar.dial(), partial[:len(partial)-40*(i%2)]) // alternately ends within the body and within the head
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
-			t.Fatalf("after %d incomplete requests: status %d, want 200", i, resp.StatusCode)
+			t.Fatalf("after %d incomplete requests: got status %d, want 200", i, resp.StatusCode)
 		}
 		sidecar.client.CloseIdleConnections()
 	}
 }
 
-// TestActiveClientOutlivesStalledOnes tests the failure in which a slow client is closed in place of stalled ones, as it has been
-// connected for longer. A client that goes on writing must be served, however many stalled ones there are and however long it takes.
+// TestActiveClientOutlivesStalledOnes guards against the failure that the sidecar closes a slow client instead of stalled
+// ones, because the slow one has been connected for longer. A client that keeps writing must be served, however long it
+// takes and however many stalled clients there are.
 func TestActiveClientOutlivesStalledOnes(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -93,15 +95,16 @@
 		partial := sidecar.rawRequestHead("read")
 		sidecar.write(sidecar.dial(), partial[:len(partial)/2])
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
-			t.Fatalf("client beside the slow one: status %d, want 200", resp.StatusCode)
+			t.Fatalf("client beside the slow one: got status %d, want 200", resp.StatusCode)
 		}
 		sidecar.client.CloseIdleConnections()
 	}
 	sidecar.expectResponse(slow, "slow client", http.StatusOK)
 }
 
-// TestStalledClientTimeout tests the failure in which a client sends nothing, or stops within its request. Its connection would
-// stay open for ever. It must get an error or a close in time, and no part of its request may reach an endpoint.
+// TestStalledClientTimeout guards against connections that stay open forever because the client sends nothing or stops
+// within its request. Such a client must get an error response or a close in time, and no part of its request may reach
+// an endpoint.
 func TestStalledClientTimeout(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
@@ -116,16 +119,17 @@
 			start := time.Now()
 			got, err := io.ReadAll(conn)
 			if err != nil || strings.HasPrefix(string(got), "HTTP/1.1 200") {
-				t.Errorf("response %q, error %v, want an error status or a close", got, err)
+				t.Errorf("got response %q, error %v, want an error status or a close", got, err)
 			}
-			if elapsed := time.Since(start); elapsed < downstream.MinIdleBeforeClose || elapsed > sidecartest.Timeout/2 {
-				t.Errorf("closed after %v", elapsed)
+			minTime, maxTime := downstream.MinIdleBeforeClose, sidecartest.Timeout/2
+			if elapsed := time.Since(start); elapsed < minTime || elapsed > maxTime {
+				t.Errorf("got a close after %v, want it after %v to %v", elapsed, minTime, maxTime)
 			}
 		})
 	}
 	t.Cleanup(func() {
 		if got := server.Requests(); len(got) != 0 {
-			t.Errorf("%d incomplete requests reached the endpoint", len(got))
+			t.Errorf("got %d incomplete requests at the endpoint, want 0", len(got))
 		}
 	})
 }
--- a/internal/sidecar/config_file_test.go
+++ b/internal/sidecar/config_file_test.go
@@ -10,13 +10,14 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// configFile is a copy of the tests' configuration file that a test can change.
+// configFile is a temporary copy of the tests' configuration file, which a test can change.
 type configFile struct {
-	t          *testing.T
-	path, text string
+	t            *testing.T
+	path         string
+	originalText string // the content before all changes
 }
 
-// newConfigFile copies the configuration file of the tests into a folder of the test.
+// newConfigFile copies the configuration file of the tests into the test's temporary directory.
 func newConfigFile(t *testing.T) *configFile {
 	t.Helper()
 	text, err := os.ReadFile(sidecartest.ConfigPath())
@@ -24,7 +25,7 @@
 		t.Fatal(err)
 	}
 	file := &configFile{t, filepath.Join(t.TempDir(), "config.json"), string(text)}
-	file.write(file.text)
+	file.write(file.originalText)
 	return file
 }
 
@@ -36,34 +37,34 @@
 	}
 }
 
-// discoveryReplacement changes the address of the discovery service.
+// discoveryReplacement returns the replacement that sets the address of the discovery service to addr.
 func discoveryReplacement(addr string) replacement {
 	return replacement{`"discovery": "127.0.0.1:9"`, `"discovery": "` + addr + `"`}
 }
 
-// setDiscovery writes the file with another address of the discovery service.
+// setDiscovery writes the original content with addr as the address of the discovery service.
 func (file *configFile) setDiscovery(addr string) {
 	file.t.Helper()
 	file.write(file.replace(discoveryReplacement(addr)))
 }
 
-// replacement is a change of the content of a file.
+// replacement replaces every occurrence of the text old by new.
 type replacement struct{ old, new string }
 
-// replace returns the original content with replacements. Each old text must occur.
+// replace returns the original content with all replacements applied. Each old text must occur in it.
 func (file *configFile) replace(replacements ...replacement) string {
 	file.t.Helper()
 	var pairs []string
 	for _, change := range replacements {
-		if !strings.Contains(file.text, change.old) {
-			file.t.Fatalf("the configuration file does not contain %s", change.old)
+		if !strings.Contains(file.originalText, change.old) {
+			file.t.Fatalf("the configuration file does not contain %s, which the test replaces", change.old)
 		}
 		pairs = append(pairs, change.old, change.new)
 	}
-	return strings.NewReplacer(pairs...).Replace(file.text)
+	return strings.NewReplacer(pairs...).Replace(file.originalText)
 }
 
-// load reads the configuration from the file and the given environment.
+// load loads the configuration from the file and the given environment variables.
 func (file *configFile) load(env map[string]string) *config.Config {
 	file.t.Helper()
 	cfg, err := config.Load(func(name string) string {
--- a/internal/sidecar/descriptor_limit_test.go
+++ b/internal/sidecar/descriptor_limit_test.go
@@ -18,13 +18,14 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// descriptorLimit is the number of descriptors of the process under test.
+// descriptorLimit is the limit on open descriptors of the process under test.
 const descriptorLimit = 96
 
-// runSidecarVariable is the environment variable that makes the test program run a sidecar.
+// runSidecarVariable is the environment variable that makes the test binary run a sidecar instead of the tests.
 const runSidecarVariable = "TEST_SIDECAR"
 
-// TestMain runs a sidecar in place of the tests if the environment says so: a descriptor limit applies to a process.
+// TestMain runs a sidecar instead of the tests if runSidecarVariable is set. A descriptor limit applies to a whole process,
+// so a sidecar with such a limit needs a separate process.
 func TestMain(m *testing.M) {
 	if os.Getenv(runSidecarVariable) == "" {
 		os.Exit(m.Run())
@@ -37,7 +38,7 @@
 	os.Exit(0)
 }
 
-// runWithDescriptorLimit lowers the descriptor limit of the process and runs a sidecar.
+// runWithDescriptorLimit lowers the descriptor limit of the process to descriptorLimit and runs a sidecar.
 func runWithDescriptorLimit(log *slog.Logger) error {
 	limit := syscall.Rlimit{Cur: descriptorLimit, Max: descriptorLimit}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -51,7 +52,7 @@
 	return Run(context.Background(), cfg, nil, log)
 }
 
-// unusedAddr returns an address at which nobody listens.
+// unusedAddr returns an address on which no process listens.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	ln := sidecartest.Listen(t)
@@ -59,15 +60,22 @@
 	return ln.Addr().String()
 }
 
-// startSidecarWithDescriptorLimit starts a sidecar in its own process with a low descriptor limit.
+// startSidecarWithDescriptorLimit starts a sidecar in a separate process with a low descriptor limit, and waits until it
+// listens.
 func startSidecarWithDescriptorLimit(t *testing.T) *testSidecar {
 	t.Helper()
 	sidecar := newTestSidecar(t)
 	sidecar.addr, sidecar.adminAddr = unusedAddr(t), unusedAddr(t)
 	sidecar.client.Transport = &http.Transport{DisableKeepAlives: true}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), runSidecarVariable+"=1", "NODE_CONFIG="+sidecartest.ConfigPath(), "NODE_LISTEN="+sidecar.addr,
-		"NODE_MGMT="+sidecar.adminAddr, "NODE_DISCOVERY="+sidecar.discovery.Addr, "TMPDIR="+t.TempDir())
+	cmd.Env = append(os.Environ(),
+		runSidecarVariable+"=1",
+		"NODE_CONFIG="+sidecartest.ConfigPath(),
+		"NODE_LISTEN="+sidecar.addr,
+		"NODE_MGMT="+sidecar.adminAddr,
+		"NODE_DISCOVERY="+sidecar.discovery.Addr,
+		"TMPDIR="+t.TempDir(),
+	)
 	logOutput, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -88,9 +96,10 @@
 	return sidecar
 }
 
-// TestDiscoveryReachableAtDescriptorLimit tests the failure in which idle clients, which go on connecting, use up the descriptors
-// of a sidecar while discovery has an outage. If the sidecar could not connect to discovery after it, it would go on to send to
-// endpoints that drain. It must apply the drain, serve requests and respond to health checks.
+// TestDiscoveryReachableAtDescriptorLimit guards against the failure that idle clients, which keep connecting, use up the
+// descriptors of a sidecar during a discovery outage. If the sidecar could not connect to discovery after the outage, it
+// would continue to send requests to draining endpoints. It must apply the next endpoint list, serve requests and respond
+// to health checks.
 func TestDiscoveryReachableAtDescriptorLimit(t *testing.T) {
 	firstServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "one"))
 	secondServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "two"))
@@ -100,14 +109,14 @@
 	sidecar.discovery.Lists <- sidecartest.CompleteList(42,
 		sidecartest.ReadyEndpoint("s-1", firstServer.Addr), draining,
 	)
-	// It is ready before that with the list of its configuration, whose only endpoint does not exist.
+	// Before that, the sidecar is ready with the endpoint list of its configuration, whose only endpoint does not exist.
 	sidecartest.WaitFor(t, "the first endpoint list is applied", func() bool { return sidecar.metric("members") == "2" })
 	sidecar.waitUntilReady()
 	if _, body := sidecar.do(sidecar.newRequest("read")); body != "one" {
-		t.Fatalf("response from endpoint %q, want %q", body, "one")
+		t.Fatalf("got the response of endpoint %q, want %q", body, "one")
 	}
 	defer startIdleClients(sidecar.addr)()
-	for range 3 { // polls without a response
+	for range 3 { // the outage lasts for three requests that get no response
 		sidecartest.Next(t, sidecar.discovery.Cancelled)
 	}
 	draining.ID = "s-1"
@@ -117,18 +126,18 @@
 	sidecartest.WaitFor(t, "the second endpoint list is applied", func() bool { return sidecar.metric("members") == "3" })
 	for range 5 {
 		if resp, body := sidecar.do(sidecar.newRequest("read")); body != "two" {
-			t.Errorf("status %d, body %q, want the response of endpoint two", resp.StatusCode, body)
+			t.Errorf("got status %d, body %q, want the response of endpoint \"two\"", resp.StatusCode, body)
 		}
 	}
 	if resp, _ := sidecar.callAdmin("GET", "/api/ready"); resp.StatusCode != 200 {
-		t.Errorf("GET /api/ready: status %d, want 200", resp.StatusCode)
+		t.Errorf("GET /api/ready: got status %d, want 200", resp.StatusCode)
 	}
 	if got := len(firstServer.Requests()); got != 1 {
-		t.Errorf("the draining endpoint received %d requests, want 1", got)
+		t.Errorf("got %d requests at the draining endpoint, want 1", got)
 	}
 }
 
-// startIdleClients runs connectIdleClients until stop is called, which waits for its end.
+// startIdleClients runs connectIdleClients in a goroutine. stop ends it and waits for its end.
 func startIdleClients(addr string) (stop func()) {
 	stopping, done := make(chan bool), make(chan bool)
 	go func() {
@@ -141,8 +150,8 @@
 	}
 }
 
-// connectIdleClients opens connections without a complete request until stop is closed. It keeps more of them open than
-// the process under test has descriptors, and replaces the oldest ones.
+// connectIdleClients opens client connections without a complete request until stop is closed. It keeps more connections
+// open than the process under test has descriptors, and closes the oldest one when it opens another.
 func connectIdleClients(addr string, stop <-chan bool) {
 	var conns []net.Conn
 	defer func() {
--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -15,15 +15,15 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// respondInParts writes the parts of a response, waits for a signal before each part but the first, and closes the
-// connection.
-func respondInParts(next <-chan bool, texts ...string) sidecartest.Step {
+// respondInParts returns a step that writes a response in parts and then closes the connection. Before each part after
+// the first one, it waits for a value from next.
+func respondInParts(next <-chan bool, parts ...string) sidecartest.Step {
 	return func(conn net.Conn) bool {
-		for i, text := range texts {
+		for i, part := range parts {
 			if i > 0 {
 				<-next
 			}
-			if _, err := io.WriteString(conn, text); err != nil {
+			if _, err := io.WriteString(conn, part); err != nil {
 				return false
 			}
 		}
@@ -31,15 +31,19 @@
 	}
 }
 
-// TestLongResponseStreaming checks that a long response is forwarded as it arrives, in each framing, that it may take
-// longer than the deadline of its request, and that the request is pending until the last byte.
+// TestLongResponseStreaming checks for each kind of framing that a long response is forwarded as it arrives, that it may
+// take longer than the deadline of its request, and that the request is pending until the last byte.
 func TestLongResponseStreaming(t *testing.T) {
 	half := len(sidecartest.LongBody) / 2
+	firstHalf, secondHalf := sidecartest.LongBody[:half], sidecartest.LongBody[half:]
 	for name, test := range map[string]struct{ head, first, second string }{
-		"announced": {fmt.Sprintf("Content-Length: %d\r\n", len(sidecartest.LongBody)), sidecartest.LongBody[:half], sidecartest.LongBody[half:]},
-		"in chunks": {"Transfer-Encoding: chunked\r\n",
-			fmt.Sprintf("%x\r\n%s\r\n", half, sidecartest.LongBody[:half]), fmt.Sprintf("%x\r\n%s\r\n0\r\nX-Sum: 7\r\n\r\n", half, sidecartest.LongBody[half:])},
-		"to the end of the connection": {"Connection: close\r\n", sidecartest.LongBody[:half], sidecartest.LongBody[half:]},
+		"announced": {fmt.Sprintf("Content-Length: %d\r\n", len(sidecartest.LongBody)), firstHalf, secondHalf},
+		"in chunks": {
+			"Transfer-Encoding: chunked\r\n",
+			fmt.Sprintf("%x\r\n%s\r\n", half, firstHalf),
+			fmt.Sprintf("%x\r\n%s\r\n0\r\nX-Sum: 7\r\n\r\n", half, secondHalf),
+		},
+		"to the end of the connection": {"Connection: close\r\n", firstHalf, secondHalf},
 	} {
 		t.Run(name, func(t *testing.T) {
 			head := "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n" + test.head + "\r\n"
@@ -48,7 +52,8 @@
 	}
 }
 
-// checkLongResponseStreaming checks the streaming of LongBody from a response whose second half comes after the deadline.
+// checkLongResponseStreaming checks that LongBody is streamed when the endpoint sends its second half after the deadline of
+// the request. firstHalf and secondHalf include the head and the framing.
 func checkLongResponseStreaming(t *testing.T, firstHalf, secondHalf string) {
 	t.Helper()
 	more := make(chan bool)
@@ -58,32 +63,35 @@
 	start := time.Now()
 	resp, err := sidecar.client.Do(request)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("response %v, error %v", resp, err)
+		t.Fatalf("got response %v, error %v, want status 200", resp, err)
 	}
 	defer resp.Body.Close()
 	got := make([]byte, len(sidecartest.LongBody)/2)
 	if _, err := io.ReadFull(resp.Body, got); err != nil {
-		t.Fatalf("first half of the body: %v", err)
+		t.Fatalf("first half of the body: got error %v, want none", err)
 	}
 	if sidecar.metric("pending") != "1" || sidecar.resultCounts("read") != "0 0 0" {
-		t.Errorf("after the first half: %s pending, results %s", sidecar.metric("pending"), sidecar.resultCounts("read"))
+		t.Errorf("after the first half: got %s pending requests and results %s, want 1 and 0 0 0",
+			sidecar.metric("pending"), sidecar.resultCounts("read"))
 	}
 	time.Sleep(time.Until(start.Add(400 * time.Millisecond))) // past the deadline of the request
 	more <- true
 	rest, err := io.ReadAll(resp.Body)
 	if err != nil || string(got)+string(rest) != sidecartest.LongBody {
-		t.Errorf("second half of the body: %d bytes, error %v", len(rest), err)
+		t.Errorf("second half of the body: got %d bytes, error %v, want the other %d bytes of LongBody",
+			len(rest), err, len(sidecartest.LongBody)-len(got))
 	}
-	sidecar.waitForPending(0)
+	sidecar.waitForPendingRequests(0)
 	if got := sidecar.resultCounts("read"); got != "1 0 0" {
-		t.Errorf("completed, rejected and failed requests are %s, want 1 0 0", got)
+		t.Errorf("got %s completed, rejected and failed requests, want 1 0 0", got)
 	}
 }
 
-// TestTruncatedResponseClosesConnection tests the failure in which an endpoint ends a long response early, of which the client
-// has a part. If the sidecar ended its own message in order, the client would take the part for the whole. The client must see a
-// broken connection, and the request must not be retried.
+// TestTruncatedResponseClosesConnection guards against a truncated response that looks complete. An endpoint ends a long
+// response early, after part of it was forwarded. If the sidecar ended its own response properly, the client would take
+// the part for the whole. The client must see a broken connection, and the request must not be retried.
 func TestTruncatedResponseClosesConnection(t *testing.T) {
+	half := len(sidecartest.LongBody) / 2
 	for name, test := range map[string]struct{ head, version string }{
 		"announced":        {fmt.Sprintf("Content-Length: %d\r\n\r\n", len(sidecartest.LongBody)), "HTTP/1.1"},
 		"in chunks":        {fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(sidecartest.LongBody)), "HTTP/1.1"},
@@ -91,29 +99,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
-			server := sidecartest.NewScriptedServer(t, respondInParts(more, "HTTP/1.1 200 OK\r\n"+test.head+sidecartest.LongBody[:len(sidecartest.LongBody)/2], ""))
-			cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr), sidecartest.ReadyEndpoint("s-2", server.Addr))
+			truncated := "HTTP/1.1 200 OK\r\n" + test.head + sidecartest.LongBody[:half]
+			server := sidecartest.NewScriptedServer(t, respondInParts(more, truncated, ""))
+			cfg := sidecartest.Config(t,
+				sidecartest.ReadyEndpoint("s-1", server.Addr), sidecartest.ReadyEndpoint("s-2", server.Addr))
 			sidecar := startSidecar(t, withAdmin(cfg))
 			client := sidecar.dial()
 			sidecar.write(client, strings.Replace(sidecar.rawRequestHead("read"), "HTTP/1.1", test.version, 1))
 			resp := sidecar.expectResponse(client, "request with a truncated response", http.StatusOK)
-			if _, err := io.ReadFull(resp.Body, make([]byte, len(sidecartest.LongBody)/2)); err != nil {
+			if _, err := io.ReadFull(resp.Body, make([]byte, half)); err != nil {
 				t.Fatal(err)
 			}
 			more <- true
-			if got, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("rest of a truncated response: %d bytes, error %v, want a broken connection", len(got), err)
+			got, err := io.ReadAll(resp.Body)
+			if !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
+				t.Errorf("rest of a truncated response: got %d bytes, error %v, want a broken connection", len(got), err)
 			}
-			sidecartest.WaitFor(t, "the request is counted as failed", func() bool { return sidecar.resultCounts("read") == "0 0 1" })
+			sidecartest.WaitFor(t, "the request is counted as failed", func() bool {
+				return sidecar.resultCounts("read") == "0 0 1"
+			})
 			if got := len(server.Requests()); got != 1 {
-				t.Errorf("the servers received %d requests, want 1", got)
+				t.Errorf("got %d requests at the servers, want 1", got)
 			}
 		})
 	}
 }
 
-// TestUnknownLengthResponseStreaming checks that the first bytes of a short response without a length are forwarded before
-// its end: the client may wait for them, and the rest may be of any length.
+// TestUnknownLengthResponseStreaming checks that the first bytes of a response without a length are forwarded before its
+// end, even if they are few: the client may wait for them, and the rest may have any length.
 func TestUnknownLengthResponseStreaming(t *testing.T) {
 	for name, test := range map[string]struct{ first, second string }{
 		"in chunks":                    {"Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n4", "\r\nfghi\r\n0\r\n\r\n"},
@@ -124,16 +137,16 @@
 			sidecar, _ := startWithEndpoint(t, respondInParts(more, "HTTP/1.1 200 OK\r\n"+test.first, test.second))
 			resp, err := sidecar.client.Do(sidecar.newRequest("read"))
 			if err != nil || resp.StatusCode != 200 {
-				t.Fatalf("response %v, error %v", resp, err)
+				t.Fatalf("got response %v, error %v, want status 200", resp, err)
 			}
 			defer resp.Body.Close()
 			got := make([]byte, 5)
 			if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != "abcde" {
-				t.Fatalf("first bytes %q, error %v", got, err)
+				t.Fatalf("got first bytes %q, error %v, want \"abcde\"", got, err)
 			}
 			more <- true
 			if rest, err := io.ReadAll(resp.Body); err != nil || string(rest) != "fghi" {
-				t.Errorf("rest of the body %q, error %v", rest, err)
+				t.Errorf("got rest of the body %q, error %v, want \"fghi\"", rest, err)
 			}
 		})
 	}
--- a/internal/sidecar/golden_cases_test.go
+++ b/internal/sidecar/golden_cases_test.go
@@ -15,24 +15,24 @@
 
 // goldenCases are all scenarios in the order of the golden file.
 var goldenCases = []goldenCase{
-	{"to a server: GET", recordExchange(fixedRequest("read", "a01"), sidecartest.Respond(200, "plate 7"))},
+	{"to a server: GET", recordExchange(goldenRequestHead("read", "a01"), sidecartest.Respond(200, "plate 7"))},
 	{"to a server: GET with the client's own User-Agent and X-Object",
-		recordExchange(fixedRequest("read", "a02", "User-Agent: app/7", "X-Object: 7f3a9c21e0b4d655", "X-Second-Try: 1", "X-Props: a=1,b=2"),
+		recordExchange(goldenRequestHead("read", "a02", "User-Agent: app/7", "X-Object: 7f3a9c21e0b4d655", "X-Second-Try: 1", "X-Props: a=1,b=2"),
 			sidecartest.Respond(200, "plate 7"))},
-	{"to a server: GET with a query with escapes", recordExchange(strings.Replace(fixedRequest("read", "a03"), "/api ",
+	{"to a server: GET with a query with escapes", recordExchange(strings.Replace(goldenRequestHead("read", "a03"), "/api ",
 		"/api/a%2Fb/../c?item=a%2Fb&x=%20+%7e&y=;|&&=z#f ", 1), sidecartest.Respond(200, "plate 7"))},
-	{"to a server: POST with an empty body", recordExchange(fixedRequest("pay", "a04", "Content-Length: 0"), sidecartest.Respond(200, ""))},
-	{"to a server: keyed POST with odd headers", recordExchange(fixedRequest("reserve", "a05",
+	{"to a server: POST with an empty body", recordExchange(goldenRequestHead("pay", "a04", "Content-Length: 0"), sidecartest.Respond(200, ""))},
+	{"to a server: keyed POST with odd headers", recordExchange(goldenRequestHead("reserve", "a05",
 		"Content-Length: 7", "Connection: keep-alive, X-Hop", "X-Hop: dropped", "Keep-Alive: timeout=5", "TE: trailers",
 		"Proxy-Connection: keep-alive", "Proxy-Authorization: Basic eDp5", "Upgrade: h2c", "Expect: 100-continue",
 		"x-oDd-cAse: Mixed", "X-Twice: 1", "X-Twice: 2", "Accept-Encoding: gzip", "Cookie: a=b", "x_under: 1",
 	)+"order 7", sidecartest.Respond(200, "done"))},
-	{"to a server: body in chunks", recordExchange(fixedRequest("reserve", "a06", "Transfer-Encoding: chunked")+chunkedBody("order", " 7"),
+	{"to a server: body in chunks", recordExchange(goldenRequestHead("reserve", "a06", "Transfer-Encoding: chunked")+chunkedBody("order", " 7"),
 		sidecartest.Respond(200, "done"))},
 	{"to a server: long body with a length",
-		recordLongExchange(fixedRequest("reserve", "a07", "Content-Length: "+strconv.Itoa(len(goldenLongBody))) + goldenLongBody)},
+		recordLongExchange(goldenRequestHead("reserve", "a07", "Content-Length: "+strconv.Itoa(len(goldenLongBody))) + goldenLongBody)},
 	{"to a server: long body in chunks",
-		recordLongExchange(fixedRequest("reserve", "a08", "Transfer-Encoding: chunked") + chunkedBody(goldenLongBody[:50000], goldenLongBody[50000:]))},
+		recordLongExchange(goldenRequestHead("reserve", "a08", "Transfer-Encoding: chunked") + chunkedBody(goldenLongBody[:50000], goldenLongBody[50000:]))},
 	{"to a server: probe where reports are pulled", recordPolledLoadReport},
 	{"to a server: probe of silent servers where there are no reports", recordHealthCheck},
 	{"to servers: a retry after 503 with X-Never-Ran", recordRetry},
@@ -40,38 +40,38 @@
 	{"to discovery: asked", recordDiscoveryCalls(polledDiscovery)},
 	{"to discovery: pushed by an agent", recordDiscoveryCalls(watchedDiscovery)},
 
-	{"to a client: served with a length and headers", recordExchange(fixedRequest("read", "b01"), respondRaw(okStatusLine+
+	{"to a client: served with a length and headers", recordExchange(goldenRequestHead("read", "b01"), respondRaw(okStatusLine+
 		"Content-Length: 5\r\nContent-Type: application/json\r\nx-oDd: 1\r\nX-Twice: 1\r\nX-Twice: 2\r\nDate: Thu, 01 Jan 1970 00:00:00 GMT\r\n"+
 		"Keep-Alive: timeout=5\r\nEndpoint-Load-Metrics: TEXT util=0.5, qps=3\r\n\r\n[1,2]"))},
-	{"to a client: served without a length", recordExchange(fixedRequest("read", "b02"), respondRawAndClose(okStatusLine+"Connection: close\r\n\r\nplate 7"))},
-	{"to a client: served in chunks", recordExchange(fixedRequest("read", "b03"),
+	{"to a client: served without a length", recordExchange(goldenRequestHead("read", "b02"), respondRawAndClose(okStatusLine+"Connection: close\r\n\r\nplate 7"))},
+	{"to a client: served in chunks", recordExchange(goldenRequestHead("read", "b03"),
 		respondRaw(okStatusLine+"Transfer-Encoding: chunked\r\n\r\n"+chunkedBody("plate", " 7")))},
 	{"to a client: served in chunks that come slowly", recordSlowChunks},
-	{"to a client: served after an interim answer", recordExchange(fixedRequest("read", "b04"),
+	{"to a client: served after an interim answer", recordExchange(goldenRequestHead("read", "b04"),
 		respondRaw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+okStatusLine+"Content-Length: 2\r\n\r\nok"))},
 	{"to a client: long answer with a length", recordLongResponse("Content-Length: " + strconv.Itoa(len(goldenLongBody)) + "\r\n\r\n" + goldenLongBody)},
 	{"to a client: long answer in chunks", recordLongResponse("Transfer-Encoding: chunked\r\n\r\n" + chunkedBody(goldenLongBody))},
 	{"to a client: two requests on one connection", recordConnectionReuse},
-	{"to a client: HTTP/1.0", recordExchange(strings.Replace(fixedRequest("read", "b05"), "HTTP/1.1", "HTTP/1.0", 1), sidecartest.Respond(200, "plate 7"))},
+	{"to a client: HTTP/1.0", recordExchange(strings.Replace(goldenRequestHead("read", "b05"), "HTTP/1.1", "HTTP/1.0", 1), sidecartest.Respond(200, "plate 7"))},
 	{"to a client: refused", recordRejection},
-	{"to a client: refused without time left", recordResponseWithoutEndpoints(strings.Replace(fixedRequest("pay", "b06", "Content-Length: 0"), "15000m", "0m", 1))},
-	{"to a client: failed", recordExchange(fixedRequest("pay", "b07", "Content-Length: 0"), sidecartest.Respond(500, "secret"))},
-	{"to a client: bad request without X-Trace-Id", recordRejectedRequest(strings.Replace(fixedRequest("read", "x"), "X-Trace-Id: x\r\n", "", 1))},
-	{"to a client: bad request of an unknown class", recordRejectedRequest(strings.Replace(fixedRequest("read", "b08"), "X-Qos: read", "X-Qos: other", 1))},
-	{"to a client: bad request of an unknown tenant", recordRejectedRequest(strings.Replace(fixedRequest("read", "b09"), "acme", "other", 1))},
+	{"to a client: refused without time left", recordResponseWithoutEndpoints(strings.Replace(goldenRequestHead("pay", "b06", "Content-Length: 0"), "15000m", "0m", 1))},
+	{"to a client: failed", recordExchange(goldenRequestHead("pay", "b07", "Content-Length: 0"), sidecartest.Respond(500, "secret"))},
+	{"to a client: bad request without X-Trace-Id", recordRejectedRequest(strings.Replace(goldenRequestHead("read", "x"), "X-Trace-Id: x\r\n", "", 1))},
+	{"to a client: bad request of an unknown class", recordRejectedRequest(strings.Replace(goldenRequestHead("read", "b08"), "X-Qos: read", "X-Qos: other", 1))},
+	{"to a client: bad request of an unknown tenant", recordRejectedRequest(strings.Replace(goldenRequestHead("read", "b09"), "acme", "other", 1))},
 	{"to a client: bad request without Idempotency-Key",
-		recordRejectedRequest(strings.Replace(fixedRequest("reserve", "b10", "Content-Length: 0"), "Idempotency-Key: 5c0f6e1a\r\n", "", 1))},
-	{"to a client: bad request with X-Expires-In without unit", recordRejectedRequest(strings.Replace(fixedRequest("read", "b11"), "15000m", "12", 1))},
-	{"to a client: bad request with a header twice", recordRejectedRequest(fixedRequest("read", "b12", "X-Qos: pay"))},
-	{"to a client: bad request with two lengths", recordRejectedRequest(fixedRequest("pay", "b13", "Content-Length: 5", "Transfer-Encoding: chunked"))},
-	{"to a client: bad request with a body in a GET", recordRejectedRequest(fixedRequest("read", "b14", "Content-Length: 2") + "ab")},
-	{"to a client: wrong method", recordRejectedRequest(strings.Replace(fixedRequest("pay", "b15", "Content-Length: 0"), "POST", "PUT", 1))},
-	{"to a client: wrong path", recordRejectedRequest(strings.Replace(fixedRequest("read", "b16"), "/api", "/other", 1))},
-	{"to a client: too long a body", recordRejectedRequest(fixedRequest("pay", "b17", "Content-Length: 60000000"))},
-	{"to a client: an X-Trace-Id that is open", recordDuplicateTraceID},
-	{"to a client: /up", recordUp},
+		recordRejectedRequest(strings.Replace(goldenRequestHead("reserve", "b10", "Content-Length: 0"), "Idempotency-Key: 5c0f6e1a\r\n", "", 1))},
+	{"to a client: bad request with X-Expires-In without unit", recordRejectedRequest(strings.Replace(goldenRequestHead("read", "b11"), "15000m", "12", 1))},
+	{"to a client: bad request with a header twice", recordRejectedRequest(goldenRequestHead("read", "b12", "X-Qos: pay"))},
+	{"to a client: bad request with two lengths", recordRejectedRequest(goldenRequestHead("pay", "b13", "Content-Length: 5", "Transfer-Encoding: chunked"))},
+	{"to a client: bad request with a body in a GET", recordRejectedRequest(goldenRequestHead("read", "b14", "Content-Length: 2") + "ab")},
+	{"to a client: wrong method", recordRejectedRequest(strings.Replace(goldenRequestHead("pay", "b15", "Content-Length: 0"), "POST", "PUT", 1))},
+	{"to a client: wrong path", recordRejectedRequest(strings.Replace(goldenRequestHead("read", "b16"), "/api", "/other", 1))},
+	{"to a client: too long a body", recordRejectedRequest(goldenRequestHead("pay", "b17", "Content-Length: 60000000"))},
+	{"to a client: an X-Trace-Id that is open", recordPendingTraceID},
+	{"to a client: /up", recordAppHealthCheck},
 	{"to a client: /up by POST", recordRejectedRequest("POST /up HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 0\r\n\r\n")},
-	{"to a client: /up without servers", recordUpWithoutEndpoints},
+	{"to a client: /up without servers", recordAppHealthCheckWithoutEndpoints},
 
 	{"second address: /api/ready before and after the list", recordReadiness},
 	{"second address: /api/telemetry", recordMetrics},
@@ -85,7 +85,7 @@
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.startServer(t)))
 	cfg.Balance.LoadReports = balance.LoadReportsPolled
 	sidecar := startSidecar(t, cfg)
-	response := exchangeRaw(t, sidecar.dial(), fixedRequest("read", "a09"))
+	response := sendRaw(t, sidecar.dial(), goldenRequestHead("read", "a09"))
 	transcript.addMessage("the server reads the probe", sidecartest.Next(t, server.requests).text)
 	transcript.addMessage("the server reads the request", sidecartest.Next(t, server.requests).text)
 	transcript.addMessage("the client reads", response)
@@ -102,7 +102,7 @@
 	}
 	sidecar := startSidecar(t, cfg)
 	for _, trace := range []string{"a11", "a12", "a13", "a14"} { // enough for both servers to be chosen
-		sidecar.write(sidecar.dial(), fixedRequest("read", trace))
+		sidecar.write(sidecar.dial(), goldenRequestHead("read", trace))
 	}
 	for {
 		text := sidecartest.Next(t, servers.requests).text
@@ -115,14 +115,14 @@
 
 // recordRetry records a request that one endpoint rejects and the other one serves.
 func recordRetry(t *testing.T, transcript *goldenTranscript) {
-	servers := newRecordingServers(sidecartest.Respond(503, "", neverRanHeader), sidecartest.Respond(200, "done"))
+	servers := newRecordingServers(sidecartest.Respond(503, "", neverExecutedHeader), sidecartest.Respond(200, "done"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", servers.startServer(t)), sidecartest.ReadyEndpoint("s-2", servers.startServer(t))))
-	response := exchangeRaw(t, sidecar.dial(), fixedRequest("pay", "a10", "Content-Length: 7")+"order 7")
+	response := sendRaw(t, sidecar.dial(), goldenRequestHead("pay", "a10", "Content-Length: 7")+"order 7")
 	first, second := sidecartest.Next(t, servers.requests), sidecartest.Next(t, servers.requests)
 	transcript.addMessage("the first server reads", first.text)
 	transcript.addMessage("the second server reads", second.text)
 	transcript.addMessage("the client reads", response)
-	if first.server == second.server {
+	if first.serverAddr == second.serverAddr {
 		t.Error("one endpoint received both attempts")
 	}
 }
@@ -173,7 +173,7 @@
 	more := make(chan bool, 1)
 	sidecar, _ := startGoldenSidecar(t, respondInParts(more, okStatusLine+"Transfer-Encoding: chunked\r\n\r\n5\r\nplate\r\n", "2\r\n 7\r\n0\r\n\r\n"))
 	conn := sidecar.dial()
-	sidecar.write(conn, fixedRequest("read", "b18"))
+	sidecar.write(conn, goldenRequestHead("read", "b18"))
 	first, err := readUntil(conn, func(got string) bool { return strings.HasSuffix(got, "plate\r\n") })
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 func recordLongResponse(response string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, _ := startGoldenSidecar(t, respondRaw(okStatusLine+response))
-		transcript.addLongMessage(t, "the client reads", exchangeRaw(t, sidecar.dial(), fixedRequest("read", "b19")))
+		transcript.addMessageWithLongBody(t, "the client reads", sendRaw(t, sidecar.dial(), goldenRequestHead("read", "b19")))
 	}
 }
 
@@ -199,59 +199,59 @@
 	sidecar, server := startGoldenSidecar(t, sidecartest.Respond(200, "one"), sidecartest.Respond(200, "two"))
 	conn := sidecar.dial()
 	for _, trace := range []string{"b20", "b21"} {
-		transcript.addMessage("the client reads", exchangeRaw(t, conn, fixedRequest("read", trace)))
+		transcript.addMessage("the client reads", sendRaw(t, conn, goldenRequestHead("read", trace)))
 		transcript.addMessage("the server reads", sidecartest.Next(t, server.requests).text)
 	}
 }
 
 // recordRejection records the response after the server rejected the only attempt that the settings allow.
 func recordRejection(t *testing.T, transcript *goldenTranscript) {
-	server := newRecordingServers(sidecartest.Respond(503, "", neverRanHeader))
+	server := newRecordingServers(sidecartest.Respond(503, "", neverExecutedHeader))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.startServer(t)))
 	cfg.Balance.MaxAttempts = 1
 	sidecar := startSidecar(t, cfg)
-	response := exchangeRaw(t, sidecar.dial(), fixedRequest("pay", "b22", "Content-Length: 0"))
+	response := sendRaw(t, sidecar.dial(), goldenRequestHead("pay", "b22", "Content-Length: 0"))
 	transcript.addMessage("the server reads", sidecartest.Next(t, server.requests).text)
 	transcript.addMessage("the client reads", response)
 }
 
-// recordDuplicateTraceID records the responses to two requests with one trace ID at the same time.
-func recordDuplicateTraceID(t *testing.T, transcript *goldenTranscript) {
+// recordPendingTraceID records the responses to two requests with one trace ID at the same time.
+func recordPendingTraceID(t *testing.T, transcript *goldenTranscript) {
 	gate := sidecartest.NewGate()
 	sidecar, _ := startGoldenSidecar(t, gate.Hold(sidecartest.Respond(200, "held")))
 	first := sidecar.dial()
-	sidecar.write(first, fixedRequest("read", "b23"))
+	sidecar.write(first, goldenRequestHead("read", "b23"))
 	gate.AwaitRequest(t)
-	transcript.addMessage("the second client reads", exchangeRaw(t, sidecar.dial(), fixedRequest("read", "b23")))
+	transcript.addMessage("the second client reads", sendRaw(t, sidecar.dial(), goldenRequestHead("read", "b23")))
 	gate.Open()
 	transcript.addMessage("the first client reads", readResponse(t, first))
 }
 
-// upRequest is the health check of the application.
-const upRequest = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n"
+// appHealthCheck is the health check of the application.
+const appHealthCheck = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 
-// recordUp records the first response to a health check that is not a 503: until the endpoint list is applied there may
+// recordAppHealthCheck records the first response to a health check that is not a 503: until the endpoint list is applied there may
 // be such.
-func recordUp(t *testing.T, transcript *goldenTranscript) {
+func recordAppHealthCheck(t *testing.T, transcript *goldenTranscript) {
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", "127.0.0.1:9")))
 	var response string
 	sidecartest.WaitFor(t, "up", func() bool {
-		response = exchangeRaw(t, sidecar.dial(), upRequest)
+		response = sendRaw(t, sidecar.dial(), appHealthCheck)
 		return !strings.HasPrefix(response, "HTTP/1.1 503 ")
 	})
 	transcript.addMessage("the client reads", response)
 }
 
-// recordUpWithoutEndpoints records the response to a health check where no endpoint is known.
-func recordUpWithoutEndpoints(t *testing.T, transcript *goldenTranscript) {
+// recordAppHealthCheckWithoutEndpoints records the response to a health check where no endpoint is known.
+func recordAppHealthCheckWithoutEndpoints(t *testing.T, transcript *goldenTranscript) {
 	sidecar := startSidecar(t, sidecartest.Config(t))
-	transcript.addMessage("the client reads", exchangeRaw(t, sidecar.dial(), upRequest))
+	transcript.addMessage("the client reads", sendRaw(t, sidecar.dial(), appHealthCheck))
 }
 
 // recordAdminCall records the response to a request at the admin address.
 func recordAdminCall(t *testing.T, transcript *goldenTranscript, sidecar *testSidecar, call string) {
 	t.Helper()
-	transcript.addMessage(call, exchangeRaw(t, sidecar.dialAddr(sidecar.adminAddr), call+" HTTP/1.1\r\nHost: second\r\nContent-Length: 0\r\n\r\n"))
+	transcript.addMessage(call, sendRaw(t, sidecar.dialAddr(sidecar.adminAddr), call+" HTTP/1.1\r\nHost: second\r\nContent-Length: 0\r\n\r\n"))
 }
 
 // recordReadiness records the readiness before and after the first endpoint list.
@@ -268,18 +268,18 @@
 func recordMetrics(t *testing.T, transcript *goldenTranscript) {
 	server := newRecordingServers(
 		sidecartest.Respond(200, "one"), sidecartest.Respond(500, ""), sidecartest.Respond(200, "two"),
-		sidecartest.Respond(500, ""), sidecartest.Respond(200, "three"), sidecartest.Respond(503, "", neverRanHeader),
+		sidecartest.Respond(500, ""), sidecartest.Respond(200, "three"), sidecartest.Respond(503, "", neverExecutedHeader),
 	)
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.startServer(t)))
 	sidecar := startSidecar(t, withAdmin(cfg))
 	sidecartest.WaitFor(t, "the endpoint list is applied", func() bool { return sidecar.metric("members") == "1" })
 	for _, request := range []string{
-		fixedRequest("read", "c1"), fixedRequest("pay", "c4", "Content-Length: 0"), fixedRequest("read", "c2"),
-		fixedRequest("pay", "c5", "Content-Length: 0"), fixedRequest("reserve", "c3", "Content-Length: 0"),
-		strings.Replace(fixedRequest("pay", "c6", "Content-Length: 0"), "15000m", "300m", 1),
-		strings.Replace(fixedRequest("read", "c7"), "acme", "other", 1),
+		goldenRequestHead("read", "c1"), goldenRequestHead("pay", "c4", "Content-Length: 0"), goldenRequestHead("read", "c2"),
+		goldenRequestHead("pay", "c5", "Content-Length: 0"), goldenRequestHead("reserve", "c3", "Content-Length: 0"),
+		strings.Replace(goldenRequestHead("pay", "c6", "Content-Length: 0"), "15000m", "300m", 1),
+		strings.Replace(goldenRequestHead("read", "c7"), "acme", "other", 1),
 	} {
-		first, _, _ := strings.Cut(exchangeRaw(t, sidecar.dial(), request), "\r\n")
+		first, _, _ := strings.Cut(sendRaw(t, sidecar.dial(), request), "\r\n")
 		transcript.addLine("(a request is answered " + first + ")")
 	}
 	recordAdminCall(t, transcript, sidecar, "GET /api/telemetry")
--- a/internal/sidecar/golden_exchange_test.go
+++ b/internal/sidecar/golden_exchange_test.go
@@ -17,8 +17,8 @@
 	return startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", servers.startServer(t)))), servers
 }
 
-// fixedRequest returns the head of a request that is the same in each run, with additional header lines.
-func fixedRequest(class, trace string, lines ...string) string {
+// goldenRequestHead returns the head of a request that is the same in each run, with additional header lines.
+func goldenRequestHead(class, trace string, lines ...string) string {
 	method := "POST"
 	if class == "read" {
 		method = "GET"
@@ -33,8 +33,8 @@
 	return strings.Join(append(head, lines...), "\r\n") + "\r\n\r\n"
 }
 
-// exchangeRaw sends a request on a connection and returns the response.
-func exchangeRaw(t *testing.T, conn net.Conn, request string) string {
+// sendRaw sends a request on a connection and returns the response.
+func sendRaw(t *testing.T, conn net.Conn, request string) string {
 	t.Helper()
 	if _, err := io.WriteString(conn, request); err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 // readResponse reads a response, and to the end of the connection if the response announces a close.
 func readResponse(t *testing.T, conn net.Conn) string {
 	t.Helper()
-	text, err := readUntil(conn, isComplete)
+	text, err := readUntil(conn, isCompleteMessage)
 	if err != nil && err != io.EOF {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 func recordExchange(request string, steps ...sidecartest.Step) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t, steps...)
-		response := exchangeRaw(t, sidecar.dial(), request)
+		response := sendRaw(t, sidecar.dial(), request)
 		for range steps {
 			transcript.addMessage("the server reads", sidecartest.Next(t, server.requests).text)
 		}
@@ -75,8 +75,8 @@
 func recordLongExchange(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t, sidecartest.Respond(200, "kept"))
-		response := exchangeRaw(t, sidecar.dial(), request)
-		transcript.addLongMessage(t, "the server reads", sidecartest.Next(t, server.requests).text)
+		response := sendRaw(t, sidecar.dial(), request)
+		transcript.addMessageWithLongBody(t, "the server reads", sidecartest.Next(t, server.requests).text)
 		transcript.addMessage("the client reads", response)
 	}
 }
@@ -85,7 +85,7 @@
 func recordRejectedRequest(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t)
-		transcript.addMessage("the client reads", exchangeRaw(t, sidecar.dial(), request))
+		transcript.addMessage("the client reads", sendRaw(t, sidecar.dial(), request))
 		if got := len(server.requests); got != 0 {
 			t.Errorf("%d requests reached the endpoint", got)
 		}
@@ -97,7 +97,7 @@
 func recordResponseWithoutEndpoints(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar := startSidecar(t, sidecartest.Config(t))
-		transcript.addMessage("the client reads", exchangeRaw(t, sidecar.dial(), request))
+		transcript.addMessage("the client reads", sendRaw(t, sidecar.dial(), request))
 	}
 }
 
@@ -115,6 +115,6 @@
 
 // Parts of the responses of servers.
 const (
-	okStatusLine   = "HTTP/1.1 200 OK\r\n"
-	neverRanHeader = "X-Never-Ran: 1"
+	okStatusLine        = "HTTP/1.1 200 OK\r\n"
+	neverExecutedHeader = "X-Never-Ran: 1"
 )
--- a/internal/sidecar/golden_record_test.go
+++ b/internal/sidecar/golden_record_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// addLongMessage appends the head of a message, and of its body the framing, the length and the checksum.
-func (transcript *goldenTranscript) addLongMessage(t *testing.T, title, message string) {
+// addMessageWithLongBody appends the head of a message, and of its body the framing, the length and the checksum.
+func (transcript *goldenTranscript) addMessageWithLongBody(t *testing.T, title, message string) {
 	t.Helper()
 	head, body, _ := strings.Cut(message, "\r\n\r\n")
 	transcript.addMessage(title, head+"\r\n\r\n")
@@ -74,15 +74,15 @@
 // contentLengthPattern finds the length of the body in the head of a message.
 var contentLengthPattern = regexp.MustCompile(`(?i)\r\ncontent-length: ([0-9]+)`)
 
-// isComplete reports whether a message is a complete request, or a complete response with the interim responses before
+// isCompleteMessage reports whether a message is a complete request, or a complete response with the interim responses before
 // it. A response without a length ends with its connection.
-func isComplete(message string) bool {
+func isCompleteMessage(message string) bool {
 	head, body, found := strings.Cut(message, "\r\n\r\n")
 	switch length := contentLengthPattern.FindStringSubmatch(head); {
 	case !found:
 		return false
 	case strings.HasPrefix(head, "HTTP/1.1 1"):
-		return isComplete(body)
+		return isCompleteMessage(body)
 	case isChunked(head):
 		return strings.HasSuffix("\r\n"+body, "\r\n0\r\n\r\n")
 	case length != nil:
@@ -106,19 +106,19 @@
 	return got.String(), nil
 }
 
-// receivedRequest is a request with the address of the server that received it.
-type receivedRequest struct{ server, text string }
+// recordedRequest is a request with the address of the server that received it.
+type recordedRequest struct{ serverAddr, text string }
 
 // recordingServers are servers that record the bytes of each request. They share one list of steps: each request takes
 // the next one, whichever server receives it.
 type recordingServers struct {
-	requests chan receivedRequest
+	requests chan recordedRequest
 	steps    chan sidecartest.Step
 }
 
 // newRecordingServers returns the shared state; the servers are added by startServer.
 func newRecordingServers(steps ...sidecartest.Step) *recordingServers {
-	servers := &recordingServers{requests: make(chan receivedRequest, 100), steps: make(chan sidecartest.Step, len(steps))}
+	servers := &recordingServers{requests: make(chan recordedRequest, 100), steps: make(chan sidecartest.Step, len(steps))}
 	for _, s := range steps {
 		servers.steps <- s
 	}
@@ -145,11 +145,11 @@
 func (servers *recordingServers) serve(conn net.Conn) {
 	defer conn.Close()
 	for {
-		text, err := readUntil(conn, isComplete)
+		text, err := readUntil(conn, isCompleteMessage)
 		if err != nil {
 			return
 		}
-		servers.requests <- receivedRequest{conn.LocalAddr().String(), text}
+		servers.requests <- recordedRequest{conn.LocalAddr().String(), text}
 		select {
 		case step := <-servers.steps:
 			if !step(conn) {
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -17,8 +17,8 @@
 
 // goldenCase is one scenario, whose transcript is recorded in the golden file under its name.
 type goldenCase struct {
-	name string
-	run  func(*testing.T, *goldenTranscript)
+	name   string
+	record func(*testing.T, *goldenTranscript)
 }
 
 // TestGolden checks that the bytes which a sidecar writes to servers, to discovery, to clients and at the admin address
@@ -29,7 +29,7 @@
 	for _, test := range goldenCases {
 		t.Run(test.name, func(t *testing.T) {
 			transcript := &goldenTranscript{}
-			test.run(t, transcript)
+			test.record(t, transcript)
 			got := transcript.text.String()
 			if *updateGolden {
 				stored[test.name] = got
@@ -60,8 +60,8 @@
 	}
 }
 
-// goldenHeading starts the line with the name of a case.
-const goldenHeading = "=== "
+// goldenHeadingPrefix starts the line with the name of a case.
+const goldenHeadingPrefix = "=== "
 
 // readGolden returns the recorded transcripts by the names of their cases.
 func readGolden(t *testing.T) map[string]string {
@@ -71,7 +71,7 @@
 	if err != nil && !(*updateGolden && os.IsNotExist(err)) {
 		t.Fatal(err)
 	}
-	for _, part := range strings.Split("\n"+string(text), "\n"+goldenHeading)[1:] {
+	for _, part := range strings.Split("\n"+string(text), "\n"+goldenHeadingPrefix)[1:] {
 		name, body, _ := strings.Cut(part, "\n")
 		stored[name] = strings.TrimSuffix(body, "\n") + "\n"
 	}
@@ -84,7 +84,7 @@
 	var out strings.Builder
 	for _, test := range goldenCases {
 		if text, ok := stored[test.name]; ok {
-			out.WriteString(goldenHeading + test.name + "\n" + text)
+			out.WriteString(goldenHeadingPrefix + test.name + "\n" + text)
 		}
 	}
 	if err := os.WriteFile(goldenPath, []byte(out.String()), 0o644); err != nil {
--- a/internal/sidecar/listen_test.go
+++ b/internal/sidecar/listen_test.go
@@ -8,31 +8,31 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestListenRetriesWhileAddressIsInUse tests the failure in which the previous process still has the address when the next one
-// starts. The next one must wait for it.
+// TestListenRetriesWhileAddressIsInUse guards against a process that exits because the previous process still listens on
+// its address. The new process must wait until the address is free.
 func TestListenRetriesWhileAddressIsInUse(t *testing.T) {
 	previous := sidecartest.Listen(t)
 	cfg := sidecartest.Config(t)
 	cfg.Listen = previous.Addr().String()
 	time.AfterFunc(200*time.Millisecond, func() { previous.Close() })
-	var env startupResources
-	if err := env.listen(cfg); err != nil {
+	var resources startupResources
+	if err := resources.listen(cfg); err != nil {
 		t.Fatal(err)
 	}
-	env.clientListener.Close()
+	resources.clientListener.Close()
 }
 
-// TestListenFailsAtOnceForInvalidAddress checks that listening at an invalid address is not retried.
+// TestListenFailsAtOnceForInvalidAddress checks that listening on an invalid address is not retried.
 func TestListenFailsAtOnceForInvalidAddress(t *testing.T) {
 	cfg := sidecartest.Config(t)
-	cfg.Listen = "127.0.0.1:70000" // no port has this number
-	began := time.Now()
-	var env startupResources
+	cfg.Listen = "127.0.0.1:70000" // above the highest port number
+	start := time.Now()
+	var resources startupResources
 	var listenErr *ListenError
-	if err := env.listen(cfg); !errors.As(err, &listenErr) || listenErr.Address != cfg.Listen {
-		t.Errorf("error %v, want a ListenError with the address", err)
+	if err := resources.listen(cfg); !errors.As(err, &listenErr) || listenErr.Address != cfg.Listen {
+		t.Errorf("got error %v, want a ListenError with address %q", err, cfg.Listen)
 	}
-	if took := time.Since(began); took > listenRetryTimeout/2 {
-		t.Errorf("it took %v to fail", took)
+	if elapsed := time.Since(start); elapsed > listenRetryTimeout/2 {
+		t.Errorf("got the error after %v, want at most %v", elapsed, listenRetryTimeout/2)
 	}
 }
--- a/internal/sidecar/log_barrier_test.go
+++ b/internal/sidecar/log_barrier_test.go
@@ -5,28 +5,29 @@
 	"log/slog"
 )
 
-// logBarrier is a log handler that blocks the goroutine which logs a certain message until it is released.
+// logBarrier is a log handler that blocks each goroutine that logs blockedMessage, until release is closed.
 type logBarrier struct {
 	slog.Handler
-	message          string
-	reached, release chan bool
+	blockedMessage string
+	reached        chan bool // receives a value for each time that the message is logged
+	release        chan bool // closed by the test
 }
 
-// maxBarrierMessages is more than the times that a message is logged before and after the release.
-const maxBarrierMessages = 100
+// barrierBacklog is more than the number of times that a message is logged before and after the release.
+const barrierBacklog = 100
 
-// newLogBarrier returns a barrier for a message. It announces the message without waiting for the test: the sidecar may log it
-// by itself while the test waits for something else, and both would wait for ever.
+// newLogBarrier returns a barrier for a message. Its channel reached has a buffer of barrierBacklog: the sidecar may log
+// the message while the test waits for something else, and without the buffer they would wait for each other forever.
 func newLogBarrier(message string) logBarrier {
-	return logBarrier{slog.DiscardHandler, message, make(chan bool, maxBarrierMessages), make(chan bool)}
+	return logBarrier{slog.DiscardHandler, message, make(chan bool, barrierBacklog), make(chan bool)}
 }
 
-// Enabled reports true for all levels, so that the message is not missed.
+// Enabled returns true for every level, so that the barrier sees all messages.
 func (barrier logBarrier) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle announces the message and blocks until the barrier is released.
+// Handle signals that the message was logged, and blocks until release is closed.
 func (barrier logBarrier) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == barrier.message {
+	if r.Message == barrier.blockedMessage {
 		barrier.reached <- true
 		<-barrier.release
 	}
--- a/internal/sidecar/readblocker_test.go
+++ b/internal/sidecar/readblocker_test.go
@@ -9,28 +9,29 @@
 	"cindersaddle/internal/config"
 )
 
-// readBlocker blocks the reads from one client after the first one, so that no read reports its disconnect.
+// readBlocker lets the sidecar read once from one client and blocks the second read, so that no read reports that the
+// client disconnected.
 type readBlocker struct {
-	mu         sync.Mutex
+	mu         sync.Mutex // protects clientAddr and readCounts
 	clientAddr string
-	reads      map[string]int
-	blocked    chan bool // closed when the read after the first has begun
-	unblocked  chan bool // closed when reading may go on
-	unblock    func()    // closes unblocked, once
+	readCounts map[string]int
+	blocked    chan bool // closed when the second read from clientAddr begins
+	unblocked  chan bool // closed when the second read may proceed
+	unblock    func()    // closes unblocked; may be called more than once
 }
 
-// newReadBlocker returns a blocker for a client that is dialled later.
+// newReadBlocker returns a blocker without a client; dialBlocked sets the client.
 func newReadBlocker() *readBlocker {
-	blocker := &readBlocker{reads: map[string]int{}, blocked: make(chan bool), unblocked: make(chan bool)}
+	blocker := &readBlocker{readCounts: map[string]int{}, blocked: make(chan bool), unblocked: make(chan bool)}
 	blocker.unblock = sync.OnceFunc(func() { close(blocker.unblocked) })
 	return blocker
 }
 
-// beforeRead is called ahead of each read from a client.
+// beforeRead is the read hook that the sidecar calls before each read from a client.
 func (blocker *readBlocker) beforeRead(from net.Addr) {
 	blocker.mu.Lock()
-	blocker.reads[from.String()]++
-	second := from.String() == blocker.clientAddr && blocker.reads[blocker.clientAddr] == 2
+	blocker.readCounts[from.String()]++
+	second := from.String() == blocker.clientAddr && blocker.readCounts[blocker.clientAddr] == 2
 	blocker.mu.Unlock()
 	if second {
 		close(blocker.blocked)
@@ -38,7 +39,7 @@
 	}
 }
 
-// dialBlocked connects the client whose reads are blocked.
+// dialBlocked opens a client connection whose second read is blocked.
 func (blocker *readBlocker) dialBlocked(sidecar *testSidecar) net.Conn {
 	conn := sidecar.dial()
 	blocker.mu.Lock()
@@ -47,19 +48,20 @@
 	return conn
 }
 
-// startWithReadBlocker starts a sidecar with an admin address, and a blocker for a client that is dialled later.
-func startWithReadBlocker(t *testing.T, cfg *config.Config, log slog.Handler) (*testSidecar, *readBlocker) {
+// startWithReadBlocker starts a sidecar with an admin address and a read blocker, for a client that dialBlocked connects
+// later.
+func startWithReadBlocker(t *testing.T, cfg *config.Config, logHandler slog.Handler) (*testSidecar, *readBlocker) {
 	t.Helper()
 	blocker := newReadBlocker()
-	sidecar := startSidecarWith(t, withAdmin(cfg), log, readHooks{before: blocker.beforeRead})
+	sidecar := startSidecarWithHooks(t, withAdmin(cfg), logHandler, readHooks{before: blocker.beforeRead})
 	t.Cleanup(blocker.unblock)
 	return sidecar, blocker
 }
 
-// startWithBlockedClient starts a sidecar with an admin address, and a client connection from which it reads only once. The
-// request must follow soon: a connection without one is closed.
-func startWithBlockedClient(t *testing.T, cfg *config.Config, log slog.Handler) (*testSidecar, *readBlocker, net.Conn) {
+// startWithBlockedClient starts a sidecar with an admin address, and opens a client connection from which the sidecar
+// reads only once. The caller must send a request soon, because the sidecar closes connections without one.
+func startWithBlockedClient(t *testing.T, cfg *config.Config, logHandler slog.Handler) (*testSidecar, *readBlocker, net.Conn) {
 	t.Helper()
-	sidecar, blocker := startWithReadBlocker(t, cfg, log)
+	sidecar, blocker := startWithReadBlocker(t, cfg, logHandler)
 	return sidecar, blocker, blocker.dialBlocked(sidecar)
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -129,7 +129,7 @@
 // invalidFiles returns contents of the configuration file that must be rejected. Where the file can be parsed, also has been
 // replaced in it.
 func invalidFiles(file *configFile, also replacement) []string {
-	contents := []string{"", "{", "null", "[]", "{}", file.text[:len(file.text)/2], strings.TrimSpace(file.text) + "}"}
+	contents := []string{"", "{", "null", "[]", "{}", file.originalText[:len(file.originalText)/2], strings.TrimSpace(file.originalText) + "}"}
 	for _, invalid := range invalidReplacements {
 		contents = append(contents, file.replace(invalid, also))
 	}
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -56,8 +56,8 @@
 		first  sidecartest.Step
 		status int
 	}{
-		"rejected":                        {sidecartest.Respond(503, "", neverRanHeader), 200},
-		"expired already":                 {sidecartest.Respond(504, "", neverRanHeader), 200},
+		"rejected":                        {sidecartest.Respond(503, "", neverExecutedHeader), 200},
+		"expired already":                 {sidecartest.Respond(504, "", neverExecutedHeader), 200},
 		"503 that may have been executed": {sidecartest.Respond(503, ""), 502},
 		"error":                           {sidecartest.Respond(500, ""), 502},
 		"reset":                           {sidecartest.RespondRawAndClose(""), 502},
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -118,7 +118,7 @@
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	read, release := make(chan bool, 1), make(chan bool)
 	var armed atomic.Bool
-	sidecar := startSidecarWith(t, cfg, slog.DiscardHandler, readHooks{after: func() {
+	sidecar := startSidecarWithHooks(t, cfg, slog.DiscardHandler, readHooks{after: func() {
 		if armed.CompareAndSwap(true, false) {
 			read <- true
 			<-release
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -24,13 +24,13 @@
 	exited chan error
 }
 
-// lastHost numbers the loopback hosts that unusedHostAddr returned.
-var lastHost atomic.Int64
+// lastHostNumber numbers the loopback hosts that unusedHostAddr returned.
+var lastHostNumber atomic.Int64
 
 // unusedHostAddr returns an address on a loopback host that nothing else uses, so that the port stays unused.
 func unusedHostAddr(t *testing.T) string {
 	t.Helper()
-	n := lastHost.Add(1)
+	n := lastHostNumber.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%128, n/250, 1+n%250)
 	ln, err := net.Listen("tcp", host)
 	if err != nil {
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// startPartialReader starts a server that reads a number of bytes of each connection, writes the response and closes. It
+// startPartialReadServer starts a server that reads a number of bytes of each connection, writes the response and closes. It
 // returns the address and a channel with a value for each connection.
-func startPartialReader(t *testing.T, count int64, response string) (addr string, conns <-chan bool) {
+func startPartialReadServer(t *testing.T, count int64, response string) (addr string, conns <-chan bool) {
 	t.Helper()
 	ln := sidecartest.Listen(t)
 	accepted := make(chan bool, 100)
@@ -67,13 +67,13 @@
 	return ln.Addr().String(), accepted
 }
 
-// waitForConns is a part of a body without bytes. It ends when a server has accepted a number of connections.
-type waitForConns struct {
+// waitForConnsReader is a part of a body without bytes. It ends when a server has accepted a number of connections.
+type waitForConnsReader struct {
 	server *sidecartest.ScriptedServer
 	count  int
 }
 
-func (w waitForConns) Read([]byte) (int, error) {
+func (w waitForConnsReader) Read([]byte) (int, error) {
 	for end := time.Now().Add(sidecartest.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if w.server.ConnCount() >= w.count {
 			return 0, io.EOF
@@ -86,7 +86,7 @@
 // request cannot have been executed, and must be retried with the buffered body. The client sends its last byte only when the
 // retry has begun, as the kernel could otherwise take all of the body before the endpoint closes.
 func TestRequestBodyReplay(t *testing.T) {
-	partialReaderAddr, accepted := startPartialReader(t, 1000, "")
+	partialReaderAddr, accepted := startPartialReadServer(t, 1000, "")
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken", "Connection: close"))
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
 	attempts := 0
@@ -96,7 +96,7 @@
 		text := sidecartest.LongBody[:exchange.MaxReplayBytes/2]
 		lastByte := len(text) - 1
 		request.Body = io.NopCloser(io.MultiReader(
-			strings.NewReader(text[:lastByte]), waitForConns{server, attempts}, strings.NewReader(text[lastByte:]),
+			strings.NewReader(text[:lastByte]), waitForConnsReader{server, attempts}, strings.NewReader(text[lastByte:]),
 		))
 		request.ContentLength = int64(len(text))
 		if resp, _ := sidecar.do(request); resp.StatusCode != 200 {
@@ -114,7 +114,7 @@
 // executed.
 func TestUnbufferedBodyIsSentOnce(t *testing.T) {
 	text := strings.Repeat(sidecartest.LongBody, 12) // more than the socket buffers hold
-	partialReaderAddr, accepted := startPartialReader(t, int64(len(sidecartest.LongBody)*3), "")
+	partialReaderAddr, accepted := startPartialReadServer(t, int64(len(sidecartest.LongBody)*3), "")
 	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", partialReaderAddr)))
 	conn := sidecar.dial()
 	go io.WriteString(conn, sidecar.rawRequestHead("pay", fmt.Sprintf("Content-Length: %d", len(text)))+text)
@@ -131,9 +131,9 @@
 	conn := sidecar.dial()
 	head := sidecar.rawRequestHead("pay", fmt.Sprintf("Content-Length: %d", len(sidecartest.LongBody)))
 	sidecar.write(conn, head+sidecartest.LongBody[:len(sidecartest.LongBody)/2])
-	sidecar.waitForPending(1)
+	sidecar.waitForPendingRequests(1)
 	conn.Close()
-	sidecar.waitForPending(0)
+	sidecar.waitForPendingRequests(0)
 	if got := len(server.Requests()); got != 0 {
 		t.Errorf("%d requests reached the endpoint, want 0", got)
 	}
