--- a/internal/sidecar/golden_exchange_test.go
+++ b/internal/sidecar/golden_exchange_test.go
@@ -10,7 +10,7 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// startGoldenSidecar starts a sidecar with one recording server.
+// startGoldenSidecar starts a sidecar with one endpoint, a recording server that runs steps.
 func startGoldenSidecar(t *testing.T, steps ...sidecartest.Step) (*testSidecar, *recordingServers) {
 	t.Helper()
 	servers := newRecordingServers(steps...)
@@ -18,13 +18,13 @@
 }
 
 // goldenRequestHead returns the head of a request that is the same in each run, with additional header lines.
-func goldenRequestHead(class, trace string, lines ...string) string {
+func goldenRequestHead(class, traceID string, lines ...string) string {
 	method := "POST"
 	if class == "read" {
 		method = "GET"
 	}
 	head := []string{
-		method + " /api HTTP/1.1", "Host: app.svc", "X-Trace-Id: " + trace, "X-Qos: " + class,
+		method + " /api HTTP/1.1", "Host: app.svc", "X-Trace-Id: " + traceID, "X-Qos: " + class,
 		"X-Customer: acme", "X-Expires-In: 15000m",
 	}
 	if class == "reserve" {
@@ -33,7 +33,7 @@
 	return strings.Join(append(head, lines...), "\r\n") + "\r\n\r\n"
 }
 
-// sendRaw sends a request on a connection and returns the response.
+// sendRaw writes a request to a connection and returns the response.
 func sendRaw(t *testing.T, conn net.Conn, request string) string {
 	t.Helper()
 	if _, err := io.WriteString(conn, request); err != nil {
@@ -42,7 +42,7 @@
 	return readResponse(t, conn)
 }
 
-// readResponse reads a response, and to the end of the connection if the response announces a close.
+// readResponse reads a response. If the response announces a close, it reads to the end of the connection.
 func readResponse(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	text, err := readUntil(conn, isCompleteMessage)
@@ -59,7 +59,8 @@
 	return text + string(rest)
 }
 
-// recordExchange records a request as the servers receive it and the response as the client receives it.
+// recordExchange returns a scenario that records a request as the server receives it, once for each step, and the response
+// as the client receives it.
 func recordExchange(request string, steps ...sidecartest.Step) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t, steps...)
@@ -71,7 +72,7 @@
 	}
 }
 
-// recordLongExchange records a request with a long body as the server receives it, and its response.
+// recordLongExchange returns a scenario that records a request with a long body as the server receives it, and its response.
 func recordLongExchange(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t, sidecartest.Respond(200, "kept"))
@@ -81,19 +82,19 @@
 	}
 }
 
-// recordRejectedRequest records the response to a request that must not reach an endpoint.
+// recordRejectedRequest returns a scenario that records the response to a request that must not reach an endpoint.
 func recordRejectedRequest(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t)
 		transcript.addMessage("the client reads", sendRaw(t, sidecar.dial(), request))
 		if got := len(server.requests); got != 0 {
-			t.Errorf("%d requests reached the endpoint", got)
+			t.Errorf("got %d requests at the endpoint, want 0", got)
 		}
 	}
 }
 
-// recordResponseWithoutEndpoints records the response of a sidecar that knows no endpoints. With one, an attempt might begin in
-// the moment that a request without remaining time has.
+// recordResponseWithoutEndpoints returns a scenario that records the response of a sidecar that knows no endpoints. A
+// request without remaining time needs this, because an attempt could begin if there were an endpoint.
 func recordResponseWithoutEndpoints(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar := startSidecar(t, sidecartest.Config(t))
@@ -101,10 +102,10 @@
 	}
 }
 
-// goldenLongBody is longer than the bodies that a sidecar buffers in one piece.
+// goldenLongBody is longer than the bodies that a sidecar buffers as a whole, so it is streamed.
 var goldenLongBody = strings.Repeat("0123456789abcdef", 6<<10)
 
-// chunkedBody encodes a body with one chunk for each part.
+// chunkedBody returns a chunked body with one chunk for each part.
 func chunkedBody(parts ...string) string {
 	var out strings.Builder
 	for _, part := range parts {
@@ -113,7 +114,7 @@
 	return out.String() + "0\r\n\r\n"
 }
 
-// Parts of the responses of servers.
+// Parts of server responses.
 const (
 	okStatusLine        = "HTTP/1.1 200 OK\r\n"
 	neverExecutedHeader = "X-Never-Ran: 1"
--- a/internal/sidecar/golden_record_test.go
+++ b/internal/sidecar/golden_record_test.go
@@ -16,10 +16,10 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// goldenTranscript collects the messages of one case in the form of the golden file.
+// goldenTranscript collects the messages of one case in the format of the golden file.
 type goldenTranscript struct{ text strings.Builder }
 
-// addMessage appends a normalised message under a title.
+// addMessage appends a title and the normalised message, with each line quoted.
 func (transcript *goldenTranscript) addMessage(title, message string) {
 	transcript.addLine("--- " + title)
 	for line := range strings.Lines(normalise(message)) {
@@ -28,7 +28,8 @@
 	}
 }
 
-// addMessageWithLongBody appends the head of a message, and of its body the framing, the length and the checksum.
+// addMessageWithLongBody appends a title, the head of a message, and a summary of its body: the framing, the length
+// and the checksum. The framing of a chunked body is removed first.
 func (transcript *goldenTranscript) addMessageWithLongBody(t *testing.T, title, message string) {
 	t.Helper()
 	head, body, _ := strings.Cut(message, "\r\n\r\n")
@@ -44,10 +45,10 @@
 	transcript.addLine(fmt.Sprintf("(body %s: %d bytes, SHA-256 %x)", framing, len(body), sha256.Sum256([]byte(body))))
 }
 
-// addLine appends a line as it is.
+// addLine appends a line without changes.
 func (transcript *goldenTranscript) addLine(line string) { transcript.text.WriteString(line + "\n") }
 
-// normalisations replace what differs from run to run.
+// normalisations replace the parts of messages that differ from run to run.
 var normalisations = []struct {
 	pattern     *regexp.Regexp
 	replacement string
@@ -71,11 +72,11 @@
 	return strings.Contains(strings.ToLower(head), "\r\ntransfer-encoding: chunked")
 }
 
-// contentLengthPattern finds the length of the body in the head of a message.
+// contentLengthPattern matches the Content-Length in the head of a message.
 var contentLengthPattern = regexp.MustCompile(`(?i)\r\ncontent-length: ([0-9]+)`)
 
-// isCompleteMessage reports whether a message is a complete request, or a complete response with the interim responses before
-// it. A response without a length ends with its connection.
+// isCompleteMessage reports whether message is a complete request, or a complete response after any interim responses.
+// It is always false for a response without a length, which ends with its connection.
 func isCompleteMessage(message string) bool {
 	head, body, found := strings.Cut(message, "\r\n\r\n")
 	switch length := contentLengthPattern.FindStringSubmatch(head); {
@@ -92,7 +93,7 @@
 	return !strings.HasPrefix(head, "HTTP/")
 }
 
-// readUntil reads from a connection until the text is complete or the connection ends.
+// readUntil reads from a connection until complete returns true for the text, or a read fails.
 func readUntil(conn net.Conn, complete func(string) bool) (string, error) {
 	var got bytes.Buffer
 	buffer := make([]byte, 64<<10)
@@ -106,26 +107,26 @@
 	return got.String(), nil
 }
 
-// recordedRequest is a request with the address of the server that received it.
+// recordedRequest is the text of a request and the address of the server that received it.
 type recordedRequest struct{ serverAddr, text string }
 
-// recordingServers are servers that record the bytes of each request. They share one list of steps: each request takes
-// the next one, whichever server receives it.
+// recordingServers is a group of servers that record the bytes of each request. They share one list of steps: each request
+// runs the next step, whichever server receives it.
 type recordingServers struct {
 	requests chan recordedRequest
 	steps    chan sidecartest.Step
 }
 
-// newRecordingServers returns the shared state; the servers are added by startServer.
+// newRecordingServers returns a group without servers; startServer adds them.
 func newRecordingServers(steps ...sidecartest.Step) *recordingServers {
 	servers := &recordingServers{requests: make(chan recordedRequest, 100), steps: make(chan sidecartest.Step, len(steps))}
-	for _, s := range steps {
-		servers.steps <- s
+	for _, step := range steps {
+		servers.steps <- step
 	}
 	return servers
 }
 
-// startServer adds a server and returns its address.
+// startServer adds a server to the group and returns its address.
 func (servers *recordingServers) startServer(t *testing.T) string {
 	t.Helper()
 	ln := sidecartest.Listen(t)
@@ -141,7 +142,7 @@
 	return ln.Addr().String()
 }
 
-// serve runs a step for each request on a connection. After the last step requests are recorded and get no response.
+// serve runs a step for each request on a connection. When no steps are left, requests are recorded and get no response.
 func (servers *recordingServers) serve(conn net.Conn) {
 	defer conn.Close()
 	for {
@@ -162,7 +163,7 @@
 	}
 }
 
-// respondRaw writes a response as it is given and keeps the connection.
+// respondRaw returns a step that writes text without changes and keeps the connection.
 func respondRaw(text string) sidecartest.Step {
 	return func(conn net.Conn) bool {
 		_, err := io.WriteString(conn, text)
@@ -170,8 +171,9 @@
 	}
 }
 
-// respondRawAndClose writes a response that ends with its connection. Text and end leave in one segment: whether a
-// response without a length is buffered depends on how soon its end arrives.
+// respondRawAndClose returns a step that writes text without changes and closes the connection. TCP_CORK puts the text and
+// the end of the connection into one segment, because whether the sidecar buffers a response without a length depends on
+// how soon its end arrives.
 func respondRawAndClose(text string) sidecartest.Step {
 	return func(conn net.Conn) bool {
 		raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// updateGolden makes TestGolden record testdata/golden.txt anew:
+// updateGolden makes TestGolden rewrite testdata/golden.txt:
 //
 //	go test ./internal/sidecar -run TestGolden -update
 var updateGolden = flag.Bool("update", false, "rewrite testdata/golden.txt")
 
-// goldenPath is the file with the recorded transcripts.
+// goldenPath is the path of the golden file.
 const goldenPath = "testdata/golden.txt"
 
-// goldenCase is one scenario, whose transcript is recorded in the golden file under its name.
+// goldenCase is a scenario. The golden file has its transcript under its name.
 type goldenCase struct {
 	name   string
 	record func(*testing.T, *goldenTranscript)
 }
 
-// TestGolden checks that the bytes which a sidecar writes to servers, to discovery, to clients and at the admin address
-// are those of testdata/golden.txt. Line ends are recorded as \r\n, and header lines in the order in which they are
+// TestGolden checks that the bytes that a sidecar writes to servers, discovery, clients and callers of the admin address
+// are those in testdata/golden.txt. Line ends are recorded as \r\n. Header lines are recorded in the order in which they are
 // written, which is fixed. Only times, addresses and the framing of long bodies are normalised.
 func TestGolden(t *testing.T) {
 	stored := readGolden(t)
@@ -34,7 +34,7 @@
 			if *updateGolden {
 				stored[test.name] = got
 			} else if want, ok := stored[test.name]; !ok || got != want {
-				t.Errorf("the transcript differs\n--- recorded:\n%s\n--- got:\n%s", want, got)
+				t.Errorf("the transcript differs from the golden file\n--- want:\n%s\n--- got:\n%s", want, got)
 			}
 		})
 	}
@@ -44,26 +44,26 @@
 	checkGoldenCaseNames(t, stored)
 }
 
-// checkGoldenCaseNames checks that no name is used twice and that each case of the golden file still exists.
+// checkGoldenCaseNames checks that the names of the cases are unique and that each case of the golden file still exists.
 func checkGoldenCaseNames(t *testing.T, stored map[string]string) {
 	known := map[string]bool{}
 	for _, test := range goldenCases {
 		if known[test.name] {
-			t.Errorf("two cases named %q", test.name)
+			t.Errorf("got more than one case named %q, want unique names", test.name)
 		}
 		known[test.name] = true
 	}
 	for name := range stored {
 		if !known[name] {
-			t.Errorf("case %q of the golden file does not exist", name)
+			t.Errorf("case %q of the golden file is not in goldenCases", name)
 		}
 	}
 }
 
-// goldenHeadingPrefix starts the line with the name of a case.
+// goldenHeadingPrefix is the beginning of a line with the name of a case.
 const goldenHeadingPrefix = "=== "
 
-// readGolden returns the recorded transcripts by the names of their cases.
+// readGolden returns the transcripts of the golden file by the names of their cases.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	stored := map[string]string{}
@@ -78,7 +78,7 @@
 	return stored
 }
 
-// writeGolden records the transcripts in the order of the cases.
+// writeGolden writes the transcripts to the golden file, in the order of goldenCases.
 func writeGolden(t *testing.T, stored map[string]string) {
 	t.Helper()
 	var out strings.Builder
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestGoldenNormalise checks that only times and addresses in their exact form are normalised, so that a change of the
-// form shows in TestGolden.
+// TestGoldenNormalise checks that times and addresses are normalised only in their exact format, so that TestGolden
+// detects a change of the format.
 func TestGoldenNormalise(t *testing.T) {
 	for text, want := range map[string]string{
 		"X-Expires-In: 12u\r\n":                       "X-Expires-In: (TIME)u\r\n",
@@ -105,7 +105,7 @@
 		"Host: 127.0.0.1:4711\r\n":                    "Host: (ADDRESS)\r\n",
 	} {
 		if got := normalise(text); got != want {
-			t.Errorf("%q became %q, want %q", text, got, want)
+			t.Errorf("normalise(%q): got %q, want %q", text, got, want)
 		}
 	}
 }
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -12,8 +12,8 @@
 	"cindersaddle/internal/upstream"
 )
 
-// TestForwardsRequests checks that requests of each class reach the endpoint with path, headers, body and remaining time, that
-// they share a connection, and that the load report of the endpoint is not forwarded to the client.
+// TestForwardsRequests checks that requests of each class reach the endpoint with their path, headers, body and remaining
+// time, that they share a connection, and that the client does not get the endpoint's load report.
 func TestForwardsRequests(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
 	var ids []string
@@ -22,35 +22,37 @@
 		ids = append(ids, request.Header.Get("X-Trace-Id"))
 		resp, body := sidecar.do(request)
 		if resp.StatusCode != 200 || body != "plate 7" {
-			t.Fatalf("%s: status %d, body %q", class, resp.StatusCode, body)
+			t.Fatalf("%s: got status %d, body %q, want 200, \"plate 7\"", class, resp.StatusCode, body)
 		}
 		if resp.Header.Get(upstream.LoadReportHeader) != "" {
-			t.Errorf("%s: the load report was forwarded to the client", class)
+			t.Errorf("%s: got load report %q at the client, want none", class, resp.Header.Get(upstream.LoadReportHeader))
 		}
 	}
 	requests, conns := server.Requests(), server.ConnCount()
 	if len(requests) != 3 || conns != 1 {
-		t.Fatalf("%d requests on %d connections, want 3 on one", len(requests), conns)
+		t.Fatalf("got %d requests on %d connections, want 3 on 1", len(requests), conns)
 	}
 	for i, request := range requests {
 		if request.RequestURI != "/api?item=a%2Fb" || request.Header.Get("X-Trace-Id") != ids[i] {
-			t.Errorf("forwarded URI %s, trace ID %q", request.RequestURI, request.Header.Get("X-Trace-Id"))
+			t.Errorf("got forwarded URI %s, trace ID %q, want /api?item=a%%2Fb, %q",
+				request.RequestURI, request.Header.Get("X-Trace-Id"), ids[i])
 		}
 		left, err := exchange.ParseExpiry(request.Header.Get(exchange.ExpiryHeader), 1e6)
 		if err != nil || left <= 0 || left > 15000 {
-			t.Errorf("forwarded %s %q: %v", exchange.ExpiryHeader, request.Header.Get(exchange.ExpiryHeader), err)
+			t.Errorf("got forwarded %s %q, error %v, want more than 0 and at most 15000 ms",
+				exchange.ExpiryHeader, request.Header.Get(exchange.ExpiryHeader), err)
 		}
 		if want := map[bool]string{true: "", false: "order 7"}[request.Method == "GET"]; request.BodyText != want {
-			t.Errorf("forwarded body %q, want %q", request.BodyText, want)
+			t.Errorf("got forwarded body %q, want %q", request.BodyText, want)
 		}
 	}
 	if key := requests[1].Header.Get("Idempotency-Key"); key != "5c0f6e1a" {
-		t.Errorf("forwarded Idempotency-Key %q", key)
+		t.Errorf("got forwarded Idempotency-Key %q, want 5c0f6e1a", key)
 	}
 }
 
 // TestRetryOfNonIdempotentRequest checks that a non-idempotent request is retried after an attempt that was never executed,
-// and fails after one that may have been.
+// and fails after an attempt that may have been executed.
 func TestRetryOfNonIdempotentRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		first  sidecartest.Step
@@ -66,20 +68,21 @@
 		t.Run(name, func(t *testing.T) {
 			failing := sidecartest.NewScriptedServer(t, test.first)
 			serving := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "done"))
-			sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", failing.Addr), sidecartest.ReadyEndpoint("s-2", serving.Addr)))
+			sidecar := startSidecar(t, sidecartest.Config(t,
+				sidecartest.ReadyEndpoint("s-1", failing.Addr), sidecartest.ReadyEndpoint("s-2", serving.Addr)))
 			resp, _ := sidecar.do(sidecar.newRequest("pay"))
 			for len(failing.Requests()) == 0 { // the other endpoint was chosen first
 				resp, _ = sidecar.do(sidecar.newRequest("pay"))
 			}
 			if resp.StatusCode != test.status {
-				t.Errorf("status %d, want %d", resp.StatusCode, test.status)
+				t.Errorf("got status %d, want %d", resp.StatusCode, test.status)
 			}
 		})
 	}
 }
 
-// TestRejectsBadRequests checks the status and the close for each kind of invalid request, and that none of them reaches
-// an endpoint.
+// TestRejectsBadRequests checks that each kind of invalid request gets its status and a close, and does not reach an
+// endpoint.
 func TestRejectsBadRequests(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	setHeader := func(name, value string) func(*http.Request) {
@@ -110,43 +113,45 @@
 		request := sidecar.newRequest(test.class)
 		test.change(request)
 		if resp, _ := sidecar.do(request); resp.StatusCode != test.status || !resp.Close {
-			t.Errorf("%s: status %d, closing: %v; want %d and a close", name, resp.StatusCode, resp.Close, test.status)
+			t.Errorf("%s: got status %d, close %v, want status %d and a close", name, resp.StatusCode, resp.Close, test.status)
 		}
 	}
 	conn := sidecar.dial()
 	sidecar.write(conn, sidecar.rawRequestHead("pay", "Content-Length: 60000000"))
 	sidecar.expectResponse(conn, "body above the limit", http.StatusRequestEntityTooLarge)
 	if got := len(server.Requests()); got != 0 {
-		t.Errorf("%d invalid requests reached the endpoint", got)
+		t.Errorf("got %d invalid requests at the endpoint, want 0", got)
 	}
 }
 
-// TestRequestSmuggling checks that requests with two lengths, and requests with more data after them than announced, are
-// rejected and that nothing hidden in them reaches an endpoint.
+// TestRequestSmuggling checks that requests with two lengths, and requests followed by more data than announced, are
+// rejected, and that no request hidden in them reaches an endpoint.
 func TestRequestSmuggling(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	for name, text := range map[string]string{
-		"two lengths":          sidecar.rawRequestHead("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + sidecar.rawRequestHead("read"),
-		"two lengths, swapped": sidecar.rawRequestHead("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + sidecar.rawRequestHead("read"),
-		"behind the body":      sidecar.rawRequestHead("pay", "Content-Length: 2") + "ab" + sidecar.rawRequestHead("read"),
-		"too short a length":   sidecar.rawRequestHead("pay", "Content-Length: 2") + "abcdef",
-		"body of a read":       sidecar.rawRequestHead("read", "Content-Length: 2") + "ab",
-		"behind a bad one":     sidecar.rawRequestHead("none") + sidecar.rawRequestHead("read"),
+		"two lengths": sidecar.rawRequestHead("pay", "Content-Length: 5", "Transfer-Encoding: chunked") +
+			"0\r\n\r\n" + sidecar.rawRequestHead("read"),
+		"two lengths, swapped": sidecar.rawRequestHead("pay", "Transfer-Encoding: chunked", "Content-Length: 5") +
+			"0\r\n\r\n" + sidecar.rawRequestHead("read"),
+		"behind the body":    sidecar.rawRequestHead("pay", "Content-Length: 2") + "ab" + sidecar.rawRequestHead("read"),
+		"too short a length": sidecar.rawRequestHead("pay", "Content-Length: 2") + "abcdef",
+		"body of a read":     sidecar.rawRequestHead("read", "Content-Length: 2") + "ab",
+		"behind a bad one":   sidecar.rawRequestHead("none") + sidecar.rawRequestHead("read"),
 	} {
 		conn := sidecar.dial()
 		sidecar.write(conn, text)
 		got, err := io.ReadAll(conn)
 		if !strings.HasPrefix(string(got), "HTTP/1.1 400") || strings.Contains(string(got), " 200 ") {
-			t.Errorf("%s: response %q, error %v, want only status 400", name, got, err)
+			t.Errorf("%s: got response %q, error %v, want only status 400", name, got, err)
 		}
 	}
 	if got := server.Requests(); len(got) != 0 {
-		t.Errorf("%d requests reached the endpoint, want 0", len(got))
+		t.Errorf("got %d requests at the endpoint, want 0", len(got))
 	}
 }
 
-// TestDuplicateTraceID checks that a request with the trace ID of a pending one is rejected, that the pending one gets its
-// own response, and that the ID can be used again after it.
+// TestDuplicateTraceID checks that a request with the trace ID of a pending request is rejected, that the pending request
+// gets its own response, and that the trace ID can be used again afterwards.
 func TestDuplicateTraceID(t *testing.T) {
 	gate := sidecartest.NewGate()
 	sidecar, _ := startWithEndpoint(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
@@ -156,28 +161,28 @@
 	gate.AwaitRequest(t)
 	sidecar.write(second, strings.Replace(text, "ab", "xy", 1))
 	if got, _ := io.ReadAll(second); !strings.HasPrefix(string(got), "HTTP/1.1 409") {
-		t.Errorf("second request: response %q, want status 409", got)
+		t.Errorf("second request: got response %q, want status 409", got)
 	}
 	gate.Open()
 	resp := sidecar.expectResponse(first, "first request", http.StatusOK)
 	if body, _ := io.ReadAll(resp.Body); string(body) != "held" {
-		t.Errorf("first request: body %q, want that of its own attempt", body)
+		t.Errorf("first request: got body %q, want \"held\"", body)
 	}
-	sidecar.write(first, text) // the first has ended, so that its ID is free
+	sidecar.write(first, text) // the first request has ended, so its trace ID is free
 	sidecar.expectResponse(first, "request after the first", http.StatusOK)
 }
 
-// TestRejectionHasRetryAfter checks that the rejection of a request that was never executed has a Retry-After within its bounds.
+// TestRejectionHasRetryAfter checks that the rejection of a request that was never executed has a Retry-After of at most 2 s.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	sidecar, _ := startWithEndpoint(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
 	request := sidecar.newRequest("pay")
 	request.Header.Set(exchange.ExpiryHeader, "300m")
 	resp, _ := sidecar.do(request)
 	if resp.StatusCode != 503 {
-		t.Fatalf("status %d, want 503", resp.StatusCode)
+		t.Fatalf("got status %d, want 503", resp.StatusCode)
 	}
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil || after <= 0 || after > 2 {
-		t.Errorf("Retry-After is %q, want more than 0 and at most 2", resp.Header.Get("Retry-After"))
+		t.Errorf("got Retry-After %q, error %v, want more than 0 and at most 2", resp.Header.Get("Retry-After"), err)
 	}
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -15,9 +15,9 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestShutdownDrainsRequests tests the failure in which a shutdown loses requests: those in flight, and those of clients that
-// connect before they know of it. New connections must be accepted for a while and served, and pending requests get their
-// responses, all with a close.
+// TestShutdownDrainsRequests guards against a shutdown that loses requests: those in flight, and those of clients that
+// connect before they know of the shutdown. Pending requests must get their responses, and new connections must be
+// accepted for a while and served. All these responses must announce the close.
 func TestShutdownDrainsRequests(t *testing.T) {
 	gate := sidecartest.NewGate()
 	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "late"))
@@ -44,17 +44,18 @@
 	})
 	resp, body := sidecar.do(sidecar.newRequest("pay"))
 	if resp.StatusCode != 200 || body != "late" || !resp.Close {
-		t.Errorf("new connection during the shutdown: status %d, body %q, closing: %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("new connection during the shutdown: got status %d, body %q, close %v, want 200, \"late\", true",
+			resp.StatusCode, body, resp.Close)
 	}
 	gate.Open()
 	if resp := sidecartest.Next(t, pending); resp != nil && (resp.StatusCode != 200 || !resp.Close) {
-		t.Errorf("pending request: status %d, closing: %v", resp.StatusCode, resp.Close)
+		t.Errorf("pending request: got status %d, close %v, want 200, true", resp.StatusCode, resp.Close)
 	}
 }
 
-// TestShutdownServesPersistentConnections tests the failure in which a shutdown closes a persistent connection on which a client
-// just writes a request. The client could not know whether it was executed. A request must be served, whether it was partly written
-// or not begun when the shutdown started, and the connection closed with its response.
+// TestShutdownServesPersistentConnections guards against a shutdown that closes a persistent connection while its client
+// writes a request, so that the client cannot know whether the request was executed. The request must be served, whether
+// it was partly written or not begun when the shutdown started. Its response must announce the close.
 func TestShutdownServesPersistentConnections(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -68,14 +69,14 @@
 		sidecar.write(conn, sidecar.rawRequestHead("read"))
 		resp := sidecar.expectResponse(reader, name+", before the shutdown", http.StatusOK)
 		if resp.Close {
-			t.Fatalf("%s: the response before the shutdown announces a close", name)
+			t.Fatalf("%s: got a close announced before the shutdown, want a persistent connection", name)
 		}
 		io.Copy(io.Discard, resp.Body)
 		sidecar.write(conn, text[:before])
 		defer func() {
 			sidecar.write(conn, text[before:])
 			if resp := sidecar.expectResponse(reader, name+", during the shutdown", http.StatusOK); !resp.Close {
-				t.Errorf("%s: the response during the shutdown does not announce a close", name)
+				t.Errorf("%s: got a persistent connection during the shutdown, want a close announced", name)
 			}
 		}()
 	}
@@ -90,8 +91,8 @@
 	})
 }
 
-// TestShutdownBeforeFirstAccept tests the failure in which SIGTERM comes during the start, while a connection waits to be
-// accepted. If the listener were closed at once, the client would see a reset. It must be served.
+// TestShutdownBeforeFirstAccept guards against a reset that a client sees when SIGTERM arrives during startup: its
+// connection waits to be accepted, and would be reset if the listener were closed at once. The client must be served.
 func TestShutdownBeforeFirstAccept(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -103,23 +104,23 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := serve(ctx, cfg, startupResources{clientListener: ln}, nil, slog.New(slog.DiscardHandler)); err != nil {
-		t.Errorf("the sidecar ended with an error: %v", err)
+		t.Errorf("the sidecar ended with error %v, want none", err)
 	}
 	if resp := sidecar.expectResponse(conn, "request before the first accept", http.StatusOK); !resp.Close {
-		t.Error("the response does not announce a close")
+		t.Error("got a persistent connection, want a close announced")
 	}
 }
 
-// TestShutdownServesRequestJustRead tests the failure in which the shutdown starts between the read of a request's bytes on a
-// persistent connection and the parsing of its head. To net/http the connection is still idle, so that it would be closed with
-// the request. The request must be served.
+// TestShutdownServesRequestJustRead guards against the loss of a request whose bytes have been read from a persistent
+// connection, but whose head is not parsed yet when the shutdown starts. net/http still considers the connection idle and
+// would close it. The request must be served.
 func TestShutdownServesRequestJustRead(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	read, release := make(chan bool, 1), make(chan bool)
-	var armed atomic.Bool
+	var blockNextRead atomic.Bool
 	sidecar := startSidecarWithHooks(t, cfg, slog.DiscardHandler, readHooks{after: func() {
-		if armed.CompareAndSwap(true, false) {
+		if blockNextRead.CompareAndSwap(true, false) {
 			read <- true
 			<-release
 		}
@@ -130,28 +131,29 @@
 		io.Copy(io.Discard, sidecar.expectResponse(reader, "first request", http.StatusOK).Body)
 		return reader
 	}
-	first, second := sidecar.dial(), sidecar.dial() // the shutdown looks for idle connections in this order
-	reader, secondReader := sendRequest(first), sendRequest(second)
-	armed.Store(true)
+	first, second := sidecar.dial(), sidecar.dial() // the shutdown checks the connections for being idle in this order
+	firstReader, secondReader := sendRequest(first), sendRequest(second)
+	blockNextRead.Store(true)
 	sidecar.write(first, sidecar.rawRequestHead("read"))
 	sidecartest.Next(t, read)
 	sidecar.shutdown()
-	if _, err := secondReader.ReadByte(); err != io.EOF { // the shutdown has passed over the first connection by then
-		t.Fatalf("idle connection: error %v, want a close", err)
+	if _, err := secondReader.ReadByte(); err != io.EOF { // by then, the shutdown has checked the first connection
+		t.Fatalf("idle connection: got error %v, want io.EOF", err)
 	}
 	close(release)
-	if resp := sidecar.expectResponse(reader, "request that was just read", http.StatusOK); !resp.Close {
-		t.Error("request that was just read: the response does not announce a close")
+	if resp := sidecar.expectResponse(firstReader, "request that was just read", http.StatusOK); !resp.Close {
+		t.Error("request that was just read: got a persistent connection, want a close announced")
 	}
 }
 
-// TestShutdownServesLongResponse tests the failure in which a shutdown meets a response that takes longer than the longest
-// deadline of a request. The client would get a truncated response. It must get all of it.
+// TestShutdownServesLongResponse guards against a shutdown that truncates a response which takes longer than the longest
+// deadline of a request. The client must get the complete response.
 func TestShutdownServesLongResponse(t *testing.T) {
 	more := make(chan bool)
 	half := len(sidecartest.LongBody) / 2
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(sidecartest.LongBody))
-	server := sidecartest.NewScriptedServer(t, respondInParts(more, head+sidecartest.LongBody[:half], sidecartest.LongBody[half:]))
+	server := sidecartest.NewScriptedServer(t,
+		respondInParts(more, head+sidecartest.LongBody[:half], sidecartest.LongBody[half:]))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].Deadline = 100
@@ -159,16 +161,16 @@
 	sidecar := startSidecar(t, cfg)
 	resp, err := sidecar.client.Do(sidecar.newRequest("read"))
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("response %v, error %v", resp, err)
+		t.Fatalf("got response %v, error %v, want status 200", resp, err)
 	}
 	defer resp.Body.Close()
 	idle := sidecar.dial()
 	sidecar.shutdown()
-	if _, err := io.ReadAll(idle); err != nil { // closed after the time for requests is over
+	if _, err := io.ReadAll(idle); err != nil { // the sidecar closes it when the time for requests is over
 		t.Fatal(err)
 	}
 	more <- true
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != sidecartest.LongBody {
-		t.Errorf("long response: %d bytes, error %v", len(got), err)
+		t.Errorf("long response: got %d bytes, error %v, want all %d bytes", len(got), err, len(sidecartest.LongBody))
 	}
 }
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -18,16 +18,16 @@
 	"cindersaddle/internal/upgrade"
 )
 
-// sidecarProcess is one of the processes that take part in an upgrade, started with Run as by the program.
+// sidecarProcess is one of the processes that take part in an upgrade. Unlike testSidecar, it runs Run, as the program does.
 type sidecarProcess struct {
 	*testSidecar
-	exited chan error
+	exited chan error // receives the result of Run
 }
 
-// lastHostNumber numbers the loopback hosts that unusedHostAddr returned.
+// lastHostNumber is the number of the last loopback host that unusedHostAddr returned.
 var lastHostNumber atomic.Int64
 
-// unusedHostAddr returns an address on a loopback host that nothing else uses, so that the port stays unused.
+// unusedHostAddr returns an address on a loopback host of its own, so that no other test takes the port.
 func unusedHostAddr(t *testing.T) string {
 	t.Helper()
 	n := lastHostNumber.Add(1)
@@ -40,14 +40,14 @@
 	return ln.Addr().String()
 }
 
-// startProcess runs a sidecar at an address, with its own admin address and the scratch folder that it shares with its
-// predecessor and its successor, and waits until it is ready.
-func startProcess(t *testing.T, addr, scratch string, endpoints ...membership.Endpoint) *sidecarProcess {
+// startProcess runs a sidecar at the client address addr, with a new admin address, and waits until it is ready. The sidecar
+// shares scratchDir with its predecessor and its successor.
+func startProcess(t *testing.T, addr, scratchDir string, endpoints ...membership.Endpoint) *sidecarProcess {
 	t.Helper()
 	cfg := sidecartest.Config(t, endpoints...)
 	cfg.Listen = addr
 	cfg.AdminListen = unusedHostAddr(t)
-	cfg.ScratchDir = scratch
+	cfg.ScratchDir = scratchDir
 	sidecar := newTestSidecar(t)
 	sidecar.addr, sidecar.adminAddr = addr, cfg.AdminListen
 	cfg.Discovery = sidecar.discovery.Addr
@@ -71,34 +71,36 @@
 	return process
 }
 
-// TestUpgradeLosesNoRequests tests the failure in which an upgrade loses requests: connections that wait to be accepted are reset
-// with the listener of the predecessor, or a persistent connection is closed while a request is on its way. No request may be lost,
-// rejected or truncated, neither on persistent connections nor on new ones.
+// TestUpgradeLosesNoRequests guards against an upgrade that loses requests: connections that wait to be accepted are reset
+// when the predecessor closes its listener, or a persistent connection is closed while a request is on its way. No request
+// may be lost, rejected or truncated, on persistent connections or on new ones.
 func TestUpgradeLosesNoRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	addr, scratch := unusedHostAddr(t), t.TempDir()
-	firstProcess := startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
+	addr, scratchDir := unusedHostAddr(t), t.TempDir()
+	firstProcess := startProcess(t, addr, scratchDir, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	predecessor := firstProcess
-	var served, broken atomic.Int64
+	var served, notServed atomic.Int64
 	var clients sync.WaitGroup
 	stop := make(chan bool)
 	for i := range 4 {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: sidecartest.Timeout}
-		clients.Go(func() { firstProcess.sendRequests(client, stop, &served, &broken) })
+		clients.Go(func() { firstProcess.sendRequests(client, stop, &served, &notServed) })
 	}
 	awaitMoreServed := func(count int64) {
 		before := served.Load()
-		sidecartest.WaitFor(t, "clients are served", func() bool { return served.Load() >= before+count || broken.Load() > 0 })
+		sidecartest.WaitFor(t, "clients are served", func() bool {
+			return served.Load() >= before+count || notServed.Load() > 0
+		})
 	}
 	awaitMoreServed(50)
-	for range 2 { // two upgrades in a row, of which the second is from a successor
-		successor := startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
+	for range 2 { // the second upgrade starts from the successor of the first one
+		successor := startProcess(t, addr, scratchDir, sidecartest.ReadyEndpoint("s-1", server.Addr))
 		awaitMoreServed(50)
 		predecessor.shutdown()
 		if err := sidecartest.Next(t, predecessor.exited); err != nil {
-			t.Errorf("the predecessor ended with an error: %v", err)
+			t.Errorf("the predecessor ended with error %v, want none", err)
 		}
-		predecessor.exited <- nil // for the cleanup, which waits for the exit too
+		predecessor.exited <- nil // for the cleanup of startProcess, which also receives from it
 		awaitMoreServed(50)
 		predecessor = successor
 	}
@@ -106,8 +108,9 @@
 	clients.Wait()
 }
 
-// sendRequests sends requests with a client until stop is closed or a request is not served, and counts them.
-func (process *sidecarProcess) sendRequests(client *http.Client, stop <-chan bool, served, broken *atomic.Int64) {
+// sendRequests sends requests with a client until stop is closed or a request is not served. It counts them in served and
+// notServed.
+func (process *sidecarProcess) sendRequests(client *http.Client, stop <-chan bool, served, notServed *atomic.Int64) {
 	defer client.CloseIdleConnections()
 	for {
 		select {
@@ -117,36 +120,36 @@
 		}
 		resp, err := client.Do(process.newRequest("pay")) // a POST, which net/http does not retry by itself
 		if err != nil {
-			broken.Add(1)
+			notServed.Add(1)
 			process.t.Error(err)
 			return
 		}
 		body, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != 200 || string(body) != "served" {
-			broken.Add(1)
-			process.t.Errorf("status %d, body %q, error %v", resp.StatusCode, body, err)
+			notServed.Add(1)
+			process.t.Errorf("got status %d, body %q, error %v, want 200, \"served\", none", resp.StatusCode, body, err)
 			return
 		}
 		served.Add(1)
 	}
 }
 
-// TestSuccessorInheritsEndpointList checks that a process which takes over knows the endpoints of its predecessor, although
-// its configuration names none.
+// TestSuccessorInheritsEndpointList checks that a process that takes over knows the endpoints of its predecessor, although
+// its configuration has none.
 func TestSuccessorInheritsEndpointList(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-	addr, scratch := unusedHostAddr(t), t.TempDir()
-	startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
-	successor := startProcess(t, addr, scratch) // ready only with the state of its predecessor
+	addr, scratchDir := unusedHostAddr(t), t.TempDir()
+	startProcess(t, addr, scratchDir, sidecartest.ReadyEndpoint("s-1", server.Addr))
+	successor := startProcess(t, addr, scratchDir) // gets ready only with the endpoint list of its predecessor
 	if got := successor.metric("members"); got != "1" {
-		t.Errorf("the successor knows %s endpoints, want 1", got)
+		t.Errorf("got %s endpoints at the successor, want 1", got)
 	}
 }
 
-// TestStartWithUnusableUpgradeSocket tests the failure in which something else occupies the path of the upgrade socket: what a crash
-// has left behind, or a process that does not speak the protocol. A new process could wait for a predecessor that does not exist. It
-// must start in time and serve.
+// TestStartWithUnusableUpgradeSocket guards against a process that waits for a predecessor that does not exist, because
+// something else occupies the path of the upgrade socket: a leftover of a crash, or a process that does not speak the
+// upgrade protocol. The process must start in time and serve.
 func TestStartWithUnusableUpgradeSocket(t *testing.T) {
 	for name, occupy := range map[string]func(t *testing.T, path string){
 		"a file":   func(t *testing.T, path string) { os.WriteFile(path, []byte("x"), 0o600) },
@@ -173,17 +176,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
-			addr, scratch := unusedHostAddr(t), t.TempDir()
-			occupy(t, upgrade.SocketPath(scratch, addr))
-			process := startProcess(t, addr, scratch, sidecartest.ReadyEndpoint("s-1", server.Addr))
+			addr, scratchDir := unusedHostAddr(t), t.TempDir()
+			occupy(t, upgrade.SocketPath(scratchDir, addr))
+			process := startProcess(t, addr, scratchDir, sidecartest.ReadyEndpoint("s-1", server.Addr))
 			if resp, _ := process.do(process.newRequest("read")); resp.StatusCode != 200 {
-				t.Errorf("status %d, want 200", resp.StatusCode)
+				t.Errorf("got status %d, want 200", resp.StatusCode)
 			}
 		})
 	}
 }
 
-// listenUnix listens on a Unix socket until the end of the test.
+// listenUnix listens on a Unix socket. The listener is closed at the end of the test.
 func listenUnix(t *testing.T, path string) *net.UnixListener {
 	t.Helper()
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -14,10 +14,11 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// unsizedReader hides the type of a reader, from which net/http would learn the length of the body.
+// unsizedReader hides the type of a reader, so that net/http cannot derive the length of the body from it.
 type unsizedReader struct{ io.Reader }
 
-// TestLongRequestBody checks that a long request body reaches the endpoint complete, in each framing, in one attempt.
+// TestLongRequestBody checks for each kind of framing that a long request body reaches the endpoint complete and in one
+// attempt.
 func TestLongRequestBody(t *testing.T) {
 	for name, body := range map[string]io.Reader{
 		"announced": strings.NewReader(sidecartest.LongBody), "in chunks": unsizedReader{strings.NewReader(sidecartest.LongBody)},
@@ -33,21 +34,22 @@
 			}
 			request.Header.Set("Expect", "100-continue")
 			if resp, text := sidecar.do(request); resp.StatusCode != 200 || text != "taken" {
-				t.Errorf("status %d, body %q", resp.StatusCode, text)
+				t.Errorf("got status %d, body %q, want 200, \"taken\"", resp.StatusCode, text)
 			}
 			requests := server.Requests()
 			if len(requests) != 1 || requests[0].BodyText != sidecartest.LongBody || requests[0].Header.Get("Expect") != "" {
-				t.Errorf("the server received %d requests, want one with the complete body and no Expect", len(requests))
+				t.Errorf("got %d requests at the server, want 1 with the complete body and without Expect", len(requests))
 			}
-			if got := sidecar.resultCounts("pay") + ", " + sidecar.metric("upstream_requests_total"); got != "1 0 0, 1" {
-				t.Errorf("completed, rejected and failed requests and attempts are %s, want 1 0 0, 1", got)
+			got := sidecar.resultCounts("pay") + ", " + sidecar.metric("upstream_requests_total")
+			if got != "1 0 0, 1" {
+				t.Errorf("got completed, rejected and failed requests, and attempts %s, want 1 0 0, 1", got)
 			}
 		})
 	}
 }
 
-// startPartialReadServer starts a server that reads a number of bytes of each connection, writes the response and closes. It
-// returns the address and a channel with a value for each connection.
+// startPartialReadServer starts a server that reads count bytes of each connection, writes response and closes the
+// connection. It returns its address and a channel that receives a value for each connection.
 func startPartialReadServer(t *testing.T, count int64, response string) (addr string, conns <-chan bool) {
 	t.Helper()
 	ln := sidecartest.Listen(t)
@@ -67,7 +69,8 @@
 	return ln.Addr().String(), accepted
 }
 
-// waitForConnsReader is a part of a body without bytes. It ends when a server has accepted a number of connections.
+// waitForConnsReader is an empty part of a body. It ends when the server has accepted count connections, so that the
+// parts after it are read only then.
 type waitForConnsReader struct {
 	server *sidecartest.ScriptedServer
 	count  int
@@ -82,50 +85,55 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// TestRequestBodyReplay tests the failure in which an endpoint closes the connection before the last byte of a request's body. The
-// request cannot have been executed, and must be retried with the buffered body. The client sends its last byte only when the
-// retry has begun, as the kernel could otherwise take all of the body before the endpoint closes.
+// TestRequestBodyReplay guards against the failure of a request whose endpoint closes the connection before the last byte
+// of the body. The request cannot have been executed, and must be retried with the buffered body. The client sends the
+// last byte only when the retry has begun, because otherwise the kernel could accept the whole body before the endpoint
+// closes the connection.
 func TestRequestBodyReplay(t *testing.T) {
 	partialReaderAddr, accepted := startPartialReadServer(t, 1000, "")
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken", "Connection: close"))
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
-	attempts := 0
-	for len(accepted) == 0 { // the other endpoint may be chosen first
-		attempts++
+	sidecar := startSidecar(t, sidecartest.Config(t,
+		sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
+	requestCount := 0
+	for len(accepted) == 0 { // until the partial reader was chosen; the other endpoint may be chosen first
+		requestCount++
 		request := sidecar.newRequest("pay")
 		text := sidecartest.LongBody[:exchange.MaxReplayBytes/2]
 		lastByte := len(text) - 1
 		request.Body = io.NopCloser(io.MultiReader(
-			strings.NewReader(text[:lastByte]), waitForConnsReader{server, attempts}, strings.NewReader(text[lastByte:]),
+			strings.NewReader(text[:lastByte]), waitForConnsReader{server, requestCount}, strings.NewReader(text[lastByte:]),
 		))
 		request.ContentLength = int64(len(text))
 		if resp, _ := sidecar.do(request); resp.StatusCode != 200 {
-			t.Fatalf("status %d, want 200", resp.StatusCode)
+			t.Fatalf("got status %d, want 200", resp.StatusCode)
 		}
 	}
 	requests := server.Requests()
-	if len(requests) != attempts || requests[attempts-1].BodyText != sidecartest.LongBody[:exchange.MaxReplayBytes/2] {
-		t.Errorf("%d of %d bodies reached the other endpoint, the last of them must be complete", len(requests), attempts)
+	if len(requests) != requestCount || requests[requestCount-1].BodyText != sidecartest.LongBody[:exchange.MaxReplayBytes/2] {
+		t.Errorf("got %d requests at the other endpoint, want %d, the last one with the complete body",
+			len(requests), requestCount)
 	}
 }
 
-// TestUnbufferedBodyIsSentOnce tests the failure in which an endpoint closes the connection within a body above the limit of the
-// replay buffer. Nobody has the beginning of the body any more. The request must have one attempt, and be rejected, as it was never
-// executed.
+// TestUnbufferedBodyIsSentOnce guards against a retry without the beginning of the body. An endpoint closes the connection
+// within a body that exceeds the replay buffer, so the beginning is no longer available. The request must have only one
+// attempt, and must be rejected because it was never executed.
 func TestUnbufferedBodyIsSentOnce(t *testing.T) {
-	text := strings.Repeat(sidecartest.LongBody, 12) // more than the socket buffers hold
+	text := strings.Repeat(sidecartest.LongBody, 12) // longer than the socket buffers can hold
 	partialReaderAddr, accepted := startPartialReadServer(t, int64(len(sidecartest.LongBody)*3), "")
-	sidecar := startSidecar(t, sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", partialReaderAddr)))
+	sidecar := startSidecar(t, sidecartest.Config(t,
+		sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", partialReaderAddr)))
 	conn := sidecar.dial()
 	go io.WriteString(conn, sidecar.rawRequestHead("pay", fmt.Sprintf("Content-Length: %d", len(text)))+text)
 	sidecar.expectResponse(conn, "request whose body is not buffered", http.StatusServiceUnavailable)
 	if len(accepted) != 1 {
-		t.Errorf("%d attempts, want 1", len(accepted))
+		t.Errorf("got %d attempts, want 1", len(accepted))
 	}
 }
 
-// TestTruncatedRequestBody tests the failure in which a client disconnects within the body of its request. An endpoint could take
-// the part for the whole. The request must end, must not reach an endpoint as a complete one, and must not affect later ones.
+// TestTruncatedRequestBody guards against an endpoint that takes a part of a body for the whole, after the client
+// disconnected within the body. The request must end, must not reach an endpoint as a complete request, and must not affect
+// later requests.
 func TestTruncatedRequestBody(t *testing.T) {
 	sidecar, server := startWithEndpointAndAdmin(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
@@ -135,15 +143,15 @@
 	conn.Close()
 	sidecar.waitForPendingRequests(0)
 	if got := len(server.Requests()); got != 0 {
-		t.Errorf("%d requests reached the endpoint, want 0", got)
+		t.Errorf("got %d requests at the endpoint, want 0", got)
 	}
 	if resp, _ := sidecar.do(sidecar.newRequest("pay")); resp.StatusCode != 200 {
-		t.Errorf("next request: status %d, want 200", resp.StatusCode)
+		t.Errorf("next request: got status %d, want 200", resp.StatusCode)
 	}
 }
 
-// TestSlowBodyKeepsDeadline checks that the deadline of a request counts from its last byte, so that a body which arrives
-// slowly does not use it up.
+// TestSlowBodyKeepsDeadline checks that the deadline of a request counts from its last byte, so that a slow body does not
+// use it up.
 func TestSlowBodyKeepsDeadline(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
@@ -153,12 +161,12 @@
 	sidecar.write(conn, "cd")
 	sidecar.expectResponse(conn, "request with a slow body", http.StatusOK)
 	if left, err := exchange.ParseExpiry(server.Requests()[0].Header.Get(exchange.ExpiryHeader), 1e6); err != nil || left < 200 {
-		t.Errorf("forwarded with %v ms left, error %v", left, err)
+		t.Errorf("got a request forwarded with %v ms left, error %v, want at least 200 ms", left, err)
 	}
 }
 
-// TestRequestSmugglingBehindLongBody checks that a request with more data after its long body than announced is rejected
-// and does not reach an endpoint as a complete request.
+// TestRequestSmugglingBehindLongBody checks that a request followed by more data than announced is rejected if its body is
+// long, too, and does not reach an endpoint as a complete request.
 func TestRequestSmugglingBehindLongBody(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	conn := sidecar.dial()
@@ -167,9 +175,9 @@
 	sidecar.write(conn, long[:10]+sidecar.rawRequestHead("read"))
 	got, err := io.ReadAll(conn)
 	if !strings.HasPrefix(string(got), "HTTP/1.1 400") {
-		t.Errorf("response %q, error %v, want status 400", got, err)
+		t.Errorf("got response %q, error %v, want status 400", got, err)
 	}
 	if got := server.Requests(); len(got) != 0 {
-		t.Errorf("%d requests reached the endpoint, want 0", len(got))
+		t.Errorf("got %d requests at the endpoint, want 0", len(got))
 	}
 }
