--- a/cmd/cindersaddle/main.go
+++ b/cmd/cindersaddle/main.go
@@ -1,7 +1,7 @@
 // Command cindersaddle is the sidecar: a client-side load balancer between one application and the endpoints that
 // discovery lists. It is configured by the NODE_ environment variables and the file that NODE_CONFIG names; see
-// README.md. SIGHUP reloads the configuration; SIGTERM and SIGINT shut the sidecar down gracefully. The exit status is 1
-// if the sidecar could not start, serve or shut down.
+// README.md. SIGHUP reloads the configuration; SIGTERM and SIGINT shut the sidecar down gracefully. The exit status is
+// 1 if the sidecar could not start, serve or shut down.
 package main
 
 import (
--- a/internal/sidecar/admin_helpers_test.go
+++ b/internal/sidecar/admin_helpers_test.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// resultCounts returns the numbers of completed, rejected and failed requests of a class, in this order and separated by
-// spaces.
+// resultCounts returns the numbers of completed, rejected and failed requests of a class, in this order and separated
+// by spaces.
 func (sidecar *testSidecar) resultCounts(class string) string {
 	counts := make([]string, 0, 3)
 	for _, result := range []string{"completed", "rejected", "failed"} {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -134,7 +134,8 @@
 	}
 }
 
-// TestReadiness checks that a process is not ready before it knows endpoints and during its shutdown, and ready in between.
+// TestReadiness checks that a process is not ready before it knows endpoints and during its shutdown, and ready in
+// between.
 func TestReadiness(t *testing.T) {
 	gate := sidecartest.NewGate()
 	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")))
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -40,9 +40,10 @@
 	}
 }
 
-// TestClientDisconnectCancelsAttempt guards against an attempt that continues after its client disconnected, so that the
-// endpoint works for nothing. Unread bytes that the client sent after its request can hide the end of the connection. The
-// attempt must be cancelled with and without such bytes, and the endpoint's reset that follows must not cause a retry.
+// TestClientDisconnectCancelsAttempt guards against an attempt that continues after its client disconnected, so that
+// the endpoint works for nothing. Unread bytes that the client sent after its request can hide the end of the
+// connection. The attempt must be cancelled with and without such bytes, and the endpoint's reset that follows must not
+// cause a retry.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	for method, disconnect := range sidecartest.DisconnectMethods {
 		for trailing, text := range map[string]string{
@@ -127,7 +128,8 @@
 	}
 }
 
-// checkDisconnectBetweenAttempts lets the client disconnect during a first attempt, which then fails and would be retried.
+// checkDisconnectBetweenAttempts lets the client disconnect during a first attempt, which then fails and would be
+// retried.
 func checkDisconnectBetweenAttempts(t *testing.T, disconnect func(net.Conn)) {
 	gate := sidecartest.NewGate()
 	endpoints, requestCount := startServersWithSharedSteps(t, 2,
@@ -157,7 +159,7 @@
 	conn := blocker.dialBlocked(sidecar)
 	sidecar.write(conn, sidecar.rawRequestHead("read"))
 	sidecartest.Next(t, blocker.blocked)
-	sidecartest.Next(t, barrier.reached) // the attempt found the pool full; a connection is free again when the gate is open
+	sidecartest.Next(t, barrier.reached) // the attempt found the pool full; a connection is free when the gate is open
 	close(barrier.release)
 	sidecar.waitForPendingRequests(5)
 	disconnect(conn)
@@ -178,8 +180,8 @@
 }
 
 // startServersWithSharedSteps starts servers that share one list of steps: each request runs the next step, whichever
-// server receives it, and the last step is repeated. It returns the servers as endpoints, and the number of requests that
-// they have received so far.
+// server receives it, and the last step is repeated. It returns the servers as endpoints, and the number of requests
+// that they have received so far.
 func startServersWithSharedSteps(
 	t *testing.T, serverCount int, steps ...sidecartest.Step,
 ) (endpoints []membership.Endpoint, requestCount *atomic.Int32) {
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -15,15 +15,18 @@
 	// socketsForFewClients is a socket limit that leaves 20 sockets for clients: half of the rest after
 	// config.ReservedSockets.
 	socketsForFewClients = 64
-	// socketsForManyClients is a socket limit that leaves 100 sockets for clients, at most 25 of them for idle connections.
+	// socketsForManyClients is a socket limit that leaves 100 sockets for clients, at most 25 of them for idle
+	// connections.
 	socketsForManyClients = 224
 )
 
-// TestIdleClientsAreClosedFirst guards against idle connections that occupy all client sockets, so that new clients cannot
-// connect. The sidecar must close idle connections to serve new clients, but no connection with a pending request.
+// TestIdleClientsAreClosedFirst guards against idle connections that occupy all client sockets, so that new clients
+// cannot connect. The sidecar must close idle connections to serve new clients, but no connection with a pending
+// request.
 func TestIdleClientsAreClosedFirst(t *testing.T) {
 	gate := sidecartest.NewGate()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "served"))
+	server := sidecartest.NewScriptedServer(t,
+		gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
@@ -40,9 +43,9 @@
 	sidecar.expectResponse(pending, "pending request", http.StatusOK)
 }
 
-// TestIdleConnectionLimit guards against an application that runs out of descriptors because the sidecar keeps all of its
-// connections open, before the sidecar reaches its own limit. Only a limited number of connections may persist after a
-// response. The responses on all others must announce the close.
+// TestIdleConnectionLimit guards against an application that runs out of descriptors because the sidecar keeps all of
+// its connections open, before the sidecar reaches its own limit. Only a limited number of connections may persist
+// after a response. The responses on all others must announce the close.
 func TestIdleConnectionLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -63,8 +66,8 @@
 	}
 }
 
-// TestSlowestRequestIsClosedAtLimit guards against clients with incomplete requests that occupy all client sockets, so that
-// no other client is served until they time out. At the limit, the sidecar must close the connection whose request
+// TestSlowestRequestIsClosedAtLimit guards against clients with incomplete requests that occupy all client sockets, so
+// that no other client is served until they time out. At the limit, the sidecar must close the connection whose request
 // progresses slowest.
 func TestSlowestRequestIsClosedAtLimit(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
@@ -81,9 +84,9 @@
 	}
 }
 
-// TestActiveClientOutlivesStalledOnes guards against the failure that the sidecar closes a slow client instead of stalled
-// ones, because the slow one has been connected for longer. A client that keeps writing must be served, however long it
-// takes and however many stalled clients there are.
+// TestActiveClientOutlivesStalledOnes guards against the failure that the sidecar closes a slow client instead of
+// stalled ones, because the slow one has been connected for longer. A client that keeps writing must be served, however
+// long it takes and however many stalled clients there are.
 func TestActiveClientOutlivesStalledOnes(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
--- a/internal/sidecar/descriptor_limit_test.go
+++ b/internal/sidecar/descriptor_limit_test.go
@@ -24,8 +24,8 @@
 // runSidecarVariable is the environment variable that makes the test binary run a sidecar instead of the tests.
 const runSidecarVariable = "TEST_SIDECAR"
 
-// TestMain runs a sidecar instead of the tests if runSidecarVariable is set. A descriptor limit applies to a whole process,
-// so a sidecar with such a limit needs a separate process.
+// TestMain runs a sidecar instead of the tests if runSidecarVariable is set. A descriptor limit applies to a whole
+// process, so a sidecar with such a limit needs a separate process.
 func TestMain(m *testing.M) {
 	if os.Getenv(runSidecarVariable) == "" {
 		os.Exit(m.Run())
@@ -60,8 +60,8 @@
 	return ln.Addr().String()
 }
 
-// startSidecarWithDescriptorLimit starts a sidecar in a separate process with a low descriptor limit, and waits until it
-// listens.
+// startSidecarWithDescriptorLimit starts a sidecar in a separate process with a low descriptor limit, and waits until
+// it listens.
 func startSidecarWithDescriptorLimit(t *testing.T) *testSidecar {
 	t.Helper()
 	sidecar := newTestSidecar(t)
@@ -96,10 +96,10 @@
 	return sidecar
 }
 
-// TestDiscoveryReachableAtDescriptorLimit guards against the failure that idle clients, which keep connecting, use up the
-// descriptors of a sidecar during a discovery outage. If the sidecar could not connect to discovery after the outage, it
-// would continue to send requests to draining endpoints. It must apply the next endpoint list, serve requests and respond
-// to health checks.
+// TestDiscoveryReachableAtDescriptorLimit guards against the failure that idle clients, which keep connecting, use up
+// the descriptors of a sidecar during a discovery outage. If the sidecar could not connect to discovery after the
+// outage, it would continue to send requests to draining endpoints. It must apply the next endpoint list, serve
+// requests and respond to health checks.
 func TestDiscoveryReachableAtDescriptorLimit(t *testing.T) {
 	firstServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "one"))
 	secondServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "two"))
@@ -109,7 +109,8 @@
 	sidecar.discovery.Lists <- sidecartest.CompleteList(42,
 		sidecartest.ReadyEndpoint("s-1", firstServer.Addr), draining,
 	)
-	// Before that, the sidecar is ready with the endpoint list of its configuration, whose only endpoint does not exist.
+	// Before that, the sidecar is ready with the endpoint list of its configuration, whose only endpoint does not
+	// exist.
 	sidecartest.WaitFor(t, "the first endpoint list is applied", func() bool { return sidecar.metric("members") == "2" })
 	sidecar.waitUntilReady()
 	if _, body := sidecar.do(sidecar.newRequest("read")); body != "one" {
@@ -150,8 +151,8 @@
 	}
 }
 
-// connectIdleClients opens client connections without a complete request until stop is closed. It keeps more connections
-// open than the process under test has descriptors, and closes the oldest one when it opens another.
+// connectIdleClients opens client connections without a complete request until stop is closed. It keeps more
+// connections open than the process under test has descriptors, and closes the oldest one when it opens another.
 func connectIdleClients(addr string, stop <-chan bool) {
 	var conns []net.Conn
 	defer func() {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -12,8 +12,8 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestFollowsDiscoveryUpdates checks that a complete endpoint list and an update of it each apply to the next request: the
-// sidecar sends requests to the listed endpoint, and stops when the endpoint drains.
+// TestFollowsDiscoveryUpdates checks that a complete endpoint list and an update of it each apply to the next request:
+// the sidecar sends requests to the listed endpoint, and stops when the endpoint drains.
 func TestFollowsDiscoveryUpdates(t *testing.T) {
 	firstServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "one"))
 	secondServer := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "two"))
@@ -44,9 +44,9 @@
 // maxReadyTime is half of the 10 s in which a new process must be ready.
 const maxReadyTime = 5 * time.Second
 
-// TestReadyWithoutDiscoveryResponse guards against a process that does not get ready because discovery does not respond,
-// for example when a whole fleet restarts. The process must be ready well within 10 s, with the endpoint list of its
-// configuration.
+// TestReadyWithoutDiscoveryResponse guards against a process that does not get ready because discovery does not
+// respond, for example when a whole fleet restarts. The process must be ready well within 10 s, with the endpoint list
+// of its configuration.
 func TestReadyWithoutDiscoveryResponse(t *testing.T) {
 	for name, polled := range map[string]bool{"watched": false, "polled": true} {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,8 @@
 			sidecar := startSidecar(t, cfg) // discovery does not respond
 			start := time.Now()
 			sidecar.waitUntilReady()
-			if resp, err := sidecar.client.Get("http://" + sidecar.addr + "/up"); err != nil || resp.StatusCode != http.StatusOK {
+			resp, err := sidecar.client.Get("http://" + sidecar.addr + "/up")
+			if err != nil || resp.StatusCode != http.StatusOK {
 				t.Errorf("/up: got response %v, error %v, want status 200", resp, err)
 			} else {
 				io.Copy(io.Discard, resp.Body)
@@ -76,8 +77,8 @@
 // maxFleetSize is the largest number of endpoints, and also of sidecars, that a fleet is expected to have.
 const maxFleetSize = 1024
 
-// TestLargeFleet checks that one of maxFleetSize sidecars applies an indented endpoint list of maxFleetSize endpoints, and
-// serves requests for different objects.
+// TestLargeFleet checks that one of maxFleetSize sidecars applies an indented endpoint list of maxFleetSize endpoints,
+// and serves requests for different objects.
 func TestLargeFleet(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := withAdmin(sidecartest.Config(t))
--- a/internal/sidecar/download_test.go
+++ b/internal/sidecar/download_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestLongResponseStreaming checks for each kind of framing that a long response is forwarded as it arrives, that it may
-// take longer than the deadline of its request, and that the request is pending until the last byte.
+// TestLongResponseStreaming checks for each kind of framing that a long response is forwarded as it arrives, that it
+// may take longer than the deadline of its request, and that the request is pending until the last byte.
 func TestLongResponseStreaming(t *testing.T) {
 	half := len(sidecartest.LongBody) / 2
 	firstHalf, secondHalf := sidecartest.LongBody[:half], sidecartest.LongBody[half:]
@@ -52,8 +52,8 @@
 	}
 }
 
-// checkLongResponseStreaming checks that LongBody is streamed when the endpoint sends its second half after the deadline of
-// the request. firstHalf and secondHalf include the head and the framing.
+// checkLongResponseStreaming checks that LongBody is streamed when the endpoint sends its second half after the
+// deadline of the request. firstHalf and secondHalf include the head and the framing.
 func checkLongResponseStreaming(t *testing.T, firstHalf, secondHalf string) {
 	t.Helper()
 	more := make(chan bool)
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestTruncatedResponseClosesConnection guards against a truncated response that looks complete. An endpoint ends a long
-// response early, after part of it was forwarded. If the sidecar ended its own response properly, the client would take
-// the part for the whole. The client must see a broken connection, and the request must not be retried.
+// TestTruncatedResponseClosesConnection guards against a truncated response that looks complete. An endpoint ends a
+// long response early, after part of it was forwarded. If the sidecar ended its own response properly, the client would
+// take the part for the whole. The client must see a broken connection, and the request must not be retried.
 func TestTruncatedResponseClosesConnection(t *testing.T) {
 	half := len(sidecartest.LongBody) / 2
 	for name, test := range map[string]struct{ head, version string }{
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestUnknownLengthResponseStreaming checks that the first bytes of a response without a length are forwarded before its
-// end, even if they are few: the client may wait for them, and the rest may have any length.
+// TestUnknownLengthResponseStreaming checks that the first bytes of a response without a length are forwarded before
+// its end, even if they are few: the client may wait for them, and the rest may have any length.
 func TestUnknownLengthResponseStreaming(t *testing.T) {
 	for name, test := range map[string]struct{ first, second string }{
 		"in chunks":                    {"Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n4", "\r\nfghi\r\n0\r\n\r\n"},
--- a/internal/sidecar/endpoint_restart_test.go
+++ b/internal/sidecar/endpoint_restart_test.go
@@ -32,9 +32,9 @@
 	return append([]net.Conn(nil), r.conns...)
 }
 
-// TestEndpointRestartDiscardsConnectionInUse guards against the reuse of a connection to an earlier incarnation, which may
-// be reset by the next request. The endpoint restarts while the connection carries a request. After discovery has reported
-// the restart, the connection must not carry another request.
+// TestEndpointRestartDiscardsConnectionInUse guards against the reuse of a connection to an earlier incarnation, which
+// may be reset by the next request. The endpoint restarts while the connection carries a request. After discovery has
+// reported the restart, the connection must not carry another request.
 func TestEndpointRestartDiscardsConnectionInUse(t *testing.T) {
 	gate := sidecartest.NewGate()
 	var recorder connRecorder
@@ -52,8 +52,9 @@
 	restarted := sidecartest.ReadyEndpoint("s-1", server.Addr)
 	restarted.StartedAt = 5
 	sidecar.discovery.Lists <- sidecartest.ListUpdate(50, restarted)
-	sidecartest.Next(t, sidecar.discovery.Queries)                                 // the list is queued for the event loop
-	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 { // the event loop handles it after the list
+	sidecartest.Next(t, sidecar.discovery.Queries)
+	// The list is queued for the event loop now, which handles the next request after it.
+	if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
 		t.Fatalf("second request: got status %d, want 200", resp.StatusCode)
 	}
 	gate.Open()
@@ -74,9 +75,9 @@
 }
 
 // TestEndpointRestartDiscardsIdleConnections guards against the use of idle connections to an endpoint whose machine
-// vanished and whose next incarnation has the same address. These connections look open, but a request written to one is
-// reset, and may have been executed. After discovery has reported the restart, no request may use them. A later list with
-// the same start time must not close any connection.
+// vanished and whose next incarnation has the same address. These connections look open, but a request written to one
+// is reset, and may have been executed. After discovery has reported the restart, no request may use them. A later list
+// with the same start time must not close any connection.
 func TestEndpointRestartDiscardsIdleConnections(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	sidecartest.Next(t, sidecar.discovery.Queries)
--- a/internal/sidecar/golden_exchange_test.go
+++ b/internal/sidecar/golden_exchange_test.go
@@ -33,8 +33,8 @@
 	return strings.Join(append(head, lines...), "\r\n") + "\r\n\r\n"
 }
 
-// sendRaw writes a request to a connection and returns the response.
-func sendRaw(t *testing.T, conn net.Conn, request string) string {
+// roundTrip writes a request to a connection and returns the response.
+func roundTrip(t *testing.T, conn net.Conn, request string) string {
 	t.Helper()
 	if _, err := io.WriteString(conn, request); err != nil {
 		t.Fatal(err)
@@ -59,12 +59,12 @@
 	return text + string(rest)
 }
 
-// recordExchange returns a scenario that records a request as the server receives it, once for each step, and the response
-// as the client receives it.
+// recordExchange returns a scenario that records a request as the server receives it, once for each step, and the
+// response as the client receives it.
 func recordExchange(request string, steps ...sidecartest.Step) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t, steps...)
-		response := sendRaw(t, sidecar.dial(), request)
+		response := roundTrip(t, sidecar.dial(), request)
 		for range steps {
 			transcript.addMessage("the server reads", sidecartest.Next(t, server.requests).text)
 		}
@@ -72,11 +72,12 @@
 	}
 }
 
-// recordLongExchange returns a scenario that records a request with a long body as the server receives it, and its response.
+// recordLongExchange returns a scenario that records a request with a long body as the server receives it, and its
+// response.
 func recordLongExchange(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t, sidecartest.Respond(200, "kept"))
-		response := sendRaw(t, sidecar.dial(), request)
+		response := roundTrip(t, sidecar.dial(), request)
 		transcript.addMessageWithLongBody(t, "the server reads", sidecartest.Next(t, server.requests).text)
 		transcript.addMessage("the client reads", response)
 	}
@@ -86,7 +87,7 @@
 func recordRejectedRequest(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar, server := startGoldenSidecar(t)
-		transcript.addMessage("the client reads", sendRaw(t, sidecar.dial(), request))
+		transcript.addMessage("the client reads", roundTrip(t, sidecar.dial(), request))
 		if got := len(server.requests); got != 0 {
 			t.Errorf("got %d requests at the endpoint, want 0", got)
 		}
@@ -98,7 +99,7 @@
 func recordResponseWithoutEndpoints(request string) func(*testing.T, *goldenTranscript) {
 	return func(t *testing.T, transcript *goldenTranscript) {
 		sidecar := startSidecar(t, sidecartest.Config(t))
-		transcript.addMessage("the client reads", sendRaw(t, sidecar.dial(), request))
+		transcript.addMessage("the client reads", roundTrip(t, sidecar.dial(), request))
 	}
 }
 
--- a/internal/sidecar/golden_record_test.go
+++ b/internal/sidecar/golden_record_test.go
@@ -110,8 +110,8 @@
 // recordedRequest is the text of a request and the address of the server that received it.
 type recordedRequest struct{ serverAddr, text string }
 
-// recordingServers is a group of servers that record the bytes of each request. They share one list of steps: each request
-// runs the next step, whichever server receives it.
+// recordingServers is a group of servers that record the bytes of each request. They share one list of steps: each
+// request runs the next step, whichever server receives it.
 type recordingServers struct {
 	requests chan recordedRequest
 	steps    chan sidecartest.Step
@@ -142,7 +142,8 @@
 	return ln.Addr().String()
 }
 
-// serve runs a step for each request on a connection. When no steps are left, requests are recorded and get no response.
+// serve runs a step for each request on a connection. When no steps are left, requests are recorded and get no
+// response.
 func (servers *recordingServers) serve(conn net.Conn) {
 	defer conn.Close()
 	for {
@@ -171,9 +172,9 @@
 	}
 }
 
-// respondRawAndClose returns a step that writes text without changes and closes the connection. TCP_CORK puts the text and
-// the end of the connection into one segment, because whether the sidecar buffers a response without a length depends on
-// how soon its end arrives.
+// respondRawAndClose returns a step that writes text without changes and closes the connection. TCP_CORK puts the text
+// and the end of the connection into one segment, because whether the sidecar buffers a response without a length
+// depends on how soon its end arrives.
 func respondRawAndClose(text string) sidecartest.Step {
 	return func(conn net.Conn) bool {
 		raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -21,9 +21,9 @@
 	record func(*testing.T, *goldenTranscript)
 }
 
-// TestGolden checks that the bytes that a sidecar writes to servers, discovery, clients and callers of the admin address
-// are those in testdata/golden.txt. Line ends are recorded as \r\n. Header lines are recorded in the order in which they are
-// written, which is fixed. Only times, addresses and the framing of long bodies are normalised.
+// TestGolden checks that the bytes that a sidecar writes to servers, discovery, clients and callers of the admin
+// address are those in testdata/golden.txt. Line ends are recorded as \r\n. Header lines are recorded in the order in
+// which they are written, which is fixed. Only times, addresses and the framing of long bodies are normalised.
 func TestGolden(t *testing.T) {
 	stored := readGolden(t)
 	for _, test := range goldenCases {
@@ -44,7 +44,8 @@
 	checkGoldenCaseNames(t, stored)
 }
 
-// checkGoldenCaseNames checks that the names of the cases are unique and that each case of the golden file still exists.
+// checkGoldenCaseNames checks that the names of the cases are unique and that each case of the golden file still
+// exists.
 func checkGoldenCaseNames(t *testing.T, stored map[string]string) {
 	known := map[string]bool{}
 	for _, test := range goldenCases {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -60,8 +60,8 @@
 	return startSidecar(t, withAdmin(sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr)))), server
 }
 
-// startSidecarWithHooks starts a sidecar that logs to logHandler and runs hooks around its reads from clients. It is shut
-// down at the end of the test, and a failed shutdown fails the test.
+// startSidecarWithHooks starts a sidecar that logs to logHandler and runs hooks around its reads from clients. It is
+// shut down at the end of the test, and a failed shutdown fails the test.
 func startSidecarWithHooks(t *testing.T, cfg *config.Config, logHandler slog.Handler, hooks readHooks) *testSidecar {
 	t.Helper()
 	sidecar := newTestSidecar(t)
@@ -169,8 +169,8 @@
 	return resp, string(body)
 }
 
-// sendForStatus sends a request and returns the status. A transport error fails the test and returns 0. Unlike do, it may
-// be called from any goroutine.
+// sendForStatus sends a request and returns the status. A transport error fails the test and returns 0. Unlike do, it
+// may be called from any goroutine.
 func (sidecar *testSidecar) sendForStatus(request *http.Request) int {
 	sidecar.t.Helper()
 	resp, err := sidecar.client.Do(request)
--- a/internal/sidecar/listen_test.go
+++ b/internal/sidecar/listen_test.go
@@ -8,8 +8,8 @@
 	"cindersaddle/internal/sidecartest"
 )
 
-// TestListenRetriesWhileAddressIsInUse guards against a process that exits because the previous process still listens on
-// its address. The new process must wait until the address is free.
+// TestListenRetriesWhileAddressIsInUse guards against a process that exits because the previous process still listens
+// on its address. The new process must wait until the address is free.
 func TestListenRetriesWhileAddressIsInUse(t *testing.T) {
 	previous := sidecartest.Listen(t)
 	cfg := sidecartest.Config(t)
--- a/internal/sidecar/log_barrier_test.go
+++ b/internal/sidecar/log_barrier_test.go
@@ -16,8 +16,9 @@
 // barrierBacklog is more than the number of times that a message is logged before and after the release.
 const barrierBacklog = 100
 
-// newLogBarrier returns a barrier for a message. Its channel reached has a buffer of barrierBacklog: the sidecar may log
-// the message while the test waits for something else, and without the buffer they would wait for each other forever.
+// newLogBarrier returns a barrier for a message. Its channel reached has a buffer of barrierBacklog: the sidecar may
+// log the message while the test waits for something else, and without the buffer they would wait for each other
+// forever.
 func newLogBarrier(message string) logBarrier {
 	return logBarrier{slog.DiscardHandler, message, make(chan bool, barrierBacklog), make(chan bool)}
 }
--- a/internal/sidecar/readblocker_test.go
+++ b/internal/sidecar/readblocker_test.go
@@ -48,8 +48,8 @@
 	return conn
 }
 
-// startWithReadBlocker starts a sidecar with an admin address and a read blocker, for a client that dialBlocked connects
-// later.
+// startWithReadBlocker starts a sidecar with an admin address and a read blocker, for a client that dialBlocked
+// connects later.
 func startWithReadBlocker(t *testing.T, cfg *config.Config, logHandler slog.Handler) (*testSidecar, *readBlocker) {
 	t.Helper()
 	blocker := newReadBlocker()
@@ -60,7 +60,9 @@
 
 // startWithBlockedClient starts a sidecar with an admin address, and opens a client connection from which the sidecar
 // reads only once. The caller must send a request soon, because the sidecar closes connections without one.
-func startWithBlockedClient(t *testing.T, cfg *config.Config, logHandler slog.Handler) (*testSidecar, *readBlocker, net.Conn) {
+func startWithBlockedClient(
+	t *testing.T, cfg *config.Config, logHandler slog.Handler,
+) (*testSidecar, *readBlocker, net.Conn) {
 	t.Helper()
 	sidecar, blocker := startWithReadBlocker(t, cfg, logHandler)
 	return sidecar, blocker, blocker.dialBlocked(sidecar)
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -131,18 +131,19 @@
 	{`"effect": "read_like"`, `"effect": "x"`},
 }
 
-// invalidFiles returns contents of the configuration file that a reload must reject. Those made with invalidReplacements
-// also contain the valid replacement, which must not apply either.
+// invalidFiles returns contents of the configuration file that a reload must reject. Those made with
+// invalidReplacements also contain the valid replacement, which must not apply either.
 func invalidFiles(file *configFile, valid replacement) []string {
-	contents := []string{"", "{", "null", "[]", "{}", file.originalText[:len(file.originalText)/2], strings.TrimSpace(file.originalText) + "}"}
+	firstHalf := file.originalText[:len(file.originalText)/2]
+	contents := []string{"", "{", "null", "[]", "{}", firstHalf, strings.TrimSpace(file.originalText) + "}"}
 	for _, invalid := range invalidReplacements {
 		contents = append(contents, file.replace(invalid, valid))
 	}
 	return contents
 }
 
-// TestReloadRejectsInvalidFile guards against a reload that applies a part of an invalid configuration file, or of one that
-// is not completely written yet. A file with any error must change nothing, not even the address of discovery.
+// TestReloadRejectsInvalidFile guards against a reload that applies a part of an invalid configuration file, or of one
+// that is not completely written yet. A file with any error must change nothing, not even the address of discovery.
 func TestReloadRejectsInvalidFile(t *testing.T) {
 	file := newConfigFile(t)
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "ok"))
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -12,10 +12,11 @@
 	"cindersaddle/internal/upstream"
 )
 
-// TestForwardsRequests checks that requests of each class reach the endpoint with their path, headers, body and remaining
-// time, that they share a connection, and that the client does not get the endpoint's load report.
+// TestForwardsRequests checks that requests of each class reach the endpoint with their path, headers, body and
+// remaining time, that they share a connection, and that the client does not get the endpoint's load report.
 func TestForwardsRequests(t *testing.T) {
-	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
+	sidecar, server := startWithEndpoint(t,
+		sidecartest.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
 	var ids []string
 	for _, class := range []string{"read", "reserve", "pay"} {
 		request := sidecar.newRequest(class)
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestRetryOfNonIdempotentRequest checks that a non-idempotent request is retried after an attempt that was never executed,
-// and fails after an attempt that may have been executed.
+// TestRetryOfNonIdempotentRequest checks that a non-idempotent request is retried after an attempt that was never
+// executed, and fails after an attempt that may have been executed.
 func TestRetryOfNonIdempotentRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		first  sidecartest.Step
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestDuplicateTraceID checks that a request with the trace ID of a pending request is rejected, that the pending request
-// gets its own response, and that the trace ID can be used again afterwards.
+// TestDuplicateTraceID checks that a request with the trace ID of a pending request is rejected, that the pending
+// request gets its own response, and that the trace ID can be used again afterwards.
 func TestDuplicateTraceID(t *testing.T) {
 	gate := sidecartest.NewGate()
 	sidecar, _ := startWithEndpoint(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "again"))
@@ -172,7 +173,8 @@
 	sidecar.expectResponse(first, "request after the first", http.StatusOK)
 }
 
-// TestRejectionHasRetryAfter checks that the rejection of a request that was never executed has a Retry-After of at most 2 s.
+// TestRejectionHasRetryAfter checks that the rejection of a request that was never executed has a Retry-After of at
+// most 2 s.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	sidecar, _ := startWithEndpoint(t, sidecartest.Respond(503, "", "X-Never-Ran: 1"))
 	request := sidecar.newRequest("pay")
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	// connIdleFraction is the fraction of the endpoints' idle timeout after which the sidecar closes an idle connection.
-	// The sidecar must close it first, because a request that is written while the endpoint closes the connection fails.
+	// connIdleFraction is the fraction of the endpoints' idle timeout after which the sidecar closes an idle
+	// connection. The sidecar must close it first, because a request that is written while the endpoint closes the
+	// connection fails.
 	connIdleFraction = 0.8
 	// defaultConnectTimeout applies if the configuration has no connect timeout.
 	defaultConnectTimeout = time.Second
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -20,7 +20,8 @@
 // accepted for a while and served. All these responses must announce the close.
 func TestShutdownDrainsRequests(t *testing.T) {
 	gate := sidecartest.NewGate()
-	server := sidecartest.NewScriptedServer(t, gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "late"))
+	server := sidecartest.NewScriptedServer(t,
+		gate.Hold(sidecartest.Respond(200, "held")), sidecartest.Respond(200, "late"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.AcceptDuringShutdown = 3 * time.Second
 	sidecar := startSidecar(t, cfg)
@@ -53,9 +54,9 @@
 	}
 }
 
-// TestShutdownServesPersistentConnections guards against a shutdown that closes a persistent connection while its client
-// writes a request, so that the client cannot know whether the request was executed. The request must be served, whether
-// it was partly written or not begun when the shutdown started. Its response must announce the close.
+// TestShutdownServesPersistentConnections guards against a shutdown that closes a persistent connection while its
+// client writes a request, so that the client cannot know whether the request was executed. The request must be served,
+// whether it was partly written or not begun when the shutdown started. Its response must announce the close.
 func TestShutdownServesPersistentConnections(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -112,8 +113,8 @@
 }
 
 // TestShutdownServesRequestJustRead guards against the loss of a request whose bytes have been read from a persistent
-// connection, but whose head is not parsed yet when the shutdown starts. net/http still considers the connection idle and
-// would close it. The request must be served.
+// connection, but whose head is not parsed yet when the shutdown starts. net/http still considers the connection idle
+// and would close it. The request must be served.
 func TestShutdownServesRequestJustRead(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestShutdownServesLongResponse guards against a shutdown that truncates a response which takes longer than the longest
-// deadline of a request. The client must get the complete response.
+// TestShutdownServesLongResponse guards against a shutdown that truncates a response which takes longer than the
+// longest deadline of a request. The client must get the complete response.
 func TestShutdownServesLongResponse(t *testing.T) {
 	more := make(chan bool)
 	half := len(sidecartest.LongBody) / 2
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -18,7 +18,8 @@
 	"cindersaddle/internal/upgrade"
 )
 
-// sidecarProcess is one of the processes that take part in an upgrade. Unlike testSidecar, it runs Run, as the program does.
+// sidecarProcess is one of the processes that take part in an upgrade. Unlike testSidecar, it runs Run, as the program
+// does.
 type sidecarProcess struct {
 	*testSidecar
 	exited chan error // receives the result of Run
@@ -40,8 +41,8 @@
 	return ln.Addr().String()
 }
 
-// startProcess runs a sidecar at the client address addr, with a new admin address, and waits until it is ready. The sidecar
-// shares scratchDir with its predecessor and its successor.
+// startProcess runs a sidecar at the client address addr, with a new admin address, and waits until it is ready. The
+// sidecar shares scratchDir with its predecessor and its successor.
 func startProcess(t *testing.T, addr, scratchDir string, endpoints ...membership.Endpoint) *sidecarProcess {
 	t.Helper()
 	cfg := sidecartest.Config(t, endpoints...)
@@ -71,9 +72,9 @@
 	return process
 }
 
-// TestUpgradeLosesNoRequests guards against an upgrade that loses requests: connections that wait to be accepted are reset
-// when the predecessor closes its listener, or a persistent connection is closed while a request is on its way. No request
-// may be lost, rejected or truncated, on persistent connections or on new ones.
+// TestUpgradeLosesNoRequests guards against an upgrade that loses requests: connections that wait to be accepted are
+// reset when the predecessor closes its listener, or a persistent connection is closed while a request is on its way.
+// No request may be lost, rejected or truncated, on persistent connections or on new ones.
 func TestUpgradeLosesNoRequests(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	addr, scratchDir := unusedHostAddr(t), t.TempDir()
@@ -108,8 +109,8 @@
 	clients.Wait()
 }
 
-// sendRequests sends requests with a client until stop is closed or a request is not served. It counts them in served and
-// notServed.
+// sendRequests sends requests with a client until stop is closed or a request is not served. It counts them in served
+// and notServed.
 func (process *sidecarProcess) sendRequests(client *http.Client, stop <-chan bool, served, notServed *atomic.Int64) {
 	defer client.CloseIdleConnections()
 	for {
@@ -135,8 +136,8 @@
 	}
 }
 
-// TestSuccessorInheritsEndpointList checks that a process that takes over knows the endpoints of its predecessor, although
-// its configuration has none.
+// TestSuccessorInheritsEndpointList checks that a process that takes over knows the endpoints of its predecessor,
+// although its configuration has none.
 func TestSuccessorInheritsEndpointList(t *testing.T) {
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	addr, scratchDir := unusedHostAddr(t), t.TempDir()
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -21,7 +21,8 @@
 // attempt.
 func TestLongRequestBody(t *testing.T) {
 	for name, body := range map[string]io.Reader{
-		"announced": strings.NewReader(sidecartest.LongBody), "in chunks": unsizedReader{strings.NewReader(sidecartest.LongBody)},
+		"announced": strings.NewReader(sidecartest.LongBody),
+		"in chunks": unsizedReader{strings.NewReader(sidecartest.LongBody)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken"))
@@ -85,20 +86,20 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// TestRequestBodyReplay guards against the failure of a request whose endpoint closes the connection before the last byte
-// of the body. The request cannot have been executed, and must be retried with the buffered body. The client sends the
-// last byte only when the retry has begun, because otherwise the kernel could accept the whole body before the endpoint
-// closes the connection.
+// TestRequestBodyReplay guards against the failure of a request whose endpoint closes the connection before the last
+// byte of the body. The request cannot have been executed, and must be retried with the buffered body. The client sends
+// the last byte only when the retry has begun, because otherwise the kernel could accept the whole body before the
+// endpoint closes the connection.
 func TestRequestBodyReplay(t *testing.T) {
 	partialReaderAddr, accepted := startPartialReadServer(t, 1000, "")
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "taken", "Connection: close"))
 	sidecar := startSidecar(t, sidecartest.Config(t,
 		sidecartest.ReadyEndpoint("s-1", partialReaderAddr), sidecartest.ReadyEndpoint("s-2", server.Addr)))
+	text := sidecartest.LongBody[:exchange.MaxReplayBytes/2]
 	requestCount := 0
 	for len(accepted) == 0 { // until the partial reader was chosen; the other endpoint may be chosen first
 		requestCount++
 		request := sidecar.newRequest("pay")
-		text := sidecartest.LongBody[:exchange.MaxReplayBytes/2]
 		lastByte := len(text) - 1
 		request.Body = io.NopCloser(io.MultiReader(
 			strings.NewReader(text[:lastByte]), waitForConnsReader{server, requestCount}, strings.NewReader(text[lastByte:]),
@@ -109,15 +110,15 @@
 		}
 	}
 	requests := server.Requests()
-	if len(requests) != requestCount || requests[requestCount-1].BodyText != sidecartest.LongBody[:exchange.MaxReplayBytes/2] {
+	if len(requests) != requestCount || requests[requestCount-1].BodyText != text {
 		t.Errorf("got %d requests at the other endpoint, want %d, the last one with the complete body",
 			len(requests), requestCount)
 	}
 }
 
-// TestUnbufferedBodyIsSentOnce guards against a retry without the beginning of the body. An endpoint closes the connection
-// within a body that exceeds the replay buffer, so the beginning is no longer available. The request must have only one
-// attempt, and must be rejected because it was never executed.
+// TestUnbufferedBodyIsSentOnce guards against a retry without the beginning of the body. An endpoint closes the
+// connection within a body that exceeds the replay buffer, so the beginning is no longer available. The request must
+// have only one attempt, and must be rejected because it was never executed.
 func TestUnbufferedBodyIsSentOnce(t *testing.T) {
 	text := strings.Repeat(sidecartest.LongBody, 12) // longer than the socket buffers can hold
 	partialReaderAddr, accepted := startPartialReadServer(t, int64(len(sidecartest.LongBody)*3), "")
@@ -132,8 +133,8 @@
 }
 
 // TestTruncatedRequestBody guards against an endpoint that takes a part of a body for the whole, after the client
-// disconnected within the body. The request must end, must not reach an endpoint as a complete request, and must not affect
-// later requests.
+// disconnected within the body. The request must end, must not reach an endpoint as a complete request, and must not
+// affect later requests.
 func TestTruncatedRequestBody(t *testing.T) {
 	sidecar, server := startWithEndpointAndAdmin(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestSlowBodyKeepsDeadline checks that the deadline of a request counts from its last byte, so that a slow body does not
-// use it up.
+// TestSlowBodyKeepsDeadline checks that the deadline of a request counts from its last byte, so that a slow body does
+// not use it up.
 func TestSlowBodyKeepsDeadline(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "taken"))
 	conn := sidecar.dial()
@@ -160,13 +161,14 @@
 	time.Sleep(350 * time.Millisecond) // longer than the deadline of the request
 	sidecar.write(conn, "cd")
 	sidecar.expectResponse(conn, "request with a slow body", http.StatusOK)
-	if left, err := exchange.ParseExpiry(server.Requests()[0].Header.Get(exchange.ExpiryHeader), 1e6); err != nil || left < 200 {
+	left, err := exchange.ParseExpiry(server.Requests()[0].Header.Get(exchange.ExpiryHeader), 1e6)
+	if err != nil || left < 200 {
 		t.Errorf("got a request forwarded with %v ms left, error %v, want at least 200 ms", left, err)
 	}
 }
 
-// TestRequestSmugglingBehindLongBody checks that a request followed by more data than announced is rejected if its body is
-// long, too, and does not reach an endpoint as a complete request.
+// TestRequestSmugglingBehindLongBody checks that a request followed by more data than announced is rejected if its body
+// is long, too, and does not reach an endpoint as a complete request.
 func TestRequestSmugglingBehindLongBody(t *testing.T) {
 	sidecar, server := startWithEndpoint(t, sidecartest.Respond(200, "served"))
 	conn := sidecar.dial()
