--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -55,7 +55,7 @@
 					started <- true
 					_, err := conn.Read(make([]byte, 1))
 					cancelled <- err != nil
-					conn.(*net.TCPConn).SetLinger(0) // closes with a reset, which must not cause a retry
+					conn.(*net.TCPConn).SetLinger(0) // a reset, which would cause a retry if the client were connected
 					return false
 				})
 				sidecar := startSidecar(t, sidecartest.Config(t,
@@ -63,10 +63,10 @@
 				conn := sidecar.dial()
 				sidecar.write(conn, sidecar.rawRequestHead("read"))
 				sidecartest.Next(t, started)
-				io.WriteString(conn, text) // may fail: the sidecar may close the connection before it has read a long text
+				io.WriteString(conn, text) // may fail if the sidecar closes the connection before it has read a long text
 				disconnect(conn)
 				if !sidecartest.Next(t, cancelled) {
-					t.Error("got more bytes from the sidecar, want the end of the attempt's connection")
+					t.Error("got more bytes on the attempt's connection, want the attempt to be cancelled")
 				}
 				if got := len(server.Requests()); got != 1 {
 					t.Errorf("got %d requests at the servers, want 1", got)
@@ -102,7 +102,7 @@
 	barrier := newLogBarrier("endpoint list not received")
 	sidecar, blocker := startWithReadBlocker(t, sidecartest.Config(t, endpoints...), barrier)
 	sidecar.discovery.Lists <- membership.EndpointList{Endpoints: []membership.Endpoint{{Phase: "odd"}}}
-	// The list is invalid. The event loop logs that, which blocks it.
+	// The list is invalid. The event loop logs this, and the barrier blocks the event loop there.
 	sidecartest.Next(t, barrier.reached)
 	conn := blocker.dialBlocked(sidecar)
 	sidecar.write(conn, sidecar.rawRequestHead("read"))
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -74,9 +74,10 @@
 	cfg := sidecartest.Config(t, sidecartest.ReadyEndpoint("s-1", server.Addr))
 	cfg.Limits.Sockets = socketsForFewClients
 	sidecar := startSidecar(t, cfg)
+	const bytesIntoHead = 40 // cut off from the end, these include the body and a part of the head
 	for i := range 60 {
 		partial := sidecar.rawRequestHead("pay", "Content-Length: 100") + "half"
-		sidecar.write(sidecar.dial(), partial[:len(partial)-40*(i%2)]) // alternately ends within the body and within the head
+		sidecar.write(sidecar.dial(), partial[:len(partial)-bytesIntoHead*(i%2)]) // ends in the body and head in turn
 		if resp, _ := sidecar.do(sidecar.newRequest("read")); resp.StatusCode != 200 {
 			t.Fatalf("after %d incomplete requests: got status %d, want 200", i, resp.StatusCode)
 		}
