--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -26,8 +26,8 @@
 	l.notifyBalancer(ex.Request)
 }
 
-// finishUpload starts the deadline of a request after the last byte of its long body has been sent.
-func (l *Loop) finishUpload(attempt *upstream.Attempt) {
+// handleUploadSent starts the deadline of a request after the last byte of its long body has been sent.
+func (l *Loop) handleUploadSent(attempt *upstream.Attempt) {
 	attempt.SentAt = l.clock.now
 	req := l.requests.byID[attempt.RequestID]
 	if req == nil || !req.isUploading() {
--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -5,55 +5,55 @@
 	"cindersaddle/internal/upstream"
 )
 
-// endAttempt handles the end of an attempt. The first successful response to a request is sent to the client.
-func (l *Loop) endAttempt(ev attemptEnded) {
+// handleAttemptEnd handles the end of an attempt. The first successful response to a request is sent to the client.
+func (l *Loop) handleAttemptEnd(ev attemptEnded) {
 	ev.attempt.Cancel()
 	req := l.requests.byID[ev.attempt.RequestID]
 	req.attempts.markEnded()
 	duration := ev.attempt.StreamLatency
 	if duration > 0 {
-		l.finishStream(req, ev.ending.Result)
+		l.finishStream(req, ev.outcome.Result)
 	} else if !ev.endedAt.IsZero() {
 		duration = l.clock.toMilliseconds(ev.endedAt) - ev.attempt.SentAt
 	}
 	l.logFailedAttempt(req, &ev, duration)
-	l.finishAfterAttempt(req, &ev.ending)
-	l.notifyBalancer(newOutcome(ev, duration, !req.isOpen()))
+	l.finishAfterAttempt(req, &ev.outcome)
+	l.notifyBalancer(toBalancerOutcome(ev, duration, !req.isOpen()))
 	l.releaseIfEnded(req)
 }
 
 // finishAfterAttempt finishes a request if an attempt succeeded, or failed because of the client. In all other cases
 // the balancer decides whether to retry the request.
-func (l *Loop) finishAfterAttempt(req *request, ending *upstream.Outcome) {
-	if ending.Result == balance.OK {
-		l.finish(req, ending.Response)
+func (l *Loop) finishAfterAttempt(req *request, outcome *upstream.Outcome) {
+	if outcome.Result == balance.OK {
+		l.finishRequest(req, outcome.Response)
 	}
-	if ending.ClientDisconnected {
+	if outcome.ClientDisconnected {
 		l.abortRequest(req)
 	}
-	if ending.UploadError != nil {
-		l.failIncompleteUpload(req, ending.UploadError)
+	if outcome.UploadError != nil {
+		l.failIncompleteUpload(req, outcome.UploadError)
 	}
 }
 
-// newOutcome returns the balancer's event for the end of an attempt. finished reports whether the request has its final
-// response.
-func newOutcome(ev attemptEnded, duration balance.Milliseconds, finished bool) balance.Outcome {
+// toBalancerOutcome converts the end of an attempt to the balancer's event. finished reports whether the request has its
+// final response.
+func toBalancerOutcome(ev attemptEnded, duration balance.Milliseconds, finished bool) balance.Outcome {
 	attempt := ev.attempt
-	outcome := balance.Outcome{
+	balancerOutcome := balance.Outcome{
 		Request:    attempt.RequestID,
 		Attempt:    attempt.Number,
-		Result:     ev.ending.Result,
+		Result:     ev.outcome.Result,
 		Duration:   duration,
 		Finished:   finished,
 		NoRetry:    attempt.NoRetry,
-		LoadReport: ev.ending.LoadReport,
+		LoadReport: ev.outcome.LoadReport,
 	}
 	if upload := attempt.Message.Upload; upload != nil && upload.Discarded.Load() {
-		outcome.NoRetry = true
+		balancerOutcome.NoRetry = true
 	}
 	if attempt.Endpoint != nil {
-		outcome.Endpoint = attempt.Endpoint.ID
+		balancerOutcome.Endpoint = attempt.Endpoint.ID
 	}
-	return outcome
+	return balancerOutcome
 }
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -18,12 +18,12 @@
 	attempt := l.newAttempt(req, action)
 	req.attempts.add(attempt)
 	if !req.isOpen() || attempt.Endpoint == nil || req.attempts.overLimit() {
-		l.inbox.postLocal(attemptEnded{attempt: attempt, ending: upstream.Outcome{Result: balance.NotAttempted}})
+		l.inbox.postLocal(attemptEnded{attempt: attempt, outcome: upstream.Outcome{Result: balance.NotAttempted}})
 		return
 	}
 	l.goroutines.Go(func() {
-		ending := l.upstreamClient.Do(attempt)
-		l.inbox.post(attemptEnded{attempt: attempt, ending: ending, endedAt: time.Now()})
+		outcome := l.upstreamClient.Do(attempt)
+		l.inbox.post(attemptEnded{attempt: attempt, outcome: outcome, endedAt: time.Now()})
 	})
 }
 
@@ -43,7 +43,7 @@
 		Observer:          l,
 		LoopDone:          l.ctx.Done(),
 	}
-	attempt.Context, attempt.Cancel = context.WithCancel(l.ctx) // endAttempt calls Cancel
+	attempt.Context, attempt.Cancel = context.WithCancel(l.ctx) // handleAttemptEnd calls Cancel
 	return attempt
 }
 
@@ -53,7 +53,7 @@
 // response.
 //
 // An attempt's context is also cancelled when the client of a streamed response disconnects (Download.Cancel), when the
-// loop ends, and in endAttempt, to release the resources of the context.
+// loop ends, and in handleAttemptEnd, to release the resources of the context.
 func (l *Loop) cancelAttempt(id balance.RequestID, number int) {
 	req := l.requests.byID[id]
 	if req == nil {
--- a/internal/eventloop/attemptset.go
+++ b/internal/eventloop/attemptset.go
@@ -7,7 +7,7 @@
 type attemptSet struct {
 	byNumber    []*upstream.Attempt // nil once the request is released
 	inFlight    int                 // number of attempts that have not ended
-	maxAttempts int                 // how many attempts may be sent
+	maxAttempts int                 // limit of the attempts that may be sent
 }
 
 // add adds the next attempt. It is in flight until markEnded is called for it.
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -34,7 +34,7 @@
 //	clockOffsets    current and recent offsets between the wall clock and the loop's clock
 //	logLimiter      when a failed call to discovery was last logged
 //
-// The loop also owns some fields of each upstream.Attempt, which newAttempt, finishUpload and startStream write.
+// The loop also owns some fields of each upstream.Attempt, which newAttempt, handleUploadSent and startStream write.
 //
 // Points in time are balance.Milliseconds on the loop's clock unless their type says otherwise.
 package eventloop
--- a/internal/eventloop/events_upstream.go
+++ b/internal/eventloop/events_upstream.go
@@ -14,7 +14,7 @@
 // uploadSent reports that the last byte of a long request body was sent to the endpoint.
 type uploadSent struct{ attempt *upstream.Attempt }
 
-func (ev uploadSent) apply(l *Loop) { l.finishUpload(ev.attempt) }
+func (ev uploadSent) apply(l *Loop) { l.handleUploadSent(ev.attempt) }
 
 // UploadSent tells the loop that the last byte of a long request body was sent to the endpoint.
 func (l *Loop) UploadSent(attempt *upstream.Attempt) {
@@ -57,24 +57,24 @@
 // attemptEnded reports the end of an attempt.
 type attemptEnded struct {
 	attempt *upstream.Attempt
-	ending  upstream.Outcome
+	outcome upstream.Outcome
 	endedAt time.Time // zero if nothing was sent
 }
 
-func (ev attemptEnded) apply(l *Loop) { l.endAttempt(ev) }
+func (ev attemptEnded) apply(l *Loop) { l.handleAttemptEnd(ev) }
 
 // healthCheckEnded reports the end of a health check.
 type healthCheckEnded struct {
 	endpoint *upstream.Endpoint
-	ending   upstream.Outcome
+	outcome  upstream.Outcome
 	duration balance.Milliseconds
 }
 
 func (ev healthCheckEnded) apply(l *Loop) {
 	l.notifyBalancer(balance.HealthCheckResult{
 		Endpoint:   ev.endpoint.ID,
-		Result:     ev.ending.Result,
+		Result:     ev.outcome.Result,
 		Duration:   ev.duration,
-		LoadReport: ev.ending.LoadReport,
+		LoadReport: ev.outcome.LoadReport,
 	})
 }
--- a/internal/eventloop/finish.go
+++ b/internal/eventloop/finish.go
@@ -7,10 +7,10 @@
 	"cindersaddle/internal/exchange"
 )
 
-// finish sends a request its final response. A nil response sends nothing, for a client that has disconnected.
+// finishRequest sends a request its final response. A nil response sends nothing, for a client that has disconnected.
 // Only the first call for a request has an effect; a nil request is ignored. No other function sends responses
 // to clients: successful ones come from finishAfterAttempt and startStream, all others from unserved.go.
-func (l *Loop) finish(req *request, response *exchange.Response) {
+func (l *Loop) finishRequest(req *request, response *exchange.Response) {
 	if req == nil || !req.isOpen() {
 		return
 	}
--- a/internal/eventloop/finish_test.go
+++ b/internal/eventloop/finish_test.go
@@ -23,7 +23,7 @@
 		{Kind: balance.RejectRequest, Request: 1},
 		{Kind: balance.FailRequest, Request: 1},
 	})
-	l.finish(req, textResponse(200, "late"))
+	l.finishRequest(req, textResponse(200, "late"))
 	if response := sidecartest.Next(t, ex.Responses); response.Status != 504 {
 		t.Errorf("got status %d, want 504", response.Status)
 	}
--- a/internal/eventloop/healthchecks.go
+++ b/internal/eventloop/healthchecks.go
@@ -14,8 +14,8 @@
 	}
 	sentAt := l.clock.now
 	l.goroutines.Go(func() {
-		ending := l.upstreamClient.CheckHealth(l.ctx, endpoint)
+		outcome := l.upstreamClient.CheckHealth(l.ctx, endpoint)
 		duration := l.clock.toMilliseconds(time.Now()) - sentAt
-		l.inbox.post(healthCheckEnded{endpoint: endpoint, ending: ending, duration: duration})
+		l.inbox.post(healthCheckEnded{endpoint: endpoint, outcome: outcome, duration: duration})
 	})
 }
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -9,7 +9,7 @@
 // logFailedAttempt logs an attempt that did not succeed. duration is the time from sending the attempt to its end, or
 // to the start of its response if that was streamed.
 func (l *Loop) logFailedAttempt(req *request, ev *attemptEnded, duration balance.Milliseconds) {
-	if ev.ending.Result == balance.OK {
+	if ev.outcome.Result == balance.OK {
 		return
 	}
 	endpoint := ""
@@ -18,8 +18,8 @@
 	}
 	l.log.Info("attempt failed",
 		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "endpoint", endpoint,
-		"outcome", ev.ending.Result, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
-		"client_disconnected", ev.ending.ClientDisconnected, "request_done", !req.isOpen(), "error", ev.ending.Err)
+		"outcome", ev.outcome.Result, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
+		"client_disconnected", ev.outcome.ClientDisconnected, "request_done", !req.isOpen(), "error", ev.outcome.Err)
 }
 
 // logUnserved logs why a request ends without a response from an endpoint. It logs nothing if the request already has
--- a/internal/eventloop/loglimiter.go
+++ b/internal/eventloop/loglimiter.go
@@ -9,7 +9,7 @@
 // logLimiter limits how often something is logged, to one line per interval.
 type logLimiter struct {
 	interval      balance.Milliseconds
-	lastAllowedAt balance.Milliseconds // when allow last returned true
+	lastAllowedAt balance.Milliseconds // when allow last returned true; 0: never
 }
 
 // allow reports whether a line may be logged now. If so, the next interval starts.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,7 +8,9 @@
 // requestFinished finishes a request with a successful response, like the end of an attempt.
 type requestFinished struct{ request *request }
 
-func (ev requestFinished) apply(l *Loop) { l.finish(ev.request, textResponse(http.StatusOK, "served")) }
+func (ev requestFinished) apply(l *Loop) {
+	l.finishRequest(ev.request, textResponse(http.StatusOK, "served"))
+}
 
 // The process does not run for a moment. Then the inbox holds a response that arrived in time, and the deadline of its
 // request is due. The response must be handled first, so that the request does not fail.
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -37,7 +37,8 @@
 	attempts attemptSet
 	deadline balance.Milliseconds // when the client gives up; set in stateWaiting
 	state    requestState
-	// lateInShutdown means that the request must have ended before the process may be killed.
+	// lateInShutdown means that the request was complete only late in a shutdown (limitLateRequest): its remaining time
+	// is limited, and it gets no streamed response, so that it ends before the process may be killed.
 	lateInShutdown bool
 }
 
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -31,7 +31,7 @@
 	expectState(t, req, stateUploading)
 
 	attempt, cancelled := addAttempt(l, req), addAttempt(l, req)
-	l.finishUpload(attempt)
+	l.handleUploadSent(attempt)
 	expectState(t, req, stateWaiting)
 
 	download := &exchange.Download{Done: make(chan error, 1), Cancel: attempt.Cancel}
@@ -43,7 +43,7 @@
 	}
 
 	end := attemptEnded{attempt: attempt, endedAt: time.Now()}
-	end.ending.Result = balance.OK
+	end.outcome.Result = balance.OK
 	end.apply(l)
 	expectState(t, req, stateDone)
 	if pending := l.metrics.PendingRequests.Load(); pending != 0 || l.requests.byID[req.id] == nil {
@@ -51,7 +51,7 @@
 			pending, l.requests.byID[req.id] != nil)
 	}
 
-	end.attempt, end.ending.Result = cancelled, balance.Cancelled
+	end.attempt, end.outcome.Result = cancelled, balance.Cancelled
 	end.apply(l)
 	expectState(t, req, stateReleased)
 	if len(l.requests.byID) != 0 {
@@ -70,7 +70,7 @@
 	attempt := addAttempt(l, req)
 	l.handleDisconnect(ex)
 	expectState(t, req, stateDone)
-	l.finishUpload(attempt)
+	l.handleUploadSent(attempt)
 	expectState(t, req, stateDone)
 	if len(l.timers.heap) != 0 || len(ex.Responses) != 0 {
 		t.Errorf("got %d timers and %d responses, want none", len(l.timers.heap), len(ex.Responses))
--- a/internal/eventloop/requesttime.go
+++ b/internal/eventloop/requesttime.go
@@ -9,7 +9,7 @@
 	maxUploadTime balance.Milliseconds = 60 * 60 * 1000
 )
 
-// setDeadline sets the deadline of a request that is complete: its client waits for another Remaining.
+// setDeadline sets the deadline of a request that is complete: Remaining after now.
 func (r *request) setDeadline(now balance.Milliseconds) {
 	r.deadline = now + r.exchange.Request.Remaining
 }
@@ -44,9 +44,10 @@
 	return max(0, r.deadline-now)
 }
 
-// remainingFromLastByte returns the least time for which the client of a request with a long body still waits. It
-// counts from now if the last byte has been received, and from the receipt of the last byte otherwise. An attempt that
-// follows a failed one may start long after the last byte.
+// remainingFromLastByte returns how long the client of a request with a long body still waits, at least. The time limit
+// of the client runs from the last byte, so the longest time for which that byte may have been here is subtracted: an
+// attempt that follows a failed one may start long after it. The result counts from now if the last byte has been
+// received, and otherwise from its receipt.
 func (r *request) remainingFromLastByte() balance.Milliseconds {
 	remaining := r.exchange.Request.Remaining
 	if upload := r.exchange.Message.Upload; upload != nil {
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -80,7 +80,7 @@
 
 // untilNextTimer returns the time until the next timer is due.
 func (l *Loop) untilNextTimer() time.Duration {
-	dueAt, ok := l.timers.next()
+	dueAt, ok := l.timers.nextDueAt()
 	if !ok {
 		return maxIdleSleep
 	}
--- a/internal/eventloop/streams.go
+++ b/internal/eventloop/streams.go
@@ -23,7 +23,7 @@
 		return
 	}
 	attempt.StreamLatency = max(l.clock.toMilliseconds(ev.startedAt)-attempt.SentAt, minStreamLatency)
-	l.finish(req, ev.response)
+	l.finishRequest(req, ev.response)
 	l.notifyBalancer(balance.StreamStarted{
 		Request:  req.id,
 		Attempt:  attempt.Number,
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -21,8 +21,8 @@
 // schedule adds a timer.
 func (q *timerQueue) schedule(t timer) { heap.Push(&q.heap, t) }
 
-// next returns the time at which the earliest timer is due. ok is false if there is no timer.
-func (q *timerQueue) next() (dueAt balance.Milliseconds, ok bool) {
+// nextDueAt returns the time at which the earliest timer is due. ok is false if there is no timer.
+func (q *timerQueue) nextDueAt() (dueAt balance.Milliseconds, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -27,41 +27,41 @@
 
 const (
 	reasonRejected           unservedReason = "rejected"            // by the balancer: the client may retry safely
-	reasonFailed             unservedReason = "failed"              // by the balancer: a retry might execute it twice
-	reasonClientDisconnected unservedReason = "client disconnected" // before it got its response
-	reasonDeadlineExceeded   unservedReason = "deadline exceeded"   // the balancer has not finished it in time
+	reasonFailed             unservedReason = "failed"              // by the balancer: a retry might execute it again
+	reasonClientDisconnected unservedReason = "client disconnected" // before the client got its response
+	reasonDeadlineExceeded   unservedReason = "deadline exceeded"   // the balancer has not finished the request in time
 )
 
-// rejectRequest finishes a request that the balancer rejected: either no endpoint has executed it, or it may be
-// executed more than once.
+// rejectRequest finishes a request that the balancer rejected. The client may safely retry it: either no endpoint has
+// executed it, or it may be executed more than once.
 func (l *Loop) rejectRequest(req *request, retryAfter balance.Milliseconds) {
 	l.logUnserved(req, slog.LevelInfo, reasonRejected)
-	l.finish(req, l.rejectionResponse(retryAfter))
+	l.finishRequest(req, l.rejectionResponse(retryAfter))
 }
 
 // failRequest finishes a request that the balancer failed: an endpoint may have executed it, and it must not be
 // executed twice.
 func (l *Loop) failRequest(req *request) {
 	l.logUnserved(req, slog.LevelInfo, reasonFailed)
-	l.finish(req, textResponse(http.StatusBadGateway, "failed"))
+	l.finishRequest(req, textResponse(http.StatusBadGateway, "failed"))
 }
 
 // rejectDuplicate finishes a request that has the same trace ID as an open request. Endpoints and clients identify a
 // request by its trace ID: if two open requests shared one, each could get the other's response.
 func (l *Loop) rejectDuplicate(req *request) {
-	l.finish(req, closingResponse(http.StatusConflict, "a request of this X-Trace-Id is open"))
+	l.finishRequest(req, closingResponse(http.StatusConflict, "a request of this X-Trace-Id is open"))
 }
 
 // failIncompleteUpload finishes a request whose client did not send its long body completely.
 func (l *Loop) failIncompleteUpload(req *request, uploadError error) {
 	var requestError *exchange.RequestError
 	errors.As(exchange.BodyError(uploadError), &requestError)
-	l.finish(req, closingResponse(requestError.Status, requestError.Text))
+	l.finishRequest(req, closingResponse(requestError.Status, requestError.Text))
 }
 
 // abortRequest finishes a request whose client turned out to have disconnected when an attempt was about to be sent.
 // Package downstream may not notice the disconnect itself, so the response tells it to close the connection.
-func (l *Loop) abortRequest(req *request) { l.finish(req, &exchange.Response{Abort: true}) }
+func (l *Loop) abortRequest(req *request) { l.finishRequest(req, &exchange.Response{Abort: true}) }
 
 // expireRequest fails a request that is still open after its deadline. It guards against a fault in the balancer: a
 // request that the balancer never finishes would leave its client waiting forever.
@@ -91,7 +91,7 @@
 // finishWithoutBalancer finishes a request without a decision of the balancer, and notifies the balancer, which drops
 // the request.
 func (l *Loop) finishWithoutBalancer(req *request, response *exchange.Response) {
-	l.finish(req, response)
+	l.finishRequest(req, response)
 	// A request past its deadline is reported as ClientGone too, although its client is still connected: the balancer
 	// has no other event that makes it drop a request.
 	l.notifyBalancer(balance.ClientGone{Request: req.id})
--- a/internal/eventloop/upload_test.go
+++ b/internal/eventloop/upload_test.go
@@ -42,7 +42,7 @@
 		if ends := time.Until(attempt.Deadline); test.complete && ends > 600*time.Millisecond {
 			t.Errorf("%s: got an attempt that ends in %v, want at most 600 ms", name, ends)
 		}
-		l.finishUpload(attempt)
+		l.handleUploadSent(attempt)
 		if deadline := req.deadline - l.clock.now; deadline > test.want || deadline < test.want-tolerance {
 			t.Errorf("%s: got a request that ends in %v ms, want %v", name, deadline, test.want)
 		}
