--- a/balance/actions.go
+++ b/balance/actions.go
@@ -1,6 +1,6 @@
 package balance
 
-// ActionKind says what the caller must do.
+// ActionKind is a kind of operation that the caller performs for the balancer.
 type ActionKind uint8
 
 // The kinds of actions. Each comment lists the fields of Action that are set in addition to Kind.
@@ -12,7 +12,7 @@
 	SetTimer                         // Token, Delay
 	CheckHealth                      // Endpoint
 	Log                              // Text
-	WatchEndpoints                   // poll the endpoint list, or subscribe to it
+	WatchEndpoints                   // poll the endpoint list, or start to watch it
 )
 
 // Action is an output of [Balancer.Handle] and [Balancer.Start]. The caller performs actions in the given
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -29,10 +29,10 @@
 	if b.hasFreshReport(ep) {
 		attempt.inFlightBefore = b.estimatedInFlight(ep)
 	}
-	ep.slowStart.spend()
+	ep.slowStart.takeToken()
 	ep.load.inFlight++
 	ep.load.sentSinceReport++
-	ep.activity.lastSendAt = b.now
+	ep.activity.lastSentAt = b.now
 	req.inFlight++
 	req.attempts = append(req.attempts, attempt)
 	if !req.Uploading {
@@ -60,20 +60,21 @@
 		return &UnknownAttemptError{Request: ev.Request, Attempt: ev.Attempt}
 	}
 	attempt := req.attempts[ev.Attempt]
-	b.endAttempt(req, attempt, ev)
+	b.recordAttemptEnd(req, attempt, ev)
 	req.noRetry = req.noRetry || ev.NoRetry
 	if !attempt.resultRecorded || ev.Result != OK {
 		b.recordOutcome(req, attempt, ev)
 	}
-	if req.done || ev.Finished || req.streaming {
+	if req.finished || ev.Finished || req.streaming {
 		b.finishRequest(req)
 	}
-	b.advance(req)
+	b.advanceRequest(req)
 	return nil
 }
 
-// endAttempt updates the counts of attempts in flight and the load when an attempt ends.
-func (b *Balancer) endAttempt(req *request, attempt *attempt, ev Outcome) {
+// recordAttemptEnd removes an attempt that ended from the counts of attempts in flight and from the load. It
+// records the parts of the outcome that recordOutcome does not: the load report, and failures to connect.
+func (b *Balancer) recordAttemptEnd(req *request, attempt *attempt, ev Outcome) {
 	attempt.inFlight = false
 	attempt.neverExecuted = ev.Result.NeverExecuted()
 	attempt.connReset = ev.Result == ConnReset
@@ -88,7 +89,7 @@
 // on. Its attempts in flight are counted as load only now, because an upload does not load the endpoint.
 func (b *Balancer) onUploadComplete(ev UploadComplete) {
 	req := b.requests[ev.Request]
-	if req == nil || req.done || !req.Uploading {
+	if req == nil || req.finished || !req.Uploading {
 		return
 	}
 	req.noRetry = ev.BodyDiscarded
@@ -101,14 +102,14 @@
 			b.load.add(req, a)
 		}
 	}
-	b.advance(req)
+	b.advanceRequest(req)
 }
 
 // onStreamStarted handles the start of a streamed response. The request has no deadline from now on, because
 // the client decides how long the stream lasts, and is not retried.
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
 	req := b.requests[ev.Request]
-	if req == nil || req.done || req.streaming || ev.Attempt >= len(req.attempts) {
+	if req == nil || req.finished || req.streaming || ev.Attempt >= len(req.attempts) {
 		return
 	}
 	req.streaming = true
@@ -123,7 +124,7 @@
 		return
 	}
 	b.recordResponseStart(req, ev.Attempt, ev.Latency)
-	b.advance(req)
+	b.advanceRequest(req)
 }
 
 // recordResponseStart records the result of an attempt when its response starts. The transfer of the
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -46,9 +46,9 @@
 		random:    randomSource{state: cfg.Seed},
 		requests:  map[RequestID]*request{},
 		endpoints: newEndpointSet(),
-		rotation:  rotation{lastPickedCredit: 1},
+		rotation:  rotation{lastPickedCredit: initialPickedCredit},
 		latency:   newLatencyStats(),
-		checks:    candidateChecks{busyFraction: 1},
+		checks:    candidateChecks{busyFraction: initialBusyFraction},
 	}
 	b.applyConfig(cfg, nil, nil)
 	b.timePerInFlight = newTimePerInFlight(b.longestObjective)
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -3,19 +3,20 @@
 import "math"
 
 const (
-	// capacityRegression is the rate at which learned factors return to 1, relative to the gain. Without it,
-	// errors in one direction would add up.
+	// capacityRegression is the fraction by which one sample moves a learned factor's logarithm back to 0,
+	// relative to the weight of the sample. Without it, errors in one direction would add up.
 	capacityRegression = 0.1
-	// maxCapacityLog bounds the logarithm of each capacity factor.
+	// maxCapacityLog bounds the absolute value of the natural logarithm of each capacity factor.
 	maxCapacityLog = 2.5
 	// errorLatencyRatio is the latency that an error counts as, relative to the mean latency of its class.
 	errorLatencyRatio = 3
-	// minCapacityStep limits the negative step that a single slow response causes, before the gain.
+	// minCapacityStep limits the negative step of the logarithm that a single slow response causes, before
+	// the step is multiplied by the weight of the sample.
 	minCapacityStep = -2
-	// capacityDriftGain is the gain of the mean step, relative to the gain of a capacity factor.
-	capacityDriftGain = 0.5
-	// ownCapacityGain is the gain of the factors of an endpoint and its zone, relative to the gain of the
-	// factor of its machine type.
+	// meanStepGain is the weight of a sample in the mean step, relative to its weight in a capacity factor.
+	meanStepGain = 0.5
+	// ownCapacityGain is the fraction of a step that is applied to the factors of an endpoint and its zone.
+	// The factor of its machine type gets the whole step.
 	ownCapacityGain = 0.5
 )
 
@@ -25,7 +26,8 @@
 // newCapacityFactor returns the factor 1.
 func newCapacityFactor() capacityFactor { return capacityFactor{factor: 1} }
 
-// adjust adds a step to the logarithm of the factor, after it moves the logarithm towards 0.
+// adjust adds a step to the logarithm of the factor, after it moves the logarithm towards 0. gain is the
+// weight of the sample that caused the step.
 func (f *capacityFactor) adjust(step, gain float64) {
 	f.set(clamp(f.logarithm*(1-capacityRegression*gain)+step, -maxCapacityLog, maxCapacityLog))
 }
@@ -38,8 +40,8 @@
 // capacityLearner computes the steps of capacity factors from latencies. It subtracts the mean step, because
 // a change that all endpoints have in common is a change of load, not of capacity.
 type capacityLearner struct {
-	updates float64 // number of steps; part of the learned state, but no decision uses it
-	drift   float64 // recent mean step
+	updates  float64 // number of steps; exported with the learned state, but not used in decisions
+	meanStep float64 // recent mean step
 }
 
 // step returns the step of the capacity factors for one latency. latencyRatio is the latency relative to the
@@ -47,8 +49,8 @@
 func (l *capacityLearner) step(latencyRatio, gain float64) float64 {
 	step := max(minCapacityStep, 1-latencyRatio)
 	l.updates++
-	l.drift += gain * (step - l.drift) * capacityDriftGain
-	return gain * (step - l.drift)
+	l.meanStep += gain * (step - l.meanStep) * meanStepGain
+	return gain * (step - l.meanStep)
 }
 
 // learnCapacity adjusts the capacity factors of an endpoint, its machine type and its zone, so that all
@@ -58,7 +60,7 @@
 	if b.inSlowStart(ep) {
 		return
 	}
-	b.advanceResponseRate()
+	b.decayResponseCounts()
 	gain := b.averagingGain()
 	step := b.capacity.step(latencyRatio, gain)
 	ep.ownCapacity.adjust(step*ownCapacityGain, gain)
--- a/balance/classhealth.go
+++ b/balance/classhealth.go
@@ -9,15 +9,15 @@
 	classFailureTimeConstants = 2
 	// classScoreGain is the weight of the latest result in the score.
 	classScoreGain = 0.6
-	// minClassFactor is the lower bound of classFactor. It keeps a few requests of a failing class at each
-	// endpoint, so that a recovery is detected.
-	minClassFactor = 0.03
-	// failingClassScore is the mean score of a failing class below which its requests are expected to move to
-	// the endpoints in slow start (slowStartPolicy).
-	failingClassScore = 0.8
-	// initialMeanScore is the mean score of a class without results. It counts in the mean like the score of
-	// one more endpoint.
-	initialMeanScore = 1.0
+	// minClassHealthFactor is the lower bound of classHealthFactor. It keeps a few requests of a failing
+	// class at each endpoint, so that a recovery is detected.
+	minClassHealthFactor = 0.03
+	// widespreadFailureScore is the mean score below which many endpoints fail a class, so that its requests
+	// are expected to move to the endpoints in slow start (slowStartPolicy).
+	widespreadFailureScore = 0.8
+	// initialMeanClassScore is the mean score of a class without results. It counts in the mean like the
+	// score of one more endpoint.
+	initialMeanClassScore = 1.0
 )
 
 // classScore is the recent success rate of one class at one endpoint: an exponentially weighted mean of
@@ -57,25 +57,25 @@
 	s.updatedAt = now
 }
 
-// scoreFor returns the endpoint's score for the class of a request.
-func (ep *endpoint) scoreFor(req *request) *classScore {
+// classScoreFor returns the endpoint's score for the class of a request.
+func (ep *endpoint) classScoreFor(req *request) *classScore {
 	if req.stats.index < 0 {
 		return &ep.classScores[len(ep.classScores)-1]
 	}
 	return &ep.classScores[req.stats.index]
 }
 
-// classFactor returns the factor by which the score for the request's class lowers an endpoint's weight,
-// while any endpoint fails the class. An endpoint without recent results counts with the mean score, so that
-// a sidecar with few requests prefers endpoints known to serve the class. The factor also covers errors that
-// are returned quickly. If a single sidecar causes most of the load, it may overload the few endpoints that
-// serve the class.
-func (b *Balancer) classFactor(req *request, ep *endpoint) float64 {
+// classHealthFactor returns the factor by which the score for the request's class lowers an endpoint's
+// weight, while any endpoint fails the class. For an endpoint without recent results, the mean score is used:
+// a sidecar with few requests then prefers endpoints that are known to serve the class. Errors count no
+// matter how quickly they are returned. A limitation: if a single sidecar causes most of the load, it may
+// overload the few endpoints that serve the class.
+func (b *Balancer) classHealthFactor(req *request, ep *endpoint) float64 {
 	if !b.classFailing(req) {
 		return 1
 	}
-	score := ep.scoreFor(req).expected(b.now, req.stats.meanScore)
-	return max(score*score, minClassFactor)
+	score := ep.classScoreFor(req).expected(b.now, req.stats.meanScore)
+	return max(score*score, minClassHealthFactor)
 }
 
 // classFailing reports whether an endpoint has failed the request's class recently.
@@ -83,13 +83,13 @@
 	return b.now <= req.stats.lastFailureAt+classFailureTimeConstants*classScoreTimeConstant
 }
 
-// updateMeanScore computes the mean of all endpoints' scores for the request's class, each with its remaining
-// weight. The mean score of a class that does not fail is initialMeanScore.
-func (b *Balancer) updateMeanScore(req *request) {
-	sum, weight := initialMeanScore, 1.0
+// updateMeanClassScore computes the mean of all endpoints' scores for the request's class, each with its
+// remaining weight. The mean score of a class that does not fail is initialMeanClassScore.
+func (b *Balancer) updateMeanClassScore(req *request) {
+	sum, weight := initialMeanClassScore, 1.0
 	if b.classFailing(req) {
 		for _, ep := range b.endpoints.list {
-			score := ep.scoreFor(req)
+			score := ep.classScoreFor(req)
 			scoreWeight := score.weight(b.now)
 			sum += scoreWeight * score.value
 			weight += scoreWeight
@@ -106,21 +106,21 @@
 	case OK:
 	case ServerError, TimedOut:
 		served = 0
-		b.initClassRotation(req)
+		b.initClassRotationCredits(req)
 		req.stats.lastFailureAt = b.now
 	default:
 		return
 	}
-	ep.scoreFor(req).record(b.now, served, req.stats.meanScore)
+	ep.classScoreFor(req).record(b.now, served, req.stats.meanScore)
 }
 
-// initClassRotation gives the request's class its own rotation credits, copied from the shared ones, unless
-// the class has been failing already.
-func (b *Balancer) initClassRotation(req *request) {
+// initClassRotationCredits gives the request's class its own rotation credits, copied from the shared ones,
+// unless the class is failing already.
+func (b *Balancer) initClassRotationCredits(req *request) {
 	if b.classFailing(req) {
 		return
 	}
 	for _, ep := range b.endpoints.list {
-		ep.scoreFor(req).rotationCredit = ep.rotation.credit
+		ep.classScoreFor(req).rotationCredit = ep.rotation.credit
 	}
 }
--- a/balance/classstats.go
+++ b/balance/classstats.go
@@ -9,17 +9,20 @@
 	classLatencyGain = 0.5
 )
 
+// unconfiguredClass is the index of a class that is no longer configured.
+const unconfiguredClass = -1
+
 // classStats holds the statistics of a class.
 type classStats struct {
 	requestCounter
-	index            int     // index in endpoint.classScores; -1: the class is no longer configured
+	index            int     // index in endpoint.classScores, or unconfiguredClass
 	latencySamples   float64 // samples of meanLatency, up to maxLatencySamples
 	meanLatency      Milliseconds
 	latencyDeviation Milliseconds // mean absolute deviation
 	longestTimeout   Milliseconds // longest Request.Remaining seen
 	priorityWeight   float64
 	lastFailureAt    Milliseconds // when any endpoint last failed a request of the class
-	meanScore        float64      // mean of the endpoints' scores for the class; see updateMeanScore
+	meanScore        float64      // mean of the endpoints' scores for the class; see updateMeanClassScore
 }
 
 // newClassStats returns the statistics of a class without history.
@@ -29,7 +32,7 @@
 		index:          index,
 		priorityWeight: class.PriorityWeight,
 		lastFailureAt:  longAgo,
-		meanScore:      initialMeanScore,
+		meanScore:      initialMeanClassScore,
 	}
 }
 
--- a/balance/config.go
+++ b/balance/config.go
@@ -92,21 +92,30 @@
 	HealthChecks    bool         // endpoints may be health-checked
 	RetryAfter      bool         // rejections carry a Retry-After time
 	MaxRetryAfter   Milliseconds // longest Retry-After time that clients respect
-	ConnectTimeout  Milliseconds // limit on opening a connection
+	ConnectTimeout  Milliseconds // limit on opening a connection. Not used in decisions
 	ConnIdleTimeout Milliseconds // time after which an idle connection is closed
 
-	DrainGrace               Milliseconds // attempts to a draining or removed endpoint must end within this
-	SlowStartInitialFraction float64      // least fraction of its capacity that an endpoint has at its start
-	SlowStartDuration        Milliseconds // duration of an endpoint's slow start
-	// an endpoint in slow start fails above this multiple of its capacity
+	// DrainGrace is the time within which attempts to a draining or removed endpoint have to end. It is not
+	// used in decisions.
+	DrainGrace Milliseconds
+
+	// SlowStartInitialFraction is the least fraction of its capacity that an endpoint has at its start.
+	SlowStartInitialFraction float64
+	// SlowStartDuration is the duration of an endpoint's slow start.
+	SlowStartDuration Milliseconds
+	// SlowStartOverloadFactor is the multiple of its capacity above which an endpoint in slow start is
+	// overloaded.
 	SlowStartOverloadFactor float64
-	SlowStartOverloadWindow Milliseconds // duration of such an overload after which it fails
-	MaxPollInterval         Milliseconds // without a watch, longest time between polls of the endpoint list
+	// SlowStartOverloadWindow is the duration of such an overload after which the endpoint fails.
+	SlowStartOverloadWindow Milliseconds
+
+	MaxPollInterval Milliseconds // without a watch, longest time between polls; 0 or less: no limit
 
 	Costs Costs
 }
 
-// Costs are deducted from the priority weight that responses earn, per operation of each kind.
+// Costs are deducted from the priority weight that responses earn: each field for each operation of its kind,
+// in the unit of Class.PriorityWeight.
 type Costs struct {
 	CrossZone     float64 // an attempt to an endpoint of another zone
 	NewConnection float64 // a connection that is opened
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -19,7 +19,10 @@
 //   - capacity.go, latencystats.go, responserate.go, classstats.go, keycounter.go: statistics of requests and
 //     responses; outcome.go updates them with the result of an attempt
 //   - endpointset.go, polling.go: the endpoint list
-//   - reconfigure.go, transfer.go: new settings, and the learned state for a successor process
+//   - reconfigure.go: new settings for a running balancer
+//   - learnedstate.go, transfer.go: the learned state that a successor process imports
 //
-// All points in time and durations are of type [Milliseconds].
+// All points in time and durations are of type [Milliseconds]. A constant whose name ends in Objectives is a
+// duration as a multiple of a latency objective. All other constants without a type are counts, fractions or
+// factors.
 package balance
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -26,7 +26,7 @@
 	return &endpoint{
 		ownCapacity: newCapacityFactor(),
 		slowStart:   slowStart{startedAt: longAgo},
-		activity:    endpointActivity{lastSendAt: never},
+		activity:    endpointActivity{lastSentAt: never},
 		classScores: newClassScores(classCount),
 	}
 }
@@ -41,18 +41,18 @@
 
 // endpointActivity holds the times of the last exchanges between this sidecar and an endpoint.
 type endpointActivity struct {
-	lastSendAt          Milliseconds // when the last attempt was sent; never: no attempt was sent
+	lastSentAt          Milliseconds // when the last attempt was sent; never: no attempt was sent
 	lastResponseAt      Milliseconds // when the endpoint last responded to an attempt or health check
 	latestSuccessSentAt Milliseconds // latest send time of all attempts with a successful response
 }
 
-// recordResponseTo records a successful response to an attempt that was sent at sentAt.
-func (a *endpointActivity) recordResponseTo(sentAt Milliseconds) {
+// recordSuccess records a successful response to an attempt that was sent at sentAt.
+func (a *endpointActivity) recordSuccess(sentAt Milliseconds) {
 	a.latestSuccessSentAt = max(a.latestSuccessSentAt, sentAt)
 }
 
 // mayBeConnected reports whether a connection to the endpoint is probably open, because the last attempt was
 // sent within the idle timeout of connections.
 func (a *endpointActivity) mayBeConnected(now, connIdleTimeout Milliseconds) bool {
-	return a.lastSendAt <= now && now < a.lastSendAt+connIdleTimeout
+	return a.lastSentAt <= now && now < a.lastSentAt+connIdleTimeout
 }
--- a/balance/endpointload.go
+++ b/balance/endpointload.go
@@ -1,6 +1,6 @@
 package balance
 
-// unknownInFlight is the number of requests in flight of an endpoint without a fresh load report.
+// unknownInFlight is used as the number of requests in flight of an endpoint without a fresh load report.
 const unknownInFlight = -1
 
 // endpointLoad is the load of one endpoint: the attempts of this sidecar in flight, and the last load report.
@@ -8,7 +8,7 @@
 // required to meet all latency objectives.
 type endpointLoad struct {
 	inFlight         int          // attempts of this sidecar in flight
-	requiredRate     float64      // required response rate per millisecond, without overdue attempts
+	requiredRate     float64      // required responses per millisecond; overdue attempts do not count
 	reportedInFlight float64      // requests in flight according to the last load report
 	reportedAt       Milliseconds // when the last load report arrived; 0: none has arrived
 	sentSinceReport  float64      // attempts of this sidecar since the last load report
@@ -17,7 +17,7 @@
 // loadTracker adds attempts to the load of their endpoints and removes them. It tracks the load of overdue
 // attempts separately. They take far longer than is usual in their class, and may be lost.
 type loadTracker struct {
-	overdueRate float64 // required response rate of the overdue attempts, per millisecond
+	overdueRate float64 // required response rate of the overdue attempts, in responses per millisecond
 }
 
 // add adds an attempt to the load of its endpoint.
@@ -99,8 +99,8 @@
 const overloadedAfterObjectives = 0.75
 
 // overloaded reports whether an endpoint would probably respond too late to a first attempt, according to a
-// fresh load report. Endpoints that are not overloaded precede all others, so if the picked endpoint is
-// overloaded, all candidates are.
+// fresh load report. An overloaded endpoint is picked only if all other candidates with a known load are
+// overloaded, too.
 func (b *Balancer) overloaded(req *request, ep *endpoint) bool {
 	if len(req.attempts) > 0 || !b.hasFreshReport(ep) {
 		return false
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -85,7 +85,7 @@
 		b.endpoints.markUnlistedGone(ev.Endpoints)
 	}
 	if ev.Kind != UpdateCachedSnapshot {
-		b.polling.reset()
+		b.polling.resetBackoff()
 	}
 	for i := range ev.Endpoints {
 		entry := &ev.Endpoints[i]
--- a/balance/events.go
+++ b/balance/events.go
@@ -38,7 +38,7 @@
 	UpdateSnapshot       UpdateKind = iota // all endpoints
 	UpdateCachedSnapshot                   // all endpoints, as listed at an earlier time
 	UpdateDelta                            // changed entries only
-	UpdateFailed                           // a poll failed, or the subscription ended; nothing else changed
+	UpdateFailed                           // a poll failed or a watch ended; Endpoints is ignored
 )
 
 // EndpointUpdate is an update from discovery. The balancer does not retain Endpoints.
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -10,14 +10,17 @@
 	healthCheckBudget = 0.03
 	// minHealthCheckCost keeps the number of affordable health checks finite if they have no cost.
 	minHealthCheckCost = 1e-3
-	// reportLifetimeObjectives is how long a load report is valid, and how long a first attempt waits for
-	// health checks, in latency objectives.
+	// reportLifetimeObjectives is how long a load report is valid, how long a first attempt waits for health
+	// checks, and the time after which the result of a health check is due, in latency objectives.
 	reportLifetimeObjectives = 0.05
 	// allBusyProbability is the accepted probability that all checked endpoints are busy.
 	allBusyProbability = 0.01
 	// minBusyFraction and maxBusyFraction keep the logarithm of the busy fraction finite and below 0.
 	minBusyFraction = 0.01
 	maxBusyFraction = 0.99
+	// initialBusyFraction is the busy fraction that is assumed before there are load reports: all endpoints
+	// are busy.
+	initialBusyFraction = 1
 	// checkSentAtTolerance is the largest difference by rounding between the recorded send time of a health
 	// check and the send time computed from the duration in its result.
 	checkSentAtTolerance Milliseconds = 1
@@ -31,20 +34,21 @@
 
 // candidateChecks holds the state of the health checks that precede first attempts.
 type candidateChecks struct {
-	busyFraction float64    // recent fraction of load reports with requests in flight
-	awaiting     []*request // requests that wait for health checks
+	busyFraction    float64    // recent fraction of load reports with requests in flight
+	waitingRequests []*request // requests that wait for health checks
 }
 
-// recordReport adds a load report to the busy fraction.
+// recordReport adds a load report to the busy fraction: 1 if it shows requests in flight, otherwise 0.
 func (c *candidateChecks) recordReport(inFlight float64) {
 	c.busyFraction += (min(inFlight, 1) - c.busyFraction) / averagingSamples
 }
 
-// endpointsToCheck returns the number of endpoints to check for a request: enough that one of them is very
+// checkCount returns the number of endpoints to check for a request: enough that one of them is very
 // probably idle, within healthCheckBudget. cost is the cost of one health check.
-func (c *candidateChecks) endpointsToCheck(cost float64) int {
+func (c *candidateChecks) checkCount(cost float64) int {
 	affordable := healthCheckBudget / max(cost, minHealthCheckCost)
 	busyFraction := clamp(c.busyFraction, minBusyFraction, maxBusyFraction)
+	// the lowest number of endpoints for which busyFraction^needed is at most allBusyProbability
 	needed := math.Ceil(math.Log(allBusyProbability) / math.Log(busyFraction))
 	return int(min(affordable, needed))
 }
@@ -55,19 +59,20 @@
 	if !b.cfg.HealthChecks || b.cfg.LoadReports != LoadReportsPolled {
 		return
 	}
-	for count := b.checks.endpointsToCheck(b.cfg.Costs.HealthCheck); len(req.checkedEndpoints) < count; {
+	count := b.checks.checkCount(b.cfg.Costs.HealthCheck)
+	for len(req.checkedEndpoints) < count {
 		next := b.nextToCheck(req)
 		if next == nil {
 			break
 		}
 		req.checkedEndpoints = append(req.checkedEndpoints, next)
-		if !next.healthCheck.pending || b.respondedSinceCheck(next, next.healthCheck.sentAt) {
+		if !next.healthCheck.pending || b.respondedAfterCheckDue(next, next.healthCheck.sentAt) {
 			b.sendHealthCheck(next)
 		}
 	}
 	if len(req.checkedEndpoints) > 0 {
 		req.awaitChecksUntil = b.now + reportLifetimeObjectives*req.class.LatencyObjective
-		b.checks.awaiting = append(b.checks.awaiting, req)
+		b.checks.waitingRequests = append(b.checks.waitingRequests, req)
 	}
 }
 
@@ -109,7 +114,7 @@
 		b.recordResponse(ep)
 	case ev.Result == ConnReset || ev.Result == NotAttempted:
 		// The connection broke or was never opened; another connection may work.
-	case b.respondedSinceCheck(ep, sentAt): // only the health check was lost
+	case b.respondedAfterCheckDue(ep, sentAt): // only the health check was lost
 		if ep.healthCheck.sentAt > sentAt+checkSentAtTolerance { // a later health check is pending
 			return
 		}
@@ -117,17 +122,18 @@
 		ep.outlier.recordFailedHealthCheck(b.now, b.longestObjective)
 	}
 	ep.healthCheck.pending = false
-	b.resumeAwaitingChecks()
+	b.advanceWaitingRequests()
 }
 
-// respondedSinceCheck reports whether an endpoint has responded after the result of a health check that was
-// sent at checkSentAt was due. Then the endpoint is reachable, even if the result never arrived.
-func (b *Balancer) respondedSinceCheck(ep *endpoint, checkSentAt Milliseconds) bool {
+// respondedAfterCheckDue reports whether an endpoint has responded after the result of a health check that
+// was sent at checkSentAt was due. Then the endpoint is reachable, even if the result never arrived.
+func (b *Balancer) respondedAfterCheckDue(ep *endpoint, checkSentAt Milliseconds) bool {
 	return ep.activity.lastResponseAt > checkSentAt+reportLifetimeObjectives*b.longestObjective
 }
 
-// checksDone reports whether a request no longer has to wait for its health checks.
-func (b *Balancer) checksDone(req *request) bool {
+// checksDoneOrTimedOut reports whether a request no longer has to wait for its health checks: all results
+// have arrived, or the wait has reached its time limit.
+func (b *Balancer) checksDoneOrTimedOut(req *request) bool {
 	if b.now >= req.awaitChecksUntil {
 		return true
 	}
@@ -135,14 +141,14 @@
 	return !slices.ContainsFunc(req.checkedEndpoints, pending)
 }
 
-// resumeAwaitingChecks advances the requests that wait for health checks, and keeps those that still wait.
-func (b *Balancer) resumeAwaitingChecks() {
-	waiting := b.checks.awaiting
-	b.checks.awaiting = waiting[:0]
+// advanceWaitingRequests advances the requests that wait for health checks, and keeps those that still wait.
+func (b *Balancer) advanceWaitingRequests() {
+	waiting := b.checks.waitingRequests
+	b.checks.waitingRequests = waiting[:0]
 	for _, req := range waiting {
-		b.advance(req)
-		if !req.done && req.awaitChecksUntil > b.now {
-			b.checks.awaiting = append(b.checks.awaiting, req)
+		b.advanceRequest(req)
+		if !req.finished && req.awaitChecksUntil > b.now {
+			b.checks.waitingRequests = append(b.checks.waitingRequests, req)
 		}
 	}
 }
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -97,7 +97,7 @@
 	ep := h.b.requests[id].attempts[attempt].endpoint
 	return h.dispatch(Outcome{
 		Request: id, Attempt: attempt, Endpoint: ep.ID, Result: result, Duration: duration,
-		Finished: result == OK || h.b.requests[id].done,
+		Finished: result == OK || h.b.requests[id].finished,
 	})
 }
 
@@ -149,7 +149,7 @@
 func (h *harness) dueTimers() []TimerFired {
 	var list []TimerFired
 	for id := RequestID(1); id <= h.lastRequest; id++ {
-		if req := h.b.requests[id]; req != nil && req.nextTimerAt <= h.now && !req.done {
+		if req := h.b.requests[id]; req != nil && req.nextTimerAt <= h.now && !req.finished {
 			list = append(list, TimerFired{Token: uint64(id)})
 		}
 	}
--- a/balance/keycounter.go
+++ b/balance/keycounter.go
@@ -37,8 +37,8 @@
 	c.total /= 2
 }
 
-// fraction returns the fraction of recent requests that are for a key. Even the first request for a key
-// counts in full, because it is more likely to be for a hot key.
-func (c *keyCounter) fraction(key uint64) float64 {
+// requestFraction returns the fraction of recent requests that are for a key. Even the first request for a
+// key counts in full, because it is more likely to be for a hot key.
+func (c *keyCounter) requestFraction(key uint64) float64 {
 	return *c.bucket(key) / (c.total + priorKeyRequests)
 }
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -3,14 +3,15 @@
 const (
 	// initialLatencyRatio is the ratio of latency to objective that is assumed before there are responses.
 	initialLatencyRatio = 0.33
-	// maxLatencyRatio caps the ratio of latency to objective.
+	// maxLatencyRatio is the upper bound of the ratio of latency to objective.
 	maxLatencyRatio = 2
 	// queueingAllowance is the fraction of the time between the lowest mean latency and the latency objective
 	// that queueing may take before load is shed.
 	queueingAllowance = 0.25
 	// averagingSamples is the number of responses or load reports over which means are taken.
 	averagingSamples = 50
-	// averagingTimeConstant is the time constant of means over responses, regardless of the response rate.
+	// averagingTimeConstant is the time constant of means over responses. averagingGain derives the weight of
+	// a response from it, so that the means follow changes equally fast at any response rate.
 	averagingTimeConstant Milliseconds = 1000
 	// minAveragingGain and maxAveragingGain limit the weight of one response, because latencies vary widely.
 	minAveragingGain = 0.01
@@ -79,7 +80,7 @@
 }
 
 // averagingGain returns the weight of one response in a mean with time constant averagingTimeConstant, within
-// minAveragingGain and maxAveragingGain. The caller has to call advanceResponseRate first.
+// minAveragingGain and maxAveragingGain. The caller has to call decayResponseCounts first.
 func (b *Balancer) averagingGain() float64 {
 	rate := b.responsesPerMillisecond(averagingPriorResponses)
 	return clamp(1/(float64(averagingTimeConstant)*rate), minAveragingGain, maxAveragingGain)
@@ -87,6 +88,6 @@
 
 // recordLateness adds an attempt that ended to the fraction of late attempts.
 func (b *Balancer) recordLateness(late bool) {
-	b.advanceResponseRate()
+	b.decayResponseCounts()
 	b.latency.recordLateness(late, b.averagingGain())
 }
--- a/balance/loadshedding.go
+++ b/balance/loadshedding.go
@@ -1,29 +1,29 @@
 package balance
 
 const (
-	// immediateShedGain is the fraction of the load that is shed at once, per unit of excess latency ratio.
+	// immediateShedGain is the fraction of the load that is shed at once, per unit of excess ratio: the
+	// amount by which the expected ratio of latency to objective exceeds the shed threshold.
 	immediateShedGain = 4
-	// maxSteadyMultiple limits the shed fraction to this multiple of the steady fraction, so that a single
-	// random deviation does not shed load.
-	maxSteadyMultiple = 2
-	// minSteadyShedGain is the least change of the steady fraction at one request, per unit of excess latency
-	// ratio.
+	// maxMultipleOfSteadyFraction limits the shed fraction to this multiple of the steady fraction, so that a
+	// single random deviation does not shed load.
+	maxMultipleOfSteadyFraction = 2
+	// minSteadyShedGain is the least change of the steady fraction at one request, per unit of excess ratio.
 	minSteadyShedGain = 0.04
 	// steadyShedObjectives is the time constant of the steady fraction while requests are rare, as a multiple
 	// of the longest latency objective.
 	steadyShedObjectives = 2
 	// maxSteadyShedGain is the greatest change of the steady fraction at one request, per unit of excess
-	// latency ratio.
+	// ratio.
 	maxSteadyShedGain = 0.5
-	// maxLateFractionMultiple limits the steady fraction to this multiple of the fraction of late responses,
-	// because shedding more load cannot make more responses timely.
-	maxLateFractionMultiple = 3
+	// maxMultipleOfLateFraction limits the steady fraction to this multiple of the fraction of late
+	// responses, because shedding more load cannot make more responses timely.
+	maxMultipleOfLateFraction = 3
 	// maxShedFraction limits the shed fraction. It is less than 1, because the end of an overload cannot be
 	// detected without responses.
 	maxShedFraction = 0.95
-	// priorResponses is the number of responses assumed in addition to recent ones, so that a sidecar with
-	// few requests does not shed load because of random variation.
-	priorResponses = 15
+	// shedPriorResponses is the number of responses that load shedding assumes in addition to recent ones, so
+	// that a sidecar with few requests does not shed load because of random variation.
+	shedPriorResponses = 15
 	// overdueLoadGain is the fraction of the overdue attempts that counts as load, per unit of slowdown: the
 	// excess of the recent latency ratio over the shed threshold, divided by the threshold.
 	overdueLoadGain = 4
@@ -41,45 +41,45 @@
 
 // overloadEstimate describes the overload of the fleet when a request arrives.
 type overloadEstimate struct {
-	excess       float64 // expected latency ratio minus the shed threshold; may be negative
+	excessRatio  float64 // expected latency ratio minus the shed threshold; may be negative
 	lateFraction float64 // recent fraction of attempts that ended after their latency objective
 	recency      float64 // weight of lateFraction, from 0 to 1; decays without responses
 }
 
-// update adjusts the steady fraction to the overload when a request arrives.
-func (s *loadShedder) update(now, longestObjective Milliseconds, overload overloadEstimate) {
+// updateSteadyFraction adjusts the steady fraction to the overload when a request arrives.
+func (s *loadShedder) updateSteadyFraction(now, longestObjective Milliseconds, overload overloadEstimate) {
 	elapsed := float64((now - s.lastRequestAt) / steadyShedObjectives / longestObjective)
 	gain := clamp(elapsed, minSteadyShedGain, maxSteadyShedGain)
 	s.lastRequestAt = now
-	limit := min(maxShedFraction, maxLateFractionMultiple*overload.lateFraction*overload.recency)
-	s.steadyFraction = clamp(s.steadyFraction+gain*overload.excess, 0, limit)
+	limit := min(maxShedFraction, maxMultipleOfLateFraction*overload.lateFraction*overload.recency)
+	s.steadyFraction = clamp(s.steadyFraction+gain*overload.excessRatio, 0, limit)
 }
 
-// fraction returns the fraction of the load to shed at the moment.
-func (s *loadShedder) fraction(overload overloadEstimate) float64 {
-	limit := min(maxShedFraction, maxSteadyMultiple*s.steadyFraction)
-	return clamp(s.steadyFraction+immediateShedGain*overload.excess, 0, limit)
+// shedFraction returns the fraction of the load to shed at the moment.
+func (s *loadShedder) shedFraction(overload overloadEstimate) float64 {
+	limit := min(maxShedFraction, maxMultipleOfSteadyFraction*s.steadyFraction)
+	return clamp(s.steadyFraction+immediateShedGain*overload.excessRatio, 0, limit)
 }
 
 // admit reports whether a request is admitted. It sheds the load that the fleet cannot serve within the
 // latency objectives, before any attempt is sent.
 func (b *Balancer) admit(req *request) bool {
 	overload := b.estimateOverload()
-	b.shedder.update(b.now, b.longestObjective, overload)
+	b.shedder.updateSteadyFraction(b.now, b.longestObjective, overload)
 	if b.isLateRetry(req) && b.shedder.steadyFraction >= req.class.LateWeight {
 		return false
 	}
-	shed := b.shedder.fraction(overload)
-	return shed == 0 || b.random.next() >= b.shedProbability(req, shed)
+	shedFraction := b.shedder.shedFraction(overload)
+	return shedFraction == 0 || b.random.next() >= b.shedProbability(req, shedFraction)
 }
 
 // estimateOverload estimates the current overload of the fleet.
 func (b *Balancer) estimateOverload() overloadEstimate {
-	b.advanceResponseRate()
+	b.decayResponseCounts()
 	recency := b.latency.recency(b.now, b.longestObjective)
 	expected := min(b.expectedLatencyRatio(recency), maxLatencyRatio)
 	return overloadEstimate{
-		excess:       expected - b.latency.shedThreshold(),
+		excessRatio:  expected - b.latency.shedThreshold(),
 		lateFraction: b.latency.lateFraction,
 		recency:      recency,
 	}
@@ -98,8 +98,8 @@
 	// While other responses are fast, overdue attempts are not counted as load, because they may be lost.
 	slowdown := recentRatio/b.latency.shedThreshold() - 1
 	overdueLoad := b.load.overdueRate * clamp(overdueLoadGain*slowdown, 0, 1)
-	priorLoad := priorRatio * priorResponses / responseRateObjectives / float64(b.longestObjective)
-	return (b.inFlightLoad() + overdueLoad + priorLoad) / b.responsesPerMillisecond(priorResponses)
+	priorLoad := priorRatio * shedPriorResponses / responseRateObjectives / float64(b.longestObjective)
+	return (b.inFlightLoad() + overdueLoad + priorLoad) / b.responsesPerMillisecond(shedPriorResponses)
 }
 
 // isLateRetry reports whether a request is probably a client's retry that arrives after the latency objective
--- a/balance/loadshedding_test.go
+++ b/balance/loadshedding_test.go
@@ -12,8 +12,8 @@
 func (h *harness) setOverload(steadyShed, excess float64) {
 	threshold := h.b.latency.minRatio + queueingAllowance*(1-h.b.latency.minRatio)
 	h.b.shedder.steadyFraction, h.b.latency.lateFraction = steadyShed, 1
-	h.b.advanceResponseRate()
-	fullLoad := (threshold + excess) * h.b.responsesPerMillisecond(priorResponses)
+	h.b.decayResponseCounts()
+	fullLoad := (threshold + excess) * h.b.responsesPerMillisecond(shedPriorResponses)
 	h.b.endpoints.list[0].load.requiredRate += fullLoad - h.b.inFlightLoad()
 }
 
@@ -259,7 +259,7 @@
 	}
 	for _, ep := range h.b.endpoints.list {
 		if ep.ID != preferred {
-			ep.activity.lastSendAt = never // the connections to the others were closed
+			ep.activity.lastSentAt = never // the connections to the others were closed
 		}
 	}
 	h.now += 100
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -21,13 +21,13 @@
 // recordSuccess updates all statistics with a successful attempt.
 func (b *Balancer) recordSuccess(req *request, attempt *attempt, latency Milliseconds) {
 	ep := attempt.endpoint
-	ep.activity.recordResponseTo(attempt.sentAt)
+	ep.activity.recordSuccess(attempt.sentAt)
 	b.recordResponse(ep)
 	if ep.outlier.likelyRestarted(b.now) && !b.inSlowStart(ep) {
 		b.startSlowStart(ep, b.now)
 	}
 	ep.outlier.clear()
-	b.advanceResponseRate()
+	b.decayResponseCounts()
 	b.responses.record()
 	b.recordLatency(req, attempt, latency)
 }
@@ -39,7 +39,7 @@
 	b.timePerInFlight.record(latency, attempt.inFlightBefore)
 	b.latency.recordResponse(b.now, latency, objective, b.averagingGain())
 	slow := latency > objective.scaled(b.latency.shedThreshold())
-	ep.sticky.recordLatency(slow, b.now+slowDurationObjectives*b.longestObjective)
+	ep.sticky.setSlow(slow, b.now+slowDurationObjectives*b.longestObjective)
 	if req.stats.latencySamples > 0 {
 		b.learnCapacity(ep, ratio(latency, req.stats.meanLatency))
 	}
@@ -48,7 +48,7 @@
 
 // recordFailure updates all statistics with a failed attempt.
 func (b *Balancer) recordFailure(attempt *attempt, result Result) {
-	if result == TimedOut && !attempt.overdue { // the client's timeout is shorter than the usual latency
+	if result == TimedOut && !attempt.overdue { // the client's timeout was shorter than usual latencies
 		return
 	}
 	b.recordLateness(result == TimedOut || result == Rejected)
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -12,7 +12,7 @@
 	// errorsToEject is the number of consecutive errors at which an endpoint is ejected.
 	errorsToEject = 3
 	// connectErrorsToEject is the number of failed connections, without a success in between, at which an
-	// endpoint is ejected and counts as stopped. A single failed connection may be a coincidence.
+	// endpoint is ejected because it has probably stopped. A single failed connection may be a coincidence.
 	connectErrorsToEject = 2
 	// connectErrorRestartTime is how long ago the last error must be for a single failed connection to count
 	// as a sign of a restart, when the endpoint responds again.
@@ -44,7 +44,7 @@
 	lastErrorAt          Milliseconds
 	consecutiveEjections int
 	ejectedUntil         Milliseconds // end of the last ejection; 0: not ejected since the last clear
-	healthCheckFailed    bool         // the last health check failed; a success then clears all errors
+	healthCheckFailed    bool         // the last health check failed; a later successful one clears errors
 }
 
 // clear resets the errors and ejections, but keeps the time of the last error.
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		end := h.now + latencies[i%3]
-		for req := h.b.requests[id]; !req.done && req.nextTimerAt < end; {
+		for req := h.b.requests[id]; !req.finished && req.nextTimerAt < end; {
 			h.now = req.nextTimerAt
 			h.dispatch(TimerFired{Token: uint64(id)})
 		}
--- a/balance/polling.go
+++ b/balance/polling.go
@@ -4,7 +4,7 @@
 	// pollBackoffBase is the delay before a failed poll is repeated. It doubles with each consecutive
 	// failure.
 	pollBackoffBase Milliseconds = 500
-	// maxPollDoublings limits how often this delay doubles.
+	// maxPollDoublings is the maximum number of times that this delay doubles.
 	maxPollDoublings = 4
 	// pollServiceTime is the time allotted to discovery for the poll of one sidecar: it serves one at a time.
 	pollServiceTime Milliseconds = 60
@@ -16,15 +16,16 @@
 	// propagationLimit is the time within which a change that discovery reports has to reach a sidecar,
 	// counted from when discovery is reachable.
 	propagationLimit Milliseconds = 6000
-	// maxPollBackoff is the longest delay that keeps propagationLimit. When discovery becomes reachable, a
-	// poll may just have started that still fails; the delay and the successful poll follow. Half of
-	// pollBackoffBase is a margin.
+	// maxPollBackoff is the longest delay that keeps propagationLimit. In the worst case, a poll that still
+	// fails starts just before discovery becomes reachable, and the delay and the successful poll follow: two
+	// polls of up to pollTimeout. Half of pollBackoffBase is a margin.
 	maxPollBackoff = propagationLimit - 2*pollTimeout - pollBackoffBase/2
-	// startSpreadFraction is the fraction of MaxPollInterval over which the first polls of all sidecars are
-	// spread.
-	startSpreadFraction = 0.5
-	// minPollsPerInterval is the number of delays between failed polls that have to fit into MaxPollInterval.
-	minPollsPerInterval = 3
+	// firstPollSpreadFraction is the fraction of MaxPollInterval over which the first polls of all sidecars
+	// are spread.
+	firstPollSpreadFraction = 0.5
+	// minPollRetriesPerInterval is the number of delays between failed polls that have to fit into
+	// MaxPollInterval.
+	minPollRetriesPerInterval = 3
 )
 
 // pollScheduler decides when the endpoint list is polled, so that one discovery service can serve all
@@ -33,8 +34,8 @@
 	failures int // consecutive failed polls
 }
 
-// reset resets the backoff after a successful poll.
-func (p *pollScheduler) reset() { p.failures = 0 }
+// resetBackoff resets the backoff after a successful poll.
+func (p *pollScheduler) resetBackoff() { p.failures = 0 }
 
 // firstDelay returns the delay of the first poll, which spreads the first polls of all sidecars over time.
 // Otherwise, sidecars that start together would overload discovery: most polls would time out, and their
@@ -42,7 +43,7 @@
 func (p *pollScheduler) firstDelay(cfg *Config) Milliseconds {
 	spread := min(pollRoundTime(cfg), propagationLimit-uncontendedPollTime)
 	if cfg.MaxPollInterval > 0 {
-		spread = min(spread, cfg.MaxPollInterval*startSpreadFraction)
+		spread = min(spread, cfg.MaxPollInterval*firstPollSpreadFraction)
 	}
 	instanceCount := max(cfg.InstanceCount, 1)
 	position := max(cfg.InstanceIndex, 0) % instanceCount
@@ -55,7 +56,7 @@
 func (p *pollScheduler) retryDelay(cfg *Config, now Milliseconds, random *randomSource) Milliseconds {
 	maxDelay := maxPollBackoff
 	if cfg.MaxPollInterval > 0 {
-		maxDelay = min(maxDelay, cfg.MaxPollInterval/minPollsPerInterval)
+		maxDelay = min(maxDelay, cfg.MaxPollInterval/minPollRetriesPerInterval)
 	}
 	backoff := pollBackoffBase.scaled(backoffFactor(p.failures, maxPollDoublings))
 	delay := min(backoff, maxDelay).scaled(random.jitter())
--- a/balance/priority.go
+++ b/balance/priority.go
@@ -6,32 +6,33 @@
 	// equalValueFactor is the factor within which values count as equal, so that a tiny difference does not
 	// put all of the shedding on one tenant.
 	equalValueFactor = 1.25
-	// minMeanLatency is used as the mean latency of a class without responses.
+	// minMeanLatency is used as the mean latency of a class without responses, because it is a divisor.
 	minMeanLatency Milliseconds = 1e-3
-	// minEqualWork keeps the work of equal value above 0, because it is a divisor.
-	minEqualWork = 1e-3
+	// minEqualValueWork is added to the work whose value is equal to that of the request, to keep it above 0:
+	// it is a divisor.
+	minEqualValueWork = 1e-3
 )
 
-// shedProbability returns the probability with which to reject a request, so that the given fraction of the
-// total load is shed. Classes and tenants with the lowest value per work are shed first. The result may be
-// outside of [0, 1].
-func (b *Balancer) shedProbability(req *request, shed float64) float64 {
+// shedProbability returns the probability with which to reject a request, so that shedFraction of the total
+// load is shed. Classes and tenants with the lowest value per work are shed first. The work of a class and
+// tenant is estimated as if all tenants had the same mix of classes. The result may be outside of [0, 1].
+func (b *Balancer) shedProbability(req *request, shedFraction float64) float64 {
 	totalRequests := b.totalRequests()
 	ownValue := b.valuePerWork(req.stats, req.tenant, totalRequests)
-	totalWork, lowerWork, equalWork := 0.0, 0.0, minEqualWork // lower and equal refer to the value per work
+	totalWork, lowerValueWork, equalValueWork := 0.0, 0.0, minEqualValueWork
 	for _, class := range b.classes {
 		for _, tenant := range b.tenants {
 			work := class.count * float64(class.meanLatency) * tenant.count
 			totalWork += work
 			value := b.valuePerWork(class, tenant, totalRequests)
 			if value*equalValueFactor < ownValue {
-				lowerWork += work
+				lowerValueWork += work
 			} else if value < ownValue*equalValueFactor {
-				equalWork += work
+				equalValueWork += work
 			}
 		}
 	}
-	return (shed*totalWork - lowerWork) / equalWork
+	return (shedFraction*totalWork - lowerValueWork) / equalValueWork
 }
 
 // valuePerWork returns the priority weight that a tenant's response of a class earns per millisecond of
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -1,32 +1,33 @@
 package balance
 
 const (
-	// overdueDeviations is how far above the class's mean latency an attempt is overdue, in mean deviations.
+	// overdueDeviations is the number of mean absolute deviations above the class's mean latency at which an
+	// attempt is overdue.
 	overdueDeviations = 4
-	// minOverdueSamples is the number of latencies of the class needed for the rule above.
+	// minOverdueSamples is the number of latency samples of the class that this limit requires.
 	minOverdueSamples = 5
-	// defaultOverdueObjectives is the time after which an attempt is overdue while there are fewer samples,
-	// in latency objectives.
+	// defaultOverdueObjectives is the time after which an attempt is overdue while its class has fewer
+	// samples, in latency objectives.
 	defaultOverdueObjectives = 0.5
 	// rechecksPerObjective is the number of times per latency objective that a waiting request is advanced.
 	rechecksPerObjective = 20
 )
 
-// advance performs the next step of a request: it ends the request, sends an attempt, or sets a timer to
-// check again later.
-func (b *Balancer) advance(req *request) {
-	if req.done || req.streaming {
+// advanceRequest performs the next step of a request: it ends the request, sends an attempt, or sets a timer
+// to check again later.
+func (b *Balancer) advanceRequest(req *request) {
+	if req.finished || req.streaming {
 		return
 	}
 	b.markOverdue(req)
 	b.cancelLostAttempts(req)
-	if b.now >= req.deadline || req.inFlight == 0 && b.mustEnd(req) {
+	if b.now >= req.deadline || req.inFlight == 0 && b.shouldRejectOrFail(req) {
 		b.rejectOrFail(req)
 		return
 	}
-	if req.inFlight == 0 && b.checksDone(req) {
-		req.awaitChecksUntil = 0 // do not wait for later health checks of these endpoints
-		ep := b.pick(req, req.nextAttemptKind())
+	if req.inFlight == 0 && b.checksDoneOrTimedOut(req) {
+		req.awaitChecksUntil = 0 // later health checks of these endpoints do not delay the request again
+		ep := b.pickEndpoint(req, req.nextAttemptKind())
 		if ep != nil && b.overloaded(req, ep) {
 			b.rejectOrFail(req)
 			return
@@ -106,12 +107,12 @@
 }
 
 // onRequestTimer advances a request when its timer fires. It does not compare nextTimerAt with the current
-// time, because the timer may fire slightly early due to rounding. advance then sets it again.
+// time, because the timer may fire slightly early due to rounding. advanceRequest then sets it again.
 func (b *Balancer) onRequestTimer(id RequestID) {
 	req := b.requests[id]
 	if req == nil {
 		return
 	}
 	req.nextTimerAt = never
-	b.advance(req)
+	b.advanceRequest(req)
 }
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -1,6 +1,6 @@
 package balance
 
-// minLongestObjective is the least value of the longest latency objective, because it is used as a divisor.
+// minLongestObjective is the lower bound of the longest latency objective, because that is used as a divisor.
 const minLongestObjective Milliseconds = 1
 
 // Reconfigure replaces the settings except for the seed. Learned state is kept, and open requests keep the
@@ -32,7 +32,7 @@
 func (b *Balancer) applyClasses(oldIndexes []int) {
 	oldStats := b.classes
 	for _, stats := range oldStats { // open requests may still refer to a class that is removed
-		stats.index = -1
+		stats.index = unconfiguredClass
 	}
 	b.longestObjective = minLongestObjective
 	b.classes = make([]*classStats, len(b.cfg.Classes))
@@ -64,8 +64,8 @@
 	}
 }
 
-// oldIndex returns the old index of entry i, and whether it is valid: whether it refers to one of count old
-// entries.
+// oldIndex looks up the old index of entry i. ok is false if the entry is new, or if the index is not one of
+// count old entries.
 func oldIndex(oldIndexes []int, i, count int) (old int, ok bool) {
 	if i >= len(oldIndexes) {
 		return -1, false
--- a/balance/request.go
+++ b/balance/request.go
@@ -11,7 +11,7 @@
 	deadline    Milliseconds // never: the upload is not complete
 	attempts    []*attempt
 	inFlight    int          // attempts in flight
-	done        bool         // no further response or attempt is needed
+	finished    bool         // no further response or attempt is needed
 	streaming   bool         // its streamed response has started: it has no deadline and no retries
 	noRetry     bool         // no further attempt: the body is no longer buffered, or too little time is left
 	nextTimerAt Milliseconds // when its next timer fires; never: no timer is set
@@ -50,7 +50,7 @@
 		return nil
 	}
 	b.checkCandidates(req)
-	b.advance(req)
+	b.advanceRequest(req)
 	return nil
 }
 
@@ -68,7 +68,7 @@
 		req.class = &b.cfg.Classes[ev.Class]
 		req.stats = b.classes[ev.Class]
 	} else { // separate statistics: the request does not belong to a class of the current configuration
-		req.stats = newClassStats(req.class, -1)
+		req.stats = newClassStats(req.class, unconfiguredClass)
 	}
 	if req.MaxAttempts == 0 {
 		req.MaxAttempts = b.cfg.MaxAttempts
@@ -94,9 +94,9 @@
 // retryAfterObjectives is the Retry-After time of a rejected request, as a multiple of its latency objective.
 const retryAfterObjectives = 0.1
 
-// rejectOrFail ends a request without a response from an endpoint. The cause is that load is shed (admit),
-// that the best endpoint is overloaded or the deadline has passed (advance), or that no further attempt is
-// allowed or useful (mustEnd). The request is rejected with a short Retry-After time if a retry by the client
+// rejectOrFail ends a request without a response from an endpoint: load is shed (admit), the picked endpoint
+// is overloaded or the deadline has passed (advanceRequest), or a further attempt is not allowed or not
+// useful (shouldRejectOrFail). The request is rejected with a short Retry-After time if a retry by the client
 // is safe, and failed otherwise.
 func (b *Balancer) rejectOrFail(req *request) {
 	action := Action{Kind: FailRequest, Request: req.ID}
@@ -108,10 +108,10 @@
 	b.finishRequest(req)
 }
 
-// finishRequest marks a request as done and cancels its attempts in flight. The request is released once no
-// attempt is in flight.
+// finishRequest marks a request as finished and cancels its attempts in flight. The request is released once
+// no attempt is in flight.
 func (b *Balancer) finishRequest(req *request) {
-	req.done = true
+	req.finished = true
 	b.cancelAttempts(req, noAttempt)
 	if req.inFlight == 0 {
 		delete(b.requests, req.ID)
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -187,10 +187,10 @@
 	}
 	b := h.b
 	if len(b.requests) > 1 || len(b.endpoints.list) != 5 || len(b.endpoints.byID) != 5 ||
-		len(b.checks.awaiting) > 1 || cap(b.actions) > 100 {
+		len(b.checks.waitingRequests) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("got %d requests, %d endpoints, %d by ID, %d waiting, capacity for %d actions; "+
 			"want at most 1, exactly 5, exactly 5, at most 1, at most 100",
-			len(b.requests), len(b.endpoints.list), len(b.endpoints.byID), len(b.checks.awaiting), cap(b.actions))
+			len(b.requests), len(b.endpoints.list), len(b.endpoints.byID), len(b.checks.waitingRequests), cap(b.actions))
 	}
 }
 
--- a/balance/responserate.go
+++ b/balance/responserate.go
@@ -14,7 +14,7 @@
 )
 
 // responseRate estimates the rate at which endpoints respond to this sidecar, from two exponentially decaying
-// counts. Callers have to call advance before they use or change the counts.
+// counts. Callers have to call decayTo before they use or change the counts.
 type responseRate struct {
 	startedAt      Milliseconds // when the balancer started
 	countedAt      Milliseconds // time to which the counts have decayed
@@ -22,8 +22,8 @@
 	shortTermCount float64      // time constant: longest latency objective
 }
 
-// advance decays the counts to the given time.
-func (r *responseRate) advance(now, longestObjective Milliseconds) {
+// decayTo decays the counts to the given time.
+func (r *responseRate) decayTo(now, longestObjective Milliseconds) {
 	elapsed := now - r.countedAt
 	if elapsed == 0 {
 		return
@@ -39,9 +39,9 @@
 	r.shortTermCount++
 }
 
-// perMillisecond returns the rate of responses per millisecond: the long-term mean, which includes
-// priorResponses, or a lower bound of the short-term rate if that is higher. Traffic may grow quickly, and
-// the lower bound discounts growth that may be due to chance.
+// perMillisecond returns the rate of responses per millisecond: the long-term mean, or a lower bound of the
+// short-term rate if that is higher. The short-term rate follows traffic that grows quickly; its lower bound
+// discounts growth that may be due to chance. priorResponses are added to the long-term count.
 func (r *responseRate) perMillisecond(longestObjective Milliseconds, priorResponses float64) float64 {
 	timeConstant := responseRateObjectives * longestObjective
 	observedFraction := max(-math.Expm1(-ratio(r.countedAt-r.startedAt, timeConstant)), minObservedFraction)
@@ -50,17 +50,17 @@
 	return max(meanRate, shortTermLowerBound/float64(longestObjective))
 }
 
-// halve halves the counts when a successor takes over, because the two processes share the load from then on.
-func (r *responseRate) halve() {
+// halveCounts halves the counts when a successor takes over, because the two processes then share the load.
+func (r *responseRate) halveCounts() {
 	r.longTermCount /= 2
 	r.shortTermCount /= 2
 }
 
-// advanceResponseRate decays the response counts to the current time.
-func (b *Balancer) advanceResponseRate() { b.responses.advance(b.now, b.longestObjective) }
+// decayResponseCounts decays the response counts to the current time.
+func (b *Balancer) decayResponseCounts() { b.responses.decayTo(b.now, b.longestObjective) }
 
 // responsesPerMillisecond returns the rate of responses, with priorResponses assumed in addition to the
-// counted ones. The caller has to call advanceResponseRate first.
+// counted ones. The caller has to call decayResponseCounts first.
 func (b *Balancer) responsesPerMillisecond(priorResponses float64) float64 {
 	return b.responses.perMillisecond(b.longestObjective, priorResponses)
 }
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -15,11 +15,12 @@
 // its class is not Idempotent, this is only safe with a DedupScope of DedupAll.
 
 const (
-	// maxRetriesExceptResets limits the retries of a request, not counting retries after broken connections.
+	// maxRetriesExceptResets is the maximum number of retries of a request, not counting those after broken
+	// connections.
 	// More retries would multiply the load on an overloaded fleet.
 	maxRetriesExceptResets = 1
-	// maxResetRetries limits the retries of a request after broken connections. It is higher, because a
-	// broken connection is not a sign of overload. mustEnd applies it.
+	// maxResetRetries is the maximum number of retries of a request after broken connections. It is higher,
+	// because a broken connection is not a sign of overload. shouldRejectOrFail applies it.
 	maxResetRetries = 3
 )
 
@@ -28,31 +29,32 @@
 	return r == Rejected || r == ConnectFailed || r == NotAttempted
 }
 
-// mayExecuteAgain reports whether the idempotency of the class allows another attempt at all, regardless of
+// mayAttemptAgain reports whether the idempotency of the class allows another attempt at all, regardless of
 // the endpoint.
-func (req *request) mayExecuteAgain(now Milliseconds) bool {
+func (req *request) mayAttemptAgain(now Milliseconds) bool {
 	for _, a := range req.attempts {
-		if !a.neverExecuted && !req.mayRepeatExecuted(a, now) {
+		if !a.neverExecuted && !req.mayRetryAfterExecution(a, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRepeatExecuted reports whether the class allows a retry after an attempt that may have been executed.
-func (req *request) mayRepeatExecuted(executed *attempt, now Milliseconds) bool {
+// mayRetryAfterExecution reports whether the idempotency of the class allows a retry, given an earlier
+// attempt that may have been executed.
+func (req *request) mayRetryAfterExecution(earlier *attempt, now Milliseconds) bool {
 	switch req.class.Idempotency {
 	case NonIdempotent:
 		return false
 	case IdempotencyKey: // after the window, endpoints may have forgotten the key
-		return now < executed.sentAt+req.class.DedupWindow
+		return now < earlier.sentAt+req.class.DedupWindow
 	}
 	return true
 }
 
-// mayExecuteAt reports whether the next attempt may go to an endpoint. The endpoint must not have had an
+// mayAttemptAt reports whether the next attempt may go to an endpoint. The endpoint must not have had an
 // attempt of the request, and must be in the dedup scope of all attempts that may have been executed.
-func (req *request) mayExecuteAt(ep *endpoint, now Milliseconds) bool {
+func (req *request) mayAttemptAt(ep *endpoint, now Milliseconds) bool {
 	for _, a := range req.attempts {
 		if a.endpoint == ep {
 			return false
@@ -60,7 +62,7 @@
 		if a.neverExecuted || req.class.Idempotency != IdempotencyKey {
 			continue
 		}
-		if !req.mayRepeatExecuted(a, now) || !req.class.DedupScope.sharesKeys(a.endpoint, ep) {
+		if !req.mayRetryAfterExecution(a, now) || !req.class.DedupScope.sharesKeys(a.endpoint, ep) {
 			return false
 		}
 	}
@@ -122,10 +124,10 @@
 	return true
 }
 
-// mustEnd reports whether a request without an attempt in flight must end now, because no further attempt is
-// allowed or because waiting for an endpoint is useless.
-func (b *Balancer) mustEnd(req *request) bool {
-	if req.attemptsExhausted() || req.resetCount() > maxResetRetries || !req.mayExecuteAgain(b.now) {
+// shouldRejectOrFail reports whether a request without an attempt in flight is to end now, because no further
+// attempt is allowed or because waiting for an endpoint is useless.
+func (b *Balancer) shouldRejectOrFail(req *request) bool {
+	if req.attemptsExhausted() || req.resetCount() > maxResetRetries || !req.mayAttemptAgain(b.now) {
 		return true
 	}
 	return b.waitingIsUseless(req)
@@ -140,7 +142,7 @@
 // canRetryInTime reports whether the attempt in flight can be cancelled for a retry: a retry is allowed,
 // another endpoint is available, and its response would probably meet the latency objective.
 func (b *Balancer) canRetryInTime(req *request) bool {
-	if req.attemptsExhausted() || !req.mayExecuteAgain(b.now) {
+	if req.attemptsExhausted() || !req.mayAttemptAgain(b.now) {
 		return false
 	}
 	if !b.cfg.Cancellation || req.inFlight > 1 || b.wouldMissObjective(req) {
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -7,6 +7,12 @@
 // requests in flight. The limit is rounded up, so that each endpoint may have at least one request in flight.
 const boundedLoadFactor = 0.4
 
+// ownInFlight counts the attempt that is about to be sent in the total of all requests in flight.
+const ownInFlight = 1.0
+
+// initialPickedCredit takes the place of the credit of the last picked endpoint before the first pick.
+const initialPickedCredit = 1
+
 // Limits of an endpoint's rotation credit, in attempts. An endpoint that is not picked for a long time does
 // not accumulate more credit than this.
 const (
@@ -37,8 +43,8 @@
 	initializedInSlowStart bool    // the endpoint was in slow start when the credit was initialized
 }
 
-// reset makes the next pick initialize the credit again.
-func (e *rotationEntry) reset() { e.initialized = false }
+// resetCredit makes the next pick initialize the credit again.
+func (e *rotationEntry) resetCredit() { e.initialized = false }
 
 // pickTotals holds totals over the candidates of a pick.
 type pickTotals struct {
@@ -46,16 +52,16 @@
 	inFlightPerWeight float64 // limit of a candidate's requests in flight, per unit of its weight
 }
 
-// rankedCandidate is a candidate with the result of shouldAvoid.
-type rankedCandidate struct {
+// pickCandidate is a candidate of a pick, with the result of shouldAvoid.
+type pickCandidate struct {
 	*endpoint
 	avoided bool // picked only if all candidates are to be avoided
 }
 
-// pick returns the endpoint for the next attempt, or nil if there is none. A first attempt follows the smooth
-// weighted round robin. A retry goes to the healthiest endpoint that the request has not tried, if possible
-// to one that need not be avoided. Both cost the endpoint rotation credit.
-func (b *Balancer) pick(req *request, kind attemptKind) *endpoint {
+// pickEndpoint returns the endpoint for the next attempt, or nil if there is none. A first attempt follows
+// the smooth weighted round robin. A retry goes to the healthiest endpoint that the request has not tried, if
+// possible to one that need not be avoided. Both cost the endpoint rotation credit.
+func (b *Balancer) pickEndpoint(req *request, kind attemptKind) *endpoint {
 	totals := b.updateRotation(req, kind, excludeEjected)
 	if totals.weight == 0 { // all are ejected, so the cause is probably not in the endpoints
 		totals = b.updateRotation(req, kind, includeEjected)
@@ -69,16 +75,16 @@
 	return best
 }
 
-// bestCandidate returns the candidate that precedes all others, or nil if no candidate may get an attempt.
+// bestCandidate returns the best candidate by isBetterCandidate, or nil if no candidate may get an attempt.
 func (b *Balancer) bestCandidate(req *request, kind attemptKind, totals pickTotals) *endpoint {
 	policy := b.slowStartPolicy(req)
-	var best rankedCandidate
+	var best pickCandidate
 	for _, ep := range b.endpoints.list {
 		if ep.candidate.weight == 0 || !b.slowStartAllows(ep, policy) {
 			continue
 		}
-		next := rankedCandidate{endpoint: ep, avoided: b.shouldAvoid(req, ep, totals)}
-		if best.endpoint == nil || b.precedes(req, kind, next, best) {
+		next := pickCandidate{endpoint: ep, avoided: b.shouldAvoid(req, ep, totals)}
+		if best.endpoint == nil || b.isBetterCandidate(req, kind, next, best) {
 			best = next
 		}
 	}
@@ -96,7 +102,7 @@
 
 // updateRotation computes the weights of all endpoints and, for a first attempt, distributes rotation credit.
 func (b *Balancer) updateRotation(req *request, kind attemptKind, policy ejectionPolicy) pickTotals {
-	b.updateMeanScore(req)
+	b.updateMeanClassScore(req)
 	fleet := b.updateWeights(req, policy)
 	if kind == firstAttempt && fleet.capacity > 0 {
 		b.rotation.totalCapacity = fleet.capacity // updateCandidates uses it to refill slow-start tokens
@@ -106,7 +112,7 @@
 		b.restrictToStickyEndpoints(req)
 	}
 	var totals pickTotals
-	inFlight, knownWeight := 1.0, 0.0
+	inFlight, knownWeight := ownInFlight, 0.0
 	for _, ep := range b.endpoints.list {
 		totals.weight += ep.candidate.weight
 		if ep.candidate.weight > 0 && ep.candidate.loadKnown {
@@ -115,15 +121,15 @@
 		}
 	}
 	totals.inFlightPerWeight = boundedLoadFactor * inFlight / knownWeight
-	b.advanceRotation(req, kind, totals.weight)
+	b.updateRotationCredits(req, kind, totals.weight)
 	return totals
 }
 
-// advanceRotation initializes the credit of candidates that are new to the rotation or have left slow start
-// and, for a first attempt, adds to each candidate's credit its fraction of the total weight. The initial
-// credit is random, up to 1 below the credit of the last picked endpoint, so that sidecars do not all pick
-// such an endpoint at the same time.
-func (b *Balancer) advanceRotation(req *request, kind attemptKind, totalWeight float64) {
+// updateRotationCredits initializes the credit of candidates that are new to the rotation or have left slow
+// start. For a first attempt, it then adds to each candidate's credit its fraction of the total weight. The
+// initial credit is random, up to 1 below the credit of the last picked endpoint, so that sidecars do not all
+// pick such an endpoint at the same time.
+func (b *Balancer) updateRotationCredits(req *request, kind attemptKind, totalWeight float64) {
 	for _, ep := range b.endpoints.list {
 		if ep.candidate.weight == 0 {
 			continue
@@ -148,18 +154,19 @@
 // weights for other classes.
 func (b *Balancer) rotationCredit(req *request, ep *endpoint) *float64 {
 	if b.classFailing(req) {
-		return &ep.scoreFor(req).rotationCredit
+		return &ep.classScoreFor(req).rotationCredit
 	}
 	return &ep.rotation.credit
 }
 
-// precedes reports whether an attempt should go to next rather than to best.
-func (b *Balancer) precedes(req *request, kind attemptKind, next, best rankedCandidate) bool {
+// isBetterCandidate reports whether an attempt should go to next rather than to best, the best candidate so
+// far.
+func (b *Balancer) isBetterCandidate(req *request, kind attemptKind, next, best pickCandidate) bool {
 	if next.avoided != best.avoided {
 		return best.avoided
 	}
 	if !next.avoided {
-		return b.precedesInRotation(req, kind, next.endpoint, best.endpoint)
+		return b.isBetterInRotation(req, kind, next.endpoint, best.endpoint)
 	}
 	if next.candidate.loadKnown != best.candidate.loadKnown { // a known load is better, even if it is high
 		return next.candidate.loadKnown
@@ -169,19 +176,20 @@
 	if nextOverloaded != bestOverloaded {
 		return bestOverloaded
 	}
-	if kind == firstAttempt { // the lower load per weight, compared without a division
+	if kind == firstAttempt { // the load per weight, cross-multiplied to avoid a division
 		nextLoad := (b.estimatedInFlight(next.endpoint) + 1) * best.candidate.weight
 		bestLoad := (b.estimatedInFlight(best.endpoint) + 1) * next.candidate.weight
 		return nextLoad < bestLoad
 	}
-	return b.precedesInRotation(req, kind, next.endpoint, best.endpoint)
+	return b.isBetterInRotation(req, kind, next.endpoint, best.endpoint)
 }
 
-// precedesInRotation compares two candidates by rotation credit. For a retry, it compares their health first.
-func (b *Balancer) precedesInRotation(req *request, kind attemptKind, next, best *endpoint) bool {
+// isBetterInRotation reports whether next has more rotation credit than best. For a retry, a difference in
+// health decides first.
+func (b *Balancer) isBetterInRotation(req *request, kind attemptKind, next, best *endpoint) bool {
 	if kind == retryAttempt {
-		nextHealth := next.outlier.health(b.now) * b.classFactor(req, next)
-		bestHealth := best.outlier.health(b.now) * b.classFactor(req, best)
+		nextHealth := next.outlier.health(b.now) * b.classHealthFactor(req, next)
+		bestHealth := best.outlier.health(b.now) * b.classHealthFactor(req, best)
 		if nextHealth != bestHealth {
 			return nextHealth > bestHealth
 		}
@@ -196,6 +204,6 @@
 
 // eligible reports whether an endpoint is ready and the retry policy allows the next attempt there.
 func (b *Balancer) eligible(req *request, ep *endpoint) bool {
-	untried := len(req.attempts) == 0
-	return ep.State == Ready && (untried || req.mayExecuteAt(ep, b.now))
+	noAttemptYet := len(req.attempts) == 0
+	return ep.State == Ready && (noAttemptYet || req.mayAttemptAt(ep, b.now))
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -58,14 +58,14 @@
 			h.b.endpoints.list[1].outlier.consecutiveErrors, h.b.endpoints.list[1].outlier.lastErrorAt = 1, h.now-5000
 			req := &request{class: &h.b.cfg.Classes[idempotentClass], stats: h.b.classes[idempotentClass]}
 			if c.want == 2 {
-				if ep := h.b.pick(req, retryAttempt); ep.ID == 2 {
+				if ep := h.b.pickEndpoint(req, retryAttempt); ep.ID == 2 {
 					t.Errorf("in flight %v: retry went to endpoint 2, which has the lowest health", c.inFlight)
 				}
 				for i, ep := range h.b.endpoints.list {
 					ep.rotation.credit = float64(10 * (4 - i))
 				}
 			}
-			if ep := h.b.pick(req, firstAttempt); ep.ID != c.want {
+			if ep := h.b.pickEndpoint(req, firstAttempt); ep.ID != c.want {
 				t.Errorf("in flight %v: first attempt went to endpoint %d, want %d", c.inFlight, ep.ID, c.want)
 			}
 		})
@@ -182,7 +182,7 @@
 	h := newHarness(t, cfg, newEndpoints(4)...)
 	ep := h.b.endpoints.list[0]
 	unconnected := h.b.affinityFactor(ep)
-	ep.activity.lastSendAt = h.now
+	ep.activity.lastSentAt = h.now
 	if got := h.b.affinityFactor(ep); got < 10*unconnected {
 		t.Errorf("got affinity factor %v with an open connection, want %v or more", got, 10*unconnected)
 	}
--- a/balance/simulation_test.go
+++ b/balance/simulation_test.go
@@ -43,7 +43,7 @@
 		if req == nil || !req.attempts[out.Attempt].inFlight { // the attempt has been cancelled
 			return
 		}
-		out.Finished = out.Result == OK || req.done
+		out.Finished = out.Result == OK || req.finished
 		if ev = out; out.Result == OK {
 			sim.served++
 		}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,6 +1,6 @@
 package balance
 
-// maxSavedWindowFraction limits the saved tokens to those of this fraction of the overload window.
+// maxSavedWindowFraction is the fraction of the overload window whose tokens can be saved.
 const maxSavedWindowFraction = 0.25
 
 // slowStartLoadFraction is the fraction of the overload factor that each sidecar uses. The rest is a margin,
@@ -11,6 +11,9 @@
 // received. It is low, so that the assumed responses of many sidecars do not add up.
 const slowStartPriorResponses = 1
 
+// minSlowStartDuration is used in place of a shorter duration, because the duration is a divisor.
+const minSlowStartDuration Milliseconds = 1
+
 // tokenPolicy determines which saved slow-start tokens allow an attempt.
 type tokenPolicy bool
 
@@ -20,11 +23,11 @@
 )
 
 // slowStart is a token bucket that limits the attempts of this sidecar to an endpoint that has just started.
-// The limit is hard, because an endpoint in slow start fails when the attempts of all sidecars exceed its
-// capacity times the overload factor.
+// No attempt exceeds the limit, because an endpoint in slow start fails when the attempts of all sidecars
+// exceed its capacity times the overload factor for the duration of the overload window.
 type slowStart struct {
 	startedAt   Milliseconds // when the slow start began
-	tokens      float64      // allowed attempts; each attempt takes one token, including retries
+	tokens      float64      // allowed attempts; each attempt, including a retry, takes one token
 	updatedAt   Milliseconds // time of the last refill
 	fullTokenAt Milliseconds // when tokens reached 1
 }
@@ -48,15 +51,17 @@
 	s.updatedAt = now
 }
 
-// spend takes the token for an attempt. Outside slow start this has no effect, because start sets new tokens.
-func (s *slowStart) spend() { s.tokens-- }
+// takeToken takes the token for an attempt. Outside slow start the tokens are not used, and start sets them
+// to a new value.
+func (s *slowStart) takeToken() { s.tokens-- }
 
-// halve halves the tokens when a successor takes over, which gets the other half.
-func (s *slowStart) halve() { s.tokens /= 2 }
+// halveTokens halves the tokens when a successor takes over, which gets the other half.
+func (s *slowStart) halveTokens() { s.tokens /= 2 }
 
-// allows reports whether the endpoint may get an attempt. Call refill first. Only a single saved token can
-// expire: where the bucket holds more than one token, the rate is so high that tokens are not saved for long.
-func (s *slowStart) allows(policy tokenPolicy, overloadWindow Milliseconds) bool {
+// allowsAttempt reports whether the endpoint may get an attempt. Call refill first. Only a single saved token
+// can expire: if the bucket holds more than one token, the rate is so high that tokens are not saved for
+// long.
+func (s *slowStart) allowsAttempt(policy tokenPolicy, overloadWindow Milliseconds) bool {
 	if s.tokens == 1 && policy == unexpiredToken {
 		expired := s.updatedAt > s.fullTokenAt+overloadWindow
 		return !expired
@@ -73,22 +78,22 @@
 // the initial fraction to 1 during slow start.
 func (b *Balancer) slowStartCapacityFraction(ep *endpoint) float64 {
 	elapsed := max(0, b.now-ep.slowStart.startedAt)
-	progress := ratio(elapsed, max(b.cfg.SlowStartDuration, 1))
+	progress := ratio(elapsed, max(b.cfg.SlowStartDuration, minSlowStartDuration))
 	return b.cfg.SlowStartInitialFraction + (1-b.cfg.SlowStartInitialFraction)*min(1, progress)
 }
 
 // startSlowStart starts the slow start of an endpoint and resets its rotation credit.
 func (b *Balancer) startSlowStart(ep *endpoint, since Milliseconds) {
 	ep.slowStart.start(since, b.now, b.random.next())
-	ep.rotation.reset()
+	ep.rotation.resetCredit()
 }
 
 // refillSlowStart refills the tokens of an endpoint in slow start. The rate is the endpoint's share, by its
-// present capacity, of the responses that this sidecar receives, times a fraction of the overload factor, but
-// at least times 1. It is based on responses rather than requests, because clients repeat requests in an
-// overload.
+// present capacity, of the responses that this sidecar receives, multiplied by a fraction of the overload
+// factor, or by 1 if that is more. It is based on responses rather than requests, because clients repeat
+// requests in an overload.
 func (b *Balancer) refillSlowStart(ep *endpoint) {
-	b.advanceResponseRate()
+	b.decayResponseCounts()
 	totalCapacity := max(b.rotation.totalCapacity, ep.candidate.capacity)
 	loadFactor := max(1, b.cfg.SlowStartOverloadFactor*slowStartLoadFraction)
 	sidecarRate := b.responsesPerMillisecond(slowStartPriorResponses)
@@ -99,14 +104,14 @@
 // slowStartAllows reports whether a candidate may get an attempt now: it is not in slow start, or has a
 // token. Call updateCandidates first.
 func (b *Balancer) slowStartAllows(ep *endpoint, policy tokenPolicy) bool {
-	return !ep.candidate.inSlowStart || ep.slowStart.allows(policy, b.cfg.SlowStartOverloadWindow)
+	return !ep.candidate.inSlowStart || ep.slowStart.allowsAttempt(policy, b.cfg.SlowStartOverloadWindow)
 }
 
 // slowStartPolicy returns the token policy for a request. When many endpoints fail a class, all sidecars move
 // its requests to the endpoints in slow start at the same time. If tokens did not expire, each sidecar would
-// spend a token that it saved long ago, and together they would overload these endpoints.
+// use a token that it saved long ago, and together they would overload these endpoints.
 func (b *Balancer) slowStartPolicy(req *request) tokenPolicy {
-	if b.classFailing(req) && req.stats.meanScore < failingClassScore {
+	if b.classFailing(req) && req.stats.meanScore < widespreadFailureScore {
 		return unexpiredToken
 	}
 	return anySavedToken
--- a/balance/sticky.go
+++ b/balance/sticky.go
@@ -11,20 +11,21 @@
 	// maxKeyFraction is the largest fraction of an endpoint's requests that may be for one key. A hot key
 	// gets more sticky endpoints to stay below it.
 	maxKeyFraction = 0.25
-	// slowStickyFactor multiplies the rank of slow endpoints, so that they rank below all others.
-	slowStickyFactor = 1e-6
+	// slowStickyScoreFactor multiplies the score of slow endpoints, so that it is lower than that of all
+	// others.
+	slowStickyScoreFactor = 1e-6
 	// minStickyFleetSize is the smallest number of endpoints at which sticky keys have an effect.
 	minStickyFleetSize = 20
 )
 
 // stickyState holds the values that decide whether an endpoint is a sticky endpoint of a key.
 type stickyState struct {
-	rank      float64      // rank for the key of the current pick; the highest ranks are sticky
+	score     float64      // score for the key of the current pick; the highest scores are sticky
 	slowUntil Milliseconds // the endpoint was slow and is avoided for sticky keys until this time
 }
 
-// recordLatency marks the endpoint as slow until the given time, or as not slow.
-func (s *stickyState) recordLatency(slow bool, until Milliseconds) {
+// setSlow marks the endpoint as slow until the given time, or as not slow.
+func (s *stickyState) setSlow(slow bool, until Milliseconds) {
 	s.slowUntil = 0
 	if slow {
 		s.slowUntil = until
@@ -43,41 +44,41 @@
 	if !b.cfg.KeyCaching || req.StickyKey == 0 || len(b.endpoints.list) < minStickyFleetSize {
 		return
 	}
-	ranks := b.rankStickyEndpoints(req.StickyKey)
+	scores := b.scoreStickyEndpoints(req.StickyKey)
 	count := b.stickyEndpointCount(req.StickyKey)
-	if count >= len(ranks) {
+	if count >= len(scores) {
 		return
 	}
-	slices.Sort(ranks)
-	lowestRank := ranks[len(ranks)-count]
+	slices.Sort(scores)
+	lowestStickyScore := scores[len(scores)-count]
 	for _, ep := range b.endpoints.list {
-		if ep.sticky.rank < lowestRank {
+		if ep.sticky.score < lowestStickyScore {
 			ep.candidate.weight = 0
 		}
 	}
 }
 
-// rankStickyEndpoints sets the rank of each endpoint for a key and returns the ranks of the candidates that
-// slow start allows. The other endpoints get rank 0.
-func (b *Balancer) rankStickyEndpoints(key uint64) []float64 {
-	ranks := make([]float64, 0, len(b.endpoints.list))
+// scoreStickyEndpoints sets the score of each endpoint for a key and returns the scores of the candidates
+// that slow start allows. The other endpoints get a score of 0.
+func (b *Balancer) scoreStickyEndpoints(key uint64) []float64 {
+	scores := make([]float64, 0, len(b.endpoints.list))
 	for _, ep := range b.endpoints.list {
-		ep.sticky.rank = 0
+		ep.sticky.score = 0
 		if ep.candidate.weight == 0 || !b.slowStartAllows(ep, anySavedToken) {
 			continue
 		}
-		ep.sticky.rank = rendezvousScore(key, ep.ID, ep.ratingOrDefault())
+		ep.sticky.score = rendezvousScore(key, ep.ID, ep.ratingOrDefault())
 		if b.now < ep.sticky.slowUntil {
-			ep.sticky.rank *= slowStickyFactor
+			ep.sticky.score *= slowStickyScoreFactor
 		}
-		ranks = append(ranks, ep.sticky.rank)
+		scores = append(scores, ep.sticky.score)
 	}
-	return ranks
+	return scores
 }
 
 // stickyEndpointCount returns the number of sticky endpoints for a key.
 func (b *Balancer) stickyEndpointCount(key uint64) int {
-	needed := math.Ceil(b.keys.fraction(key) * float64(len(b.endpoints.list)) / maxKeyFraction)
+	needed := math.Ceil(b.keys.requestFraction(key) * float64(len(b.endpoints.list)) / maxKeyFraction)
 	return max(endpointsPerStickyKey, int(needed))
 }
 
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -12,12 +12,12 @@
 	maxImportedDelay       Milliseconds = 60e3 // from now until EjectedUntil or SlowUntil
 )
 
-// ExportState returns the learned state for a successor. It halves the response counts of this balancer, and
-// the slow-start tokens of both: until this process ends, the two share the traffic and the limits of one
-// sidecar.
+// ExportState returns the learned state for a successor. Until this process ends, the two processes share the
+// traffic and the limits of one sidecar. ExportState therefore halves the slow-start tokens in this balancer
+// and in the exported state, and the response counts in this balancer only.
 func (b *Balancer) ExportState(now Milliseconds) LearnedState {
 	b.now = now
-	b.advanceResponseRate()
+	b.decayResponseCounts()
 	state := LearnedState{
 		StartedAt:              b.responses.startedAt,
 		LastRequestAt:          b.shedder.lastRequestAt,
@@ -35,9 +35,9 @@
 		TimePerInFlightSamples: b.timePerInFlight.samples,
 		BusyFraction:           b.checks.busyFraction,
 		CapacityUpdates:        b.capacity.updates,
-		MeanCapacityStep:       b.capacity.drift,
+		MeanCapacityStep:       b.capacity.meanStep,
 	}
-	b.responses.halve()
+	b.responses.halveCounts()
 	b.exportCollections(&state)
 	return state
 }
@@ -60,7 +60,7 @@
 		state.TenantRequests = append(state.TenantRequests, tenant.count)
 	}
 	for _, ep := range b.endpoints.list {
-		ep.slowStart.halve()
+		ep.slowStart.halveTokens()
 		state.Endpoints = append(state.Endpoints, ep.export(len(b.classes)))
 	}
 }
@@ -148,7 +148,7 @@
 func (b *Balancer) importCapacities(state *LearnedState) {
 	b.capacity.updates = validOr(state.CapacityUpdates, 0, maxImportedCount)
 	if math.Abs(state.MeanCapacityStep) <= maxImportedMeanStep {
-		b.capacity.drift = state.MeanCapacityStep
+		b.capacity.meanStep = state.MeanCapacityStep
 	}
 	for number, logarithm := range state.MachineTypeCapacityLogs {
 		b.endpoints.ensureMachineType(number).restore(logarithm)
@@ -165,7 +165,7 @@
 	c.latencyDeviation = validOr(state.LatencyDeviation, 0, maxImportedDuration)
 	c.longestTimeout = validOr(state.LongestTimeout, 0, maxImportedDuration)
 	c.lastFailureAt = pastTimeOrLongAgo(state.LastFailureAt, now)
-	c.meanScore = validOr(state.MeanScore, initialMeanScore, 1)
+	c.meanScore = validOr(state.MeanScore, initialMeanClassScore, 1)
 }
 
 func (ep *endpoint) restore(state *LearnedEndpoint, classes []int, now Milliseconds) {
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -25,7 +25,7 @@
 	capacity    float64 // effective capacity; see capacityUnit
 	weight      float64 // in the unit of capacity; 0: not a candidate
 	loadKnown   bool    // there is a fresh load report, or no candidate has one
-	inSlowStart bool
+	inSlowStart bool    // as in Balancer.inSlowStart
 }
 
 // connectFailures tracks the recent fraction of attempts that could not connect.
@@ -60,7 +60,7 @@
 		if b.ejected(ep) && policy == excludeEjected {
 			continue
 		}
-		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classFactor(req, ep)
+		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classHealthFactor(req, ep)
 		ep.candidate.loadKnown = b.hasFreshReport(ep)
 		ep.candidate.inSlowStart = b.inSlowStart(ep)
 		totals.anyFreshReport = totals.anyFreshReport || ep.candidate.loadKnown
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -8,7 +8,8 @@
 	unresponsiveEndpointsForOutage = 2
 	// minRestartOutage is the shortest outage during which the endpoints of the zone may have restarted.
 	minRestartOutage Milliseconds = 1000
-	// maxZoneCheckDoublings limits how often the delay between the health checks of a zone doubles.
+	// maxZoneCheckDoublings is the maximum number of times that the delay between a zone's health checks
+	// doubles.
 	maxZoneCheckDoublings = 2
 	// roundsBeforeOutageLog is the number of check rounds before an outage is logged. The first health check
 	// may merely have been lost, and a message in each later round would flood the log.
@@ -67,7 +68,7 @@
 // exponentially growing delay with jitter. A health check costs far less than a lost request. The outage ends
 // if the zone has no ready endpoints.
 func (b *Balancer) checkZone(zone *zone) {
-	chosen, readyCount := b.chooseZoneCheck(zone)
+	chosen, readyCount := b.chooseEndpointToCheck(zone)
 	zone.unresponsiveEndpoints = zone.unresponsiveEndpoints[:0]
 	if readyCount == 0 {
 		zone.inOutage = false
@@ -94,10 +95,10 @@
 	}
 }
 
-// chooseZoneCheck chooses a ready endpoint of a zone at random, and returns it with the number of ready
+// chooseEndpointToCheck chooses a ready endpoint of a zone at random, and returns it with the number of ready
 // endpoints. It skips the endpoints that were unresponsive since the last check and those with a pending
 // health check; chosen is nil if no others are left.
-func (b *Balancer) chooseZoneCheck(zone *zone) (chosen *endpoint, readyCount int) {
+func (b *Balancer) chooseEndpointToCheck(zone *zone) (chosen *endpoint, readyCount int) {
 	candidateCount := 0.0
 	for _, ep := range b.endpoints.list {
 		if ep.zone != zone || ep.State != Ready {
