--- a/balance/doc.go
+++ b/balance/doc.go
@@ -20,7 +20,7 @@
 //     responses; outcome.go updates them with the result of an attempt
 //   - endpointset.go, polling.go: the endpoint list
 //   - reconfigure.go: new settings for a running balancer
-//   - learnedstate.go, transfer.go: the learned state that a successor process imports
+//   - learnedstate.go, handover.go: the learned state that a successor process imports
 //
 // All points in time and durations are of type [Milliseconds]. A constant whose name ends in Objectives is a
 // duration as a multiple of a latency objective. All other constants without a type are counts, fractions or
