--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -28,7 +28,7 @@
 
 	classes []*classStats     // by class
 	tenants []*requestCounter // by tenant; the last is for requests without a tenant
-	keys    keyCounter
+	keys    keyCounter        // by sticky key
 
 	shedder         loadShedder
 	responses       responseRate
--- a/balance/endpointload.go
+++ b/balance/endpointload.go
@@ -35,7 +35,7 @@
 		return
 	}
 	rate := 1 / float64(req.class.LatencyObjective)
-	if attempt.overdue {
+	if attempt.overdue { // undo markOverdue
 		attempt.endpoint.load.requiredRate += rate
 		t.overdueRate -= rate
 	}
--- a/balance/events.go
+++ b/balance/events.go
@@ -75,10 +75,10 @@
 	ServerError          // the endpoint responded with an error
 	Rejected             // the endpoint rejected the attempt before executing it
 	TimedOut             // no response arrived in time
-	ConnectFailed        // no connection opened or request not written, caused by the endpoint
+	ConnectFailed        // no connection was opened, or the request was not written; caused by the endpoint
 	ConnReset            // the connection broke
-	Cancelled            // ended by the balancer, by the client, or by the end of this process
-	NotAttempted         // not executed, by a fault in this sidecar; it says nothing about the endpoint
+	Cancelled            // cancelled by the balancer, by the client, or by the end of this process
+	NotAttempted         // not executed because of this sidecar; it says nothing about the endpoint
 )
 
 // resultNames holds the names of the results in logs.
--- a/balance/loadshedding.go
+++ b/balance/loadshedding.go
@@ -48,8 +48,8 @@
 
 // updateSteadyFraction adjusts the steady fraction to the overload when a request arrives.
 func (s *loadShedder) updateSteadyFraction(now, longestObjective Milliseconds, overload overloadEstimate) {
-	elapsed := float64((now - s.lastRequestAt) / steadyShedObjectives / longestObjective)
-	gain := clamp(elapsed, minSteadyShedGain, maxSteadyShedGain)
+	elapsedTimeConstants := float64((now - s.lastRequestAt) / steadyShedObjectives / longestObjective)
+	gain := clamp(elapsedTimeConstants, minSteadyShedGain, maxSteadyShedGain)
 	s.lastRequestAt = now
 	limit := min(maxShedFraction, maxMultipleOfLateFraction*overload.lateFraction*overload.recency)
 	s.steadyFraction = clamp(s.steadyFraction+gain*overload.excessRatio, 0, limit)
@@ -66,6 +66,8 @@
 func (b *Balancer) admit(req *request) bool {
 	overload := b.estimateOverload()
 	b.shedder.updateSteadyFraction(b.now, b.longestObjective, overload)
+	// A late retry earns at most the fraction LateWeight. It is rejected once that fraction of the load is
+	// shed.
 	if b.isLateRetry(req) && b.shedder.steadyFraction >= req.class.LateWeight {
 		return false
 	}
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -92,6 +92,7 @@
 		if a.countedAsLoad && !a.overdue {
 			next = min(next, a.sentAt+b.overdueAfter(req))
 		} else if a.inFlight && a.overdue && !a.cancelledAsLost && !b.wouldMissObjective(req) {
+			// The attempt may later be presumed lost (cancelLostAttempts).
 			next = min(next, b.now+b.recheckInterval(req))
 		}
 	}
--- a/balance/request.go
+++ b/balance/request.go
@@ -44,7 +44,7 @@
 	if ev.ClassOverride == nil && (ev.Class < 0 || ev.Class >= len(b.cfg.Classes)) {
 		return &UnknownClassError{Request: ev.ID, Class: ev.Class}
 	}
-	req := b.openRequest(ev)
+	req := b.registerRequest(ev)
 	if !b.admit(req) {
 		b.rejectOrFail(req)
 		return nil
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// openRequest registers a new request.
-func (b *Balancer) openRequest(ev Request) *request {
+// registerRequest registers a new request.
+func (b *Balancer) registerRequest(ev Request) *request {
 	req := &request{
 		Request:     ev,
 		class:       ev.ClassOverride,
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -22,7 +22,7 @@
 	number                int            // as in Endpoint.Zone
 	capacity              capacityFactor // learned; see capacity.go
 	lastResponseAt        Milliseconds   // last response of any endpoint of the zone
-	unresponsiveEndpoints []*endpoint    // endpoints that did not respond since then or since the last check
+	unresponsiveEndpoints []*endpoint    // without a response since lastResponseAt and since the last check
 	inOutage              bool           // the whole zone is considered unreachable
 	outageSince           Milliseconds
 	checkRounds           int          // number of times that a check was due during the outage
--- a/internal/eventloop/attemptend.go
+++ b/internal/eventloop/attemptend.go
@@ -18,7 +18,7 @@
 	}
 	l.logFailedAttempt(req, &ev, duration)
 	l.finishAfterAttempt(req, &ev.outcome)
-	l.notifyBalancer(toBalancerOutcome(ev, duration, !req.isOpen()))
+	l.notifyBalancer(toBalancerOutcome(ev, duration, !req.awaitsResponse()))
 	l.releaseIfEnded(req)
 }
 
@@ -36,8 +36,8 @@
 	}
 }
 
-// toBalancerOutcome converts the end of an attempt to the balancer's event. finished reports whether the request has its
-// final response.
+// toBalancerOutcome converts the end of an attempt to the balancer's event. finished reports whether the request has
+// its final response.
 func toBalancerOutcome(ev attemptEnded, duration balance.Milliseconds, finished bool) balance.Outcome {
 	attempt := ev.attempt
 	balancerOutcome := balance.Outcome{
--- a/internal/eventloop/finish.go
+++ b/internal/eventloop/finish.go
@@ -11,11 +11,11 @@
 // Only the first call for a request has an effect; a nil request is ignored. No other function sends responses
 // to clients: successful ones come from finishAfterAttempt and startStream, all others from unserved.go.
 func (l *Loop) finishRequest(req *request, response *exchange.Response) {
-	if req == nil || !req.isOpen() {
+	if req == nil || !req.awaitsResponse() {
 		return
 	}
 	streaming := response != nil && response.Download != nil
-	l.requests.removeOpen(req)
+	l.requests.removeExchange(req)
 	req.markFinished(streaming)
 	if !streaming {
 		l.metrics.PendingRequests.Add(-1)
--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -19,13 +19,13 @@
 	l.log.Info("attempt failed",
 		"request", req.exchange.TraceID, "attempt", ev.attempt.Number, "endpoint", endpoint,
 		"outcome", ev.outcome.Result, "duration_ms", duration, "streamed", ev.attempt.StreamLatency > 0,
-		"client_disconnected", ev.outcome.ClientDisconnected, "request_done", !req.isOpen(), "error", ev.outcome.Err)
+		"client_disconnected", ev.outcome.ClientDisconnected, "request_done", !req.awaitsResponse(), "error", ev.outcome.Err)
 }
 
 // logUnserved logs why a request ends without a response from an endpoint. It logs nothing if the request already has
 // its final response.
 func (l *Loop) logUnserved(req *request, level slog.Level, reason unservedReason) {
-	if req == nil || !req.isOpen() {
+	if req == nil || !req.awaitsResponse() {
 		return
 	}
 	l.log.Log(l.ctx, level, "request not served", "reason", reason, "request", req.exchange.TraceID,
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -28,7 +28,7 @@
 	stateReleased                      // removed from the index: only its timer still refers to it
 )
 
-// request is a client's request, from its arrival until it has its response and none of its attempts is in flight. Only
+// request is an open request of a client: from its arrival until it has its response and no attempt is in flight. Only
 // the methods in this file and in requesttime.go change its state and deadline.
 type request struct {
 	id       balance.RequestID
@@ -57,8 +57,8 @@
 	}
 }
 
-// isOpen reports whether the request has no final response yet.
-func (r *request) isOpen() bool { return r.state == stateUploading || r.state == stateWaiting }
+// awaitsResponse reports whether the request has no final response yet.
+func (r *request) awaitsResponse() bool { return r.state == stateUploading || r.state == stateWaiting }
 
 // isUploading reports whether the request has a long body whose last byte has not been sent.
 func (r *request) isUploading() bool { return r.state == stateUploading }
@@ -69,7 +69,7 @@
 	r.exchange.Request.Remaining = r.remainingFromLastByte()
 }
 
-// markFinished records that an open request has its final response. streaming reports whether its body is still being
+// markFinished records that a request has its final response. streaming reports whether its body is still being
 // streamed.
 func (r *request) markFinished(streaming bool) {
 	r.state = stateDone
@@ -84,7 +84,7 @@
 
 // canRelease reports whether the request has ended, has no attempt in flight and has not been released yet.
 func (r *request) canRelease() bool {
-	return !r.isOpen() && r.state != stateReleased && r.attempts.inFlight == 0
+	return !r.awaitsResponse() && r.state != stateReleased && r.attempts.inFlight == 0
 }
 
 // release drops the references to the exchange and the attempts. The request's timer refers to the request until the
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -14,8 +14,8 @@
 	if req.state != want {
 		t.Errorf("got state %d, want %d", req.state, want)
 	}
-	if open := want == stateUploading || want == stateWaiting; req.isOpen() != open {
-		t.Errorf("got isOpen %v in state %d, want %v", req.isOpen(), want, open)
+	if awaits := want == stateUploading || want == stateWaiting; req.awaitsResponse() != awaits {
+		t.Errorf("got awaitsResponse %v in state %d, want %v", req.awaitsResponse(), want, awaits)
 	}
 }
 
--- a/internal/eventloop/requestindex.go
+++ b/internal/eventloop/requestindex.go
@@ -5,8 +5,8 @@
 	"cindersaddle/internal/exchange"
 )
 
-// requestIndex holds the requests that the loop has not released. A request is in byID and byTraceID until it is
-// released, and in byExchange while it is open.
+// requestIndex holds the open requests: those that the loop has not released. A request is in byID and byTraceID until
+// it is released, and in byExchange while it awaits its final response.
 type requestIndex struct {
 	byID       map[balance.RequestID]*request
 	byExchange map[*exchange.Exchange]*request
@@ -35,8 +35,8 @@
 	x.byTraceID[req.exchange.TraceID] = req
 }
 
-// removeOpen removes a request from the index of open requests.
-func (x *requestIndex) removeOpen(req *request) { delete(x.byExchange, req.exchange) }
+// removeExchange removes a request that has its final response from byExchange.
+func (x *requestIndex) removeExchange(req *request) { delete(x.byExchange, req.exchange) }
 
 // remove removes a request before its release. A request that was rejected as a duplicate was never added: the entry of
 // its trace ID then belongs to another request and stays.
--- a/internal/eventloop/requesttime.go
+++ b/internal/eventloop/requesttime.go
@@ -27,8 +27,8 @@
 	balancerRequest.Remaining = max(0, min(balancerRequest.Remaining, allowed))
 }
 
-// remaining returns how much longer the client of an open request waits. During the upload that is the complete time
-// limit, which does not run yet.
+// remaining returns how much longer the client of a request waits for its response. During the upload that is the
+// complete time limit, which does not run yet.
 func (r *request) remaining(now balance.Milliseconds) balance.Milliseconds {
 	if r.isUploading() {
 		return r.exchange.Request.Remaining
--- a/internal/eventloop/streams.go
+++ b/internal/eventloop/streams.go
@@ -18,7 +18,7 @@
 	}
 	// If the balancer has cancelled the attempt, the rest of its response cannot be read, and the request is retried.
 	cancelled := attempt.Context.Err() != nil
-	if !req.isOpen() || req.lateInShutdown || cancelled {
+	if !req.awaitsResponse() || req.lateInShutdown || cancelled {
 		ev.response.Download.Finish(exchange.ErrDownloadStopped)
 		return
 	}
--- a/internal/eventloop/streams_test.go
+++ b/internal/eventloop/streams_test.go
@@ -21,9 +21,9 @@
 	response := &exchange.Response{Status: 200, Download: download}
 	streamStarted{attempt: attempt, response: response, startedAt: time.Now()}.apply(l)
 
-	if !req.isOpen() || len(req.exchange.Responses) > 0 {
-		t.Errorf("got isOpen %v and %d responses for the client, want true and 0",
-			req.isOpen(), len(req.exchange.Responses))
+	if !req.awaitsResponse() || len(req.exchange.Responses) > 0 {
+		t.Errorf("got awaitsResponse %v and %d responses for the client, want true and 0",
+			req.awaitsResponse(), len(req.exchange.Responses))
 	}
 	select {
 	case err := <-download.Done:
--- a/internal/eventloop/unserved.go
+++ b/internal/eventloop/unserved.go
@@ -12,8 +12,8 @@
 // unservedReason says in the log line "request not served" why a request ended without a response from an endpoint.
 //
 // The table lists all cases in which that happens. The first two are decisions of the balancer, the others of the event
-// loop. Cases without a reason are not logged as "request not served": an attempt that found its client disconnected, or
-// an upload that the client did not complete, is logged as a failed attempt.
+// loop. Cases without a reason are not logged as "request not served": an attempt that found its client disconnected,
+// or an upload that the client did not complete, is logged as a failed attempt.
 //
 //	case                      response                    function                reason in the log
 //	rejected by the balancer  503, may have Retry-After   rejectRequest           rejected
@@ -63,10 +63,10 @@
 // Package downstream may not notice the disconnect itself, so the response tells it to close the connection.
 func (l *Loop) abortRequest(req *request) { l.finishRequest(req, &exchange.Response{Abort: true}) }
 
-// expireRequest fails a request that is still open after its deadline. It guards against a fault in the balancer: a
-// request that the balancer never finishes would leave its client waiting forever.
+// expireRequest fails a request that awaits its response after its deadline. It guards against a fault in the balancer:
+// a request that the balancer never finishes would leave its client waiting forever.
 func (l *Loop) expireRequest(req *request) {
-	if !req.isOpen() {
+	if !req.awaitsResponse() {
 		return
 	}
 	l.logUnserved(req, slog.LevelError, reasonDeadlineExceeded)
