--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -82,7 +82,7 @@
 	b.load.remove(req, attempt)
 	req.inFlight--
 	b.recordLoadReport(attempt.endpoint, ev.LoadReport)
-	b.connectFailures.record(ev.Result == ConnectFailed)
+	b.connectFailures.recordAttempt(ev.Result == ConnectFailed)
 }
 
 // onUploadComplete handles the end of an upload. The deadline and the latency of the request count from now
--- a/balance/classhealth.go
+++ b/balance/classhealth.go
@@ -44,15 +44,15 @@
 	return decay(now-s.updatedAt, classScoreTimeConstant)
 }
 
-// expected returns the expected success rate. It moves from the score to the mean score of all endpoints as
-// the weight of the score decays.
-func (s *classScore) expected(now Milliseconds, meanScore float64) float64 {
+// expectedSuccessRate returns the success rate that the score predicts. It moves from the score to the mean
+// score of all endpoints as the weight of the score decays.
+func (s *classScore) expectedSuccessRate(now Milliseconds, meanScore float64) float64 {
 	return meanScore + (s.value-meanScore)*s.weight(now)
 }
 
 // record adds a result to the score: 1 (served) or 0 (failed).
 func (s *classScore) record(now Milliseconds, result, meanScore float64) {
-	expected := s.expected(now, meanScore)
+	expected := s.expectedSuccessRate(now, meanScore)
 	s.value = expected + classScoreGain*(result-expected)
 	s.updatedAt = now
 }
@@ -74,7 +74,7 @@
 	if !b.classFailing(req) {
 		return 1
 	}
-	score := ep.classScoreFor(req).expected(b.now, req.stats.meanScore)
+	score := ep.classScoreFor(req).expectedSuccessRate(b.now, req.stats.meanScore)
 	return max(score*score, minClassHealthFactor)
 }
 
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -101,7 +101,7 @@
 func (b *Balancer) updateEndpoint(entry *Endpoint) {
 	ep := b.endpoints.ensureEndpoint(entry.ID, len(b.cfg.Classes))
 	if entry.StartedAt > ep.StartedAt {
-		ep.outlier.clear()
+		ep.outlier.clearErrors()
 		b.startSlowStart(ep, entry.StartedAt)
 	}
 	ep.Endpoint = *entry
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -109,7 +109,7 @@
 	case ev.Result == OK:
 		b.recordLoadReport(ep, ev.LoadReport)
 		if ep.outlier.healthCheckFailed {
-			ep.outlier.clear()
+			ep.outlier.clearErrors()
 		}
 		b.recordResponse(ep)
 	case ev.Result == ConnReset || ev.Result == NotAttempted:
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -26,9 +26,9 @@
 	if ep.outlier.likelyRestarted(b.now) && !b.inSlowStart(ep) {
 		b.startSlowStart(ep, b.now)
 	}
-	ep.outlier.clear()
+	ep.outlier.clearErrors()
 	b.decayResponseCounts()
-	b.responses.record()
+	b.responses.recordResponse()
 	b.recordLatency(req, attempt, latency)
 }
 
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -43,12 +43,12 @@
 	connectErrors        int // the consecutive errors that were failed connections
 	lastErrorAt          Milliseconds
 	consecutiveEjections int
-	ejectedUntil         Milliseconds // end of the last ejection; 0: not ejected since the last clear
+	ejectedUntil         Milliseconds // end of the last ejection; 0: not ejected since clearErrors
 	healthCheckFailed    bool         // the last health check failed; a later successful one clears errors
 }
 
-// clear resets the errors and ejections, but keeps the time of the last error.
-func (s *outlierState) clear() {
+// clearErrors resets the errors and ejections, but keeps the time of the last error.
+func (s *outlierState) clearErrors() {
 	s.consecutiveErrors = 0
 	s.connectErrors = 0
 	s.consecutiveEjections = 0
--- a/balance/responserate.go
+++ b/balance/responserate.go
@@ -33,8 +33,8 @@
 	r.countedAt = now
 }
 
-// record counts one response.
-func (r *responseRate) record() {
+// recordResponse counts one response.
+func (r *responseRate) recordResponse() {
 	r.longTermCount++
 	r.shortTermCount++
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -212,7 +212,7 @@
 		t.Fatalf("got %.2f tokens in 2 s without responses, want 0.2 at most", ep.slowStart.tokens)
 	}
 	for range 400 { // in 2 s: 200 responses per second
-		h.b.responses.record()
+		h.b.responses.recordResponse()
 	}
 	ep.slowStart.tokens, ep.slowStart.updatedAt = 0, h.now-2000
 	if h.b.refillSlowStart(ep); ep.slowStart.tokens < 0.5 {
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -13,8 +13,9 @@
 	connectFailureGain = 50
 	// connectFailureSamples is the number of attempts over which that fraction is averaged.
 	connectFailureSamples = 25
-	// capacityUnit is the capacity of an endpoint with a rating of 1, before anything is learned about it.
-	capacityUnit = 100
+	// capacityPerRating is the capacity of an endpoint with a rating of 1, before anything is learned about
+	// it.
+	capacityPerRating = 100
 	// minCapacity keeps weights above 0, because a weight of 0 means that the endpoint is not a candidate.
 	minCapacity = 1e-6
 )
@@ -22,19 +23,19 @@
 // candidateState holds the values of an endpoint that are computed for the current pick. loadKnown and
 // inSlowStart are valid only for candidates.
 type candidateState struct {
-	capacity    float64 // effective capacity; see capacityUnit
+	capacity    float64 // effective capacity; see capacityPerRating
 	weight      float64 // in the unit of capacity; 0: not a candidate
 	loadKnown   bool    // there is a fresh load report, or no candidate has one
-	inSlowStart bool    // as in Balancer.inSlowStart
+	inSlowStart bool    // the endpoint is in slow start
 }
 
 // connectFailures tracks the recent fraction of attempts that could not connect.
 type connectFailures struct{ fraction float64 }
 
-// record adds the end of an attempt. failed says whether it could not connect.
-func (f *connectFailures) record(failed bool) {
+// recordAttempt adds an attempt that has ended.
+func (f *connectFailures) recordAttempt(connectFailed bool) {
 	f.fraction -= f.fraction / connectFailureSamples
-	if failed {
+	if connectFailed {
 		f.fraction += 1. / connectFailureSamples
 	}
 }
@@ -82,7 +83,7 @@
 
 // effectiveCapacity returns the learned capacity, reduced by the health multiplier and by slow start.
 func (b *Balancer) effectiveCapacity(ep *endpoint) float64 {
-	rated := capacityUnit * ep.ratingOrDefault()
+	rated := capacityPerRating * ep.ratingOrDefault()
 	learned := rated * ep.ownCapacity.factor * ep.machineType.factor * ep.zone.capacity.factor
 	return max(learned*ep.outlier.health(b.now)*b.slowStartCapacityFraction(ep), minCapacity)
 }
--- a/internal/eventloop/attempts.go
+++ b/internal/eventloop/attempts.go
@@ -17,7 +17,7 @@
 	}
 	attempt := l.newAttempt(req, action)
 	req.attempts.add(attempt)
-	if !req.awaitsResponse() || attempt.Endpoint == nil || req.attempts.overLimit() {
+	if !req.awaitsResponse() || attempt.Endpoint == nil || req.attempts.exceedsLimit() {
 		l.inbox.postLocal(attemptEnded{attempt: attempt, outcome: upstream.Outcome{Result: balance.NotAttempted}})
 		return
 	}
--- a/internal/eventloop/attemptset.go
+++ b/internal/eventloop/attemptset.go
@@ -19,8 +19,8 @@
 // markEnded records that one of the attempts in flight has ended.
 func (s *attemptSet) markEnded() { s.inFlight-- }
 
-// overLimit reports whether the last attempt added exceeds maxAttempts and must not be sent.
-func (s *attemptSet) overLimit() bool { return len(s.byNumber) > s.maxAttempts }
+// exceedsLimit reports whether the last attempt added exceeds maxAttempts and must not be sent.
+func (s *attemptSet) exceedsLimit() bool { return len(s.byNumber) > s.maxAttempts }
 
 // get returns an attempt by its number, or nil if there is none.
 func (s *attemptSet) get(number int) *upstream.Attempt {
