--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -59,8 +59,7 @@
 	if !b.cfg.HealthChecks || b.cfg.LoadReports != LoadReportsPolled {
 		return
 	}
-	count := b.checks.checkCount(b.cfg.Costs.HealthCheck)
-	for len(req.checkedEndpoints) < count {
+	for count := b.checks.checkCount(b.cfg.Costs.HealthCheck); len(req.checkedEndpoints) < count; {
 		next := b.nextToCheck(req)
 		if next == nil {
 			break
