--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -735,7 +735,7 @@
 	s.openRequest(event, class)
 }
 
-// registerRequest sends the balancer a request and schedules the end of its upload.
+// openRequest sends the balancer a request and schedules the end of its upload.
 func (s *simulation) openRequest(event balance.Request, class balance.Class) {
 	request := &simulatedRequest{
 		id: event.ID, classIndex: event.Class, class: class, deadline: s.now + event.Remaining, uploadedAt: s.now,
