--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -28,7 +28,7 @@
 
 	classes []*classStats     // by class
 	tenants []*requestCounter // by tenant; the last is for requests without a tenant
-	keys    keyCounter
+	keys    keyCounter        // by sticky key
 
 	shedder         loadShedder
 	responses       responseRate
@@ -46,9 +46,9 @@
 		random:    randomSource{state: cfg.Seed},
 		requests:  map[RequestID]*request{},
 		endpoints: newEndpointSet(),
-		rotation:  rotation{lastPickedCredit: 1},
+		rotation:  rotation{lastPickedCredit: initialPickedCredit},
 		latency:   newLatencyStats(),
-		checks:    candidateChecks{busyFraction: 1},
+		checks:    candidateChecks{busyFraction: initialBusyFraction},
 	}
 	b.applyConfig(cfg, nil, nil)
 	b.timePerInFlight = newTimePerInFlight(b.longestObjective)
