--- a/internal/fault/clock.go
+++ b/internal/fault/clock.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// EnvClock is the environment variable with the path of a file that holds how far the wall clock is stepped, as
-// time.ParseDuration reads it.
-const EnvClock = "CINDERSADDLE_CLOCK_STEP_FILE"
+// ClockStepFileEnvVar is the environment variable with the path of a file that holds the step of the wall clock, in the
+// format of time.ParseDuration.
+const ClockStepFileEnvVar = "CINDERSADDLE_CLOCK_STEP_FILE"
 
-// clockStep is how far the wall clock was stepped, in nanoseconds, where EnvClock is not set.
-var clockStep atomic.Int64
+// configuredClockStep is the step of the wall clock in nanoseconds. It applies if ClockStepFileEnvVar is not set.
+var configuredClockStep atomic.Int64
 
-// SetClockStep steps the wall clock.
-func SetClockStep(step time.Duration) { clockStep.Store(int64(step)) }
+// SetClockStep sets the step of the wall clock. It has no effect if ClockStepFileEnvVar is set.
+func SetClockStep(step time.Duration) { configuredClockStep.Store(int64(step)) }
 
-// ClockStep returns how far the wall clock was stepped.
+// ClockStep returns the duration to add to readings of the wall clock. It is 0 if the file of ClockStepFileEnvVar cannot be
+// read or parsed.
 func ClockStep() time.Duration {
-	path := os.Getenv(EnvClock)
+	path := os.Getenv(ClockStepFileEnvVar)
 	if path == "" {
-		return time.Duration(clockStep.Load())
+		return time.Duration(configuredClockStep.Load())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,23 +1,25 @@
-// Package fault is the seam at which tests make system calls fail. In a usual build its functions do nothing and cost
-// nothing; the code that injects faults exists only in builds with the tag "faults", which the shipped program is not.
+// Package fault lets tests make system calls fail, shorten reads and writes, and step the wall clock. It does so only in
+// builds with the tag "faults". The shipped program is built without it, and there the functions do nothing and cost
+// nothing.
 //
-// A call site calls Injected before it makes the system call, and treats an error as the error of that call. Shortened
-// bounds the bytes of one read or write. ClockStep is added to the readings of the wall clock.
+// A call site calls InjectedError before it makes a system call, and handles an error as if that call had returned it. It
+// transfers at most the bytes that TransferLimit returns in one read or write, and adds ClockStep to each reading of the
+// wall clock.
 package fault
 
-// Call names a kind of system call.
+// Call is a kind of system call, under the name that it has in a fault plan.
 type Call string
 
-// The kinds of calls.
+// The kinds of system calls that can fail.
 const (
 	Peek      Call = "peek"      // recv with MSG_PEEK
-	Read      Call = "read"      // from a client's connection
-	Write     Call = "write"     // to a client's connection
-	Receive   Call = "receive"   // from an endpoint's connection
-	Send      Call = "send"      // to an endpoint's connection
-	Accept    Call = "accept"    // a connection of a client
-	Duplicate Call = "duplicate" // the descriptor of an accepted connection
-	Connect   Call = "connect"   // to an endpoint
-	ReadFile  Call = "readfile"  // the configuration
-	Log       Call = "log"       // a write to the log
+	Read      Call = "read"      // read from a client's connection
+	Write     Call = "write"     // write to a client's connection
+	Receive   Call = "receive"   // read from an endpoint's connection
+	Send      Call = "send"      // write to an endpoint's connection
+	Accept    Call = "accept"    // accept a connection
+	Duplicate Call = "duplicate" // duplicate the descriptor of an accepted connection
+	Connect   Call = "connect"   // connect to an endpoint
+	ReadFile  Call = "readfile"  // read the configuration file
+	Log       Call = "log"       // write to the log
 )
--- a/internal/fault/on.go
+++ b/internal/fault/inject.go
@@ -11,12 +11,12 @@
 // Enabled reports whether faults can be injected.
 const Enabled = true
 
-// current is the plan in force; nil: no call fails.
-var current atomic.Pointer[Plan]
+// currentPlan is the plan that applies now. If it is nil, no call fails.
+var currentPlan atomic.Pointer[Plan]
 
-// init takes the plan of EnvPlan, so that a built program can be tested without a test seam of its own.
+// init applies the plan in PlanEnvVar, so that tests can inject faults into a process that they start.
 func init() {
-	if text := os.Getenv(EnvPlan); text != "" {
+	if text := os.Getenv(PlanEnvVar); text != "" {
 		plan, err := ParsePlan(text)
 		if err != nil {
 			panic(err)
@@ -25,17 +25,17 @@
 	}
 }
 
-// Use makes calls fail as a plan says; nil: none fails.
+// SetPlan replaces the plan that applies. With nil, no call fails.
 func Use(plan *Plan) {
 	if plan != nil {
 		plan.random = rand.New(rand.NewPCG(plan.Seed, 0))
 	}
-	current.Store(plan)
+	currentPlan.Store(plan)
 }
 
-// Injected returns the error that a call has to fail with, or nil.
+// InjectedError returns the error with which the next call of a kind has to fail, or nil if it can be made.
 func Injected(call Call) error {
-	plan := current.Load()
+	plan := currentPlan.Load()
 	if plan == nil {
 		return nil
 	}
@@ -45,21 +45,21 @@
 	errnos := plan.Errors[call]
 	plan.mu.Lock()
 	defer plan.mu.Unlock()
-	if len(errnos) == 0 || plan.random.Float64() >= plan.Rate {
+	if len(errnos) == 0 || plan.random.Float64() >= plan.ErrorRate {
 		return nil
 	}
 	return errnos[plan.random.IntN(len(errnos))]
 }
 
-// Shortened returns how many of n bytes one call may transfer.
+// TransferLimit returns how many of n bytes the next read or write may transfer: at least 1, unless n is 0.
 func Shortened(_ Call, n int) int {
-	plan := current.Load()
+	plan := currentPlan.Load()
 	if plan == nil || n < 2 {
 		return n
 	}
 	plan.mu.Lock()
 	defer plan.mu.Unlock()
-	if plan.random.Float64() >= plan.Short {
+	if plan.random.Float64() >= plan.ShortRate {
 		return n
 	}
 	return 1 + plan.random.IntN(n)
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -11,24 +11,24 @@
 	"syscall"
 )
 
-// EnvPlan is the environment variable from which a process takes its plan, such as
+// PlanEnvVar is the environment variable from which a process takes its fault plan, such as
 // "seed=7 rate=0.01 short=0.2 peek=EINTR,ENOBUFS accept=ECONNABORTED".
-const EnvPlan = "CINDERSADDLE_FAULTS"
+const PlanEnvVar = "CINDERSADDLE_FAULTS"
 
-// Plan says which calls fail. It may be used by any number of goroutines.
+// Plan defines which calls fail, and with which errors. It is safe for concurrent use once SetPlan has applied it.
 type Plan struct {
-	Seed   uint64
-	Rate   float64                  // the part of the calls that fail
-	Short  float64                  // the part of the reads and writes that are short
-	Errors map[Call][]syscall.Errno // what a failing call returns
-	Decide func(Call) error         // if set, it decides instead of Rate and Errors
+	Seed      uint64
+	ErrorRate float64                  // fraction of the calls with an entry in Errors that fail
+	ShortRate float64                  // fraction of the reads and writes that are shortened
+	Errors    map[Call][]syscall.Errno // possible errors of each kind of call
+	Decide    func(Call) error         // if set, it returns the error of each call, and ErrorRate and Errors are ignored
 
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-// errnos are the errors that a plan can name.
-var errnos = map[string]syscall.Errno{
+// errnoByName has the errors that the text of a plan can name.
+var errnoByName = map[string]syscall.Errno{
 	"EAGAIN": syscall.EAGAIN, "EINTR": syscall.EINTR, "ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM, "EMFILE": syscall.EMFILE,
 	"ENFILE": syscall.ENFILE, "ECONNABORTED": syscall.ECONNABORTED, "ECONNRESET": syscall.ECONNRESET, "ECONNREFUSED": syscall.ECONNREFUSED,
 	"EPERM": syscall.EPERM, "EPROTO": syscall.EPROTO, "ENETDOWN": syscall.ENETDOWN, "ENETUNREACH": syscall.ENETUNREACH,
@@ -37,7 +37,7 @@
 	"EIO": syscall.EIO, "ENOSPC": syscall.ENOSPC,
 }
 
-// ParsePlan reads a plan in the form of EnvPlan.
+// ParsePlan reads a plan in the format of PlanEnvVar.
 func ParsePlan(text string) (*Plan, error) {
 	plan := &Plan{Errors: map[Call][]syscall.Errno{}}
 	for _, field := range strings.Fields(text) {
@@ -47,9 +47,9 @@
 		case "seed":
 			plan.Seed, err = strconv.ParseUint(value, 10, 64)
 		case "rate":
-			plan.Rate, err = strconv.ParseFloat(value, 64)
+			plan.ErrorRate, err = strconv.ParseFloat(value, 64)
 		case "short":
-			plan.Short, err = strconv.ParseFloat(value, 64)
+			plan.ShortRate, err = strconv.ParseFloat(value, 64)
 		default:
 			err = plan.addErrors(Call(name), value)
 		}
@@ -60,12 +60,12 @@
 	return plan, nil
 }
 
-// addErrors adds errors that are named in a list with commas to those of a kind of call.
+// addErrors adds the errors in a comma-separated list of names to those of a kind of call.
 func (p *Plan) addErrors(call Call, names string) error {
 	for name := range strings.SplitSeq(names, ",") {
-		errno, ok := errnos[name]
+		errno, ok := errnoByName[name]
 		if !ok {
-			return fmt.Errorf("unknown error %q", name)
+			return fmt.Errorf("unknown error name %q, want one such as EAGAIN", name)
 		}
 		p.Errors[call] = append(p.Errors[call], errno)
 	}
