--- a/internal/fault/clock.go
+++ b/internal/fault/clock.go
@@ -19,8 +19,8 @@
 // SetClockStep sets the step of the wall clock. It has no effect if ClockStepFileEnvVar is set.
 func SetClockStep(step time.Duration) { configuredClockStep.Store(int64(step)) }
 
-// ClockStep returns the duration to add to readings of the wall clock. It is 0 if the file of ClockStepFileEnvVar cannot be
-// read or parsed.
+// ClockStep returns the duration to add to readings of the wall clock. It is 0 if the file of ClockStepFileEnvVar
+// cannot be read or parsed.
 func ClockStep() time.Duration {
 	path := os.Getenv(ClockStepFileEnvVar)
 	if path == "" {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,10 +1,10 @@
-// Package fault lets tests make system calls fail, shorten reads and writes, and step the wall clock. It does so only in
-// builds with the tag "faults". The shipped program is built without it, and there the functions do nothing and cost
+// Package fault lets tests make system calls fail, shorten reads and writes, and step the wall clock. It does so only
+// in builds with the tag "faults". The shipped program is built without it, and there the functions do nothing and cost
 // nothing.
 //
-// A call site calls InjectedError before it makes a system call, and handles an error as if that call had returned it. It
-// transfers at most the bytes that TransferLimit returns in one read or write, and adds ClockStep to each reading of the
-// wall clock.
+// A call site calls InjectedError before it makes a system call, and handles an error as if that call had returned it.
+// It transfers at most the bytes that TransferLimit returns in one read or write, and adds ClockStep to each reading of
+// the wall clock.
 package fault
 
 // Call is a kind of system call, under the name that it has in a fault plan.
--- a/internal/fault/plan_test.go
+++ b/internal/fault/plan_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestParsePlan checks that a valid plan is parsed completely and that an invalid one is an error. If an invalid plan were
-// taken for one without faults, the tests that use it would pass without any injected fault.
+// TestParsePlan checks that a valid plan is parsed completely and that an invalid one is an error. If an invalid plan
+// were taken for one without faults, the tests that use it would pass without any injected fault.
 func TestParsePlan(t *testing.T) {
 	plan, err := ParsePlan("seed=7 rate=0.25 short=0.5 peek=EINTR,ENOBUFS accept=EMFILE")
 	if err != nil {
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// AttemptEnd is how an attempt ended as its server saw it.
-type AttemptEnd int
+// AttemptOutcome is the outcome of an attempt as the server saw it.
+type AttemptOutcome int
 
-// The ends of attempts.
+// The outcomes of attempts.
 const (
-	AttemptOpen            AttemptEnd = iota // it has not ended
-	AttemptServed                            // a complete response with status 200 was written
-	AttemptFailed                            // an error response was written; the request was executed
-	AttemptNeverExecuted                     // it was rejected with proof that it was not executed
-	AttemptBroken                            // the server broke the response or the connection; the request was executed
-	AttemptClosedBySidecar                   // the sidecar closed the connection first; the request may have been executed
+	AttemptOpen            AttemptOutcome = iota // the attempt has not ended
+	AttemptServed                                // a complete response with status 200 was written
+	AttemptFailed                                // an error response was written; the request was executed
+	AttemptNeverExecuted                         // it was rejected with X-Never-Ran, which proves that it was not executed
+	AttemptBroken                                // invalid or partial response, or reset; the request was executed
+	AttemptClosedBySidecar                       // closed by the sidecar first; the request may have been executed
 )
 
-// String returns the name of an end for reports.
-func (e AttemptEnd) String() string {
+// String returns the name of an outcome for reports.
+func (e AttemptOutcome) String() string {
 	return [...]string{"open", "served", "failed", "never executed", "broken", "abandoned"}[e]
 }
 
 // Attempt is one complete request that a server received.
 type Attempt struct {
 	TraceID     string
-	ExpiresIn   time.Duration // the remaining time that the request states; 0: it states none
+	ExpiresIn   time.Duration // remaining time from X-Expires-In; 0 if it is absent or invalid
 	FirstByteAt time.Time
 	LastByteAt  time.Time
-	EndedAt     time.Time // zero: it has not ended
-	End         AttemptEnd
+	EndedAt     time.Time // zero if it has not ended
+	End         AttemptOutcome
 }
 
-// newAttempt returns the record of a request.
+// newAttempt returns the attempt that begins with a received request.
 func newAttempt(request *receivedRequest) *Attempt {
 	return &Attempt{
 		TraceID:     request.Header.Get("X-Trace-Id"),
@@ -48,7 +48,7 @@
 // expiryUnits are the units of the header field X-Expires-In by their suffixes.
 var expiryUnits = map[string]time.Duration{"m": time.Millisecond, "u": time.Microsecond}
 
-// parseExpiry returns the remaining time that a header states, 0 if it states none that can be parsed.
+// parseExpiry returns the remaining time from the header field X-Expires-In, or 0 if it is absent or invalid.
 func parseExpiry(header http.Header) time.Duration {
 	text := header.Get("X-Expires-In")
 	for suffix, unit := range expiryUnits {
--- a/internal/standin/build.go
+++ b/internal/standin/build.go
@@ -6,7 +6,8 @@
 	"path/filepath"
 )
 
-// BuildSidecar builds the sidecar into a directory, with build tags or as it is shipped, and returns the path of the program.
+// BuildSidecar builds the sidecar into a directory and returns the path of the program. tags are the build tags; the
+// shipped program is built with none ("").
 func BuildSidecar(dir, tags string) (string, error) {
 	program := filepath.Join(dir, "cindersaddle"+tags)
 	build := exec.Command("go", "build", "-tags", tags, "-o", program, "cindersaddle/cmd/cindersaddle")
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// responseGrace is how long after its deadline a client still waits for a response before it records that none came.
+	// responseGrace is how long after the deadline a client waits for a response before it records that none came.
 	responseGrace = 700 * time.Millisecond
-	// connectTimeout bounds the establishment of a connection to the sidecar.
+	// connectTimeout limits how long a client takes to connect to the sidecar.
 	connectTimeout = time.Second
 )
 
-// Client is an application that uses one sidecar over persistent connections. It is safe for concurrent use.
+// Client is an application that sends requests to one sidecar over persistent connections. It is safe for concurrent
+// use.
 type Client struct {
 	address string
 
 	mu        sync.Mutex
-	idle      []*clientConn // the last one is used first
+	idle      []*clientConn // the most recently used one is last and is reused first
 	exchanges []Exchange
 }
 
-// clientConn is a connection with the reader of its responses.
+// clientConn is a connection of a client with the buffered reader of its responses.
 type clientConn struct {
 	net.Conn
-	reader *bufio.Reader
-	used   bool // it has carried a request
+	reader            *bufio.Reader
+	hasCarriedRequest bool // set when the first request on it begins
 }
 
-// NewClient returns a client of the sidecar at an address.
+// NewClient returns a client of the sidecar at an address. It connects when it sends the first request.
 func NewClient(address string) *Client { return &Client{address: address} }
 
 // Exchanges returns the exchanges that have ended.
@@ -50,24 +51,24 @@
 	c.idle = nil
 }
 
-// Do sends a request and returns how it ended. A persistent connection that ends before any byte of a response may have been
-// closed while the request was on its way. The request is then sent once more, on a new connection, and both exchanges are
-// recorded.
+// Do sends a request and returns the exchange. The sidecar may close a persistent connection while the next request is
+// on its way to it. If a reused connection ends before any byte of a response, Do therefore sends the request once
+// more, on a new connection, and records both exchanges.
 func (c *Client) Do(request Request) Exchange {
-	exchange := c.exchange(request, c.idleOrNewConn)
+	exchange := c.doOnce(request, c.idleOrNewConn)
 	if exchange.ReusedConn && (exchange.End == ExchangeClosed || exchange.End == ExchangeNotSent) {
-		exchange = c.exchange(request, c.newConn)
+		exchange = c.doOnce(request, c.newConn)
 	}
 	return exchange
 }
 
-// exchange sends a request on a connection that connect returns, and records how it ended.
-func (c *Client) exchange(request Request, connect func() (*clientConn, error)) Exchange {
+// doOnce sends a request once, on a connection that connect returns, and records the exchange.
+func (c *Client) doOnce(request Request, connect func() (*clientConn, error)) Exchange {
 	exchange := Exchange{Request: request, BeganAt: time.Now()}
 	if conn, err := connect(); err != nil {
-		exchange.fail(ExchangeNotSent, err)
+		exchange.setOutcome(ExchangeNotSent, err)
 	} else {
-		c.exchangeOn(conn, &exchange)
+		c.doOnConn(conn, &exchange)
 	}
 	exchange.EndedAt = time.Now()
 	c.mu.Lock()
@@ -76,13 +77,14 @@
 	return exchange
 }
 
-// exchangeOn sends the request of an exchange on a connection and records its end.
-func (c *Client) exchangeOn(conn *clientConn, exchange *Exchange) {
-	exchange.ReusedConn = conn.used
-	conn.used = true
+// doOnConn sends the request of an exchange on a connection and sets its outcome. A connection that can be reused
+// becomes idle, any other one is closed.
+func (c *Client) doOnConn(conn *clientConn, exchange *Exchange) {
+	exchange.ReusedConn = conn.hasCarriedRequest
+	conn.hasCarriedRequest = true
 	conn.SetDeadline(time.Now().Add(exchange.Deadline + responseGrace))
-	if err := exchange.write(conn); err != nil {
-		exchange.fail(ExchangeNotSent, err)
+	if err := exchange.writeRequest(conn); err != nil {
+		exchange.setOutcome(ExchangeNotSent, err)
 		conn.Close()
 		return
 	}
@@ -114,7 +116,7 @@
 	return conn, nil
 }
 
-// newConn returns a new connection.
+// newConn opens a connection to the sidecar.
 func (c *Client) newConn() (*clientConn, error) {
 	conn, err := net.DialTimeout("tcp", c.address, connectTimeout)
 	if err != nil {
--- a/internal/standin/conntracker.go
+++ b/internal/standin/conntracker.go
@@ -5,14 +5,15 @@
 	"sync"
 )
 
-// connTracker holds the open connections of a party, so that they can be reset together. It is safe for concurrent use.
+// connTracker holds the open connections of a stand-in, so that all can be reset at once. It is safe for concurrent
+// use.
 type connTracker struct {
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-// add tracks connections that are open, or resets them and reports false if the tracker is closed.
+// add adds open connections. If the tracker is closed, it resets them instead and returns false.
 func (t *connTracker) add(conns ...net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,7 +32,7 @@
 	return true
 }
 
-// remove forgets connections that have ended.
+// remove removes connections that have ended.
 func (t *connTracker) remove(conns ...net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,14 +41,14 @@
 	}
 }
 
-// resetAll resets all connections. Further ones may be added.
+// resetAll resets all connections. The tracker stays open for new ones.
 func (t *connTracker) resetAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.resetAllLocked()
 }
 
-// close resets all connections, and those that are added later.
+// close resets all connections, and from then on add resets the connections that it gets.
 func (t *connTracker) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,13 +56,14 @@
 	t.resetAllLocked()
 }
 
+// resetAllLocked resets all connections. The caller holds mu.
 func (t *connTracker) resetAllLocked() {
 	for conn := range t.conns {
 		reset(conn)
 	}
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -11,23 +11,23 @@
 	"cindersaddle/internal/membership"
 )
 
-// Discovery is the discovery agent of one sidecar: it responds to polls of the endpoint list and to watches.
+// Discovery is the discovery agent of one sidecar. It responds to polls and watches of the endpoint list.
 type Discovery struct {
-	listener net.Listener
-	server   *http.Server
-	running  sync.WaitGroup
+	listener   net.Listener
+	server     *http.Server
+	goroutines sync.WaitGroup
 
-	mu            sync.Mutex
-	revision      int64
-	endpoints     map[string]membership.Endpoint
-	changed       chan struct{} // closed at the next change of the list or of silent
-	silent        bool
-	delivered     []EndpointChange
-	undelivered   []EndpointChange // made while silent
-	notifiedAfter time.Time        // no change counts as notified before
+	mu                   sync.Mutex
+	revision             int64
+	endpoints            map[string]membership.Endpoint
+	changed              chan struct{} // closed when the list or inOutage changes next
+	inOutage             bool
+	deliveredChanges     []EndpointChange
+	undeliveredChanges   []EndpointChange // made during the current outage
+	earliestNotification time.Time        // the sidecar does not count as notified of any change before this time
 }
 
-// NewDiscovery starts an agent with an empty list. It returns an error if it cannot listen.
+// NewDiscovery starts a discovery agent with an empty endpoint list. It returns an error if it cannot listen.
 func NewDiscovery() (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,20 +35,21 @@
 	}
 	d := &Discovery{listener: listener, revision: 1, endpoints: map[string]membership.Endpoint{}, changed: make(chan struct{})}
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serveList)}
-	d.running.Go(func() { d.server.Serve(listener) })
+	d.goroutines.Go(func() { d.server.Serve(listener) })
 	return d, nil
 }
 
-// Addr returns the address of the agent.
+// Addr returns the address of the discovery agent.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close ends the agent and its calls.
+// Close stops the discovery agent and closes the connections of pending requests.
 func (d *Discovery) Close() {
 	d.server.Close()
-	d.running.Wait()
+	d.goroutines.Wait()
 }
 
-// Set adds or changes a list entry. The sidecar counts as notified from now on, or during an outage from its end on.
+// SetEndpoint adds or replaces a list entry. The sidecar counts as notified of the change from now on, or from the end
+// of the outage if there is one.
 func (d *Discovery) Set(endpoint membership.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,63 +57,66 @@
 	d.endpoints[endpoint.ID] = endpoint
 	now := time.Now()
 	change := EndpointChange{EndpointID: endpoint.ID, State: endpoint.State(), ReadableAt: now, NotifiedAt: now}
-	if d.silent {
-		d.undelivered = append(d.undelivered, change)
+	if d.inOutage {
+		d.undeliveredChanges = append(d.undeliveredChanges, change)
 	} else {
-		d.delivered = append(d.delivered, change)
+		d.deliveredChanges = append(d.deliveredChanges, change)
 	}
-	d.signalLocked()
+	d.wakeWaitersLocked()
 }
 
-// BeginOutage makes the agent respond to nothing.
+// BeginOutage stops all responses until EndOutage is called.
 func (d *Discovery) BeginOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = true
-	d.signalLocked()
+	d.inOutage = true
+	d.wakeWaitersLocked()
 }
 
-// EndOutage makes the agent respond again, also to the calls that wait. Changes made during the outage count from now on.
+// EndOutage ends an outage. Pending requests get their responses, and the sidecar counts as notified from now on of the
+// changes made during the outage.
 func (d *Discovery) EndOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = false
-	for _, change := range d.undelivered {
+	d.inOutage = false
+	for _, change := range d.undeliveredChanges {
 		change.ReadableAt = time.Now()
 		change.NotifiedAt = change.ReadableAt
-		d.delivered = append(d.delivered, change)
+		d.deliveredChanges = append(d.deliveredChanges, change)
 	}
-	d.undelivered = nil
-	d.signalLocked()
+	d.undeliveredChanges = nil
+	d.wakeWaitersLocked()
 }
 
-// SetNotifiedAfter sets a time before which no change counts as notified, for a sidecar that does not know this agent yet.
+// SetEarliestNotification sets the time before which the sidecar does not count as notified of any change. It serves
+// for a sidecar that does not know the address of this agent yet.
 func (d *Discovery) SetNotifiedAfter(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.notifiedAfter = at
+	d.earliestNotification = at
 }
 
-// Changes returns the changes that were delivered so far, in their order.
+// Changes returns the changes delivered so far, in the order of delivery.
 func (d *Discovery) Changes() []EndpointChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changes := append([]EndpointChange(nil), d.delivered...)
+	changes := append([]EndpointChange(nil), d.deliveredChanges...)
 	for i := range changes {
-		if changes[i].NotifiedAt.Before(d.notifiedAfter) {
-			changes[i].NotifiedAt = d.notifiedAfter
+		if changes[i].NotifiedAt.Before(d.earliestNotification) {
+			changes[i].NotifiedAt = d.earliestNotification
 		}
 	}
 	return changes
 }
 
-// List returns the current endpoint list.
+// List returns the current endpoint list, without the endpoints that are gone.
 func (d *Discovery) List() membership.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listLocked()
 }
 
+// listLocked is List for a caller that holds mu.
 func (d *Discovery) listLocked() membership.EndpointList {
 	list := membership.EndpointList{Revision: d.revision, Complete: true, Endpoints: []membership.Endpoint{}}
 	for _, endpoint := range d.endpoints {
@@ -123,8 +127,8 @@
 	return list
 }
 
-// signalLocked wakes the calls that wait.
-func (d *Discovery) signalLocked() {
+// wakeWaitersLocked wakes the pending requests. The caller holds mu.
+func (d *Discovery) wakeWaitersLocked() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,7 +1,8 @@
-// Package standin implements the parties that a sidecar talks to, on loopback addresses: servers that act as endpoints,
-// discovery, the application's clients, and a proxy that disturbs connections. It also runs the built sidecar as a process.
-// The parties record what they see, so that a run can be judged without the sidecar's own account.
+// Package standin implements stand-ins for the systems around a sidecar, on loopback addresses: servers that act as
+// endpoints, discovery, the application's clients, and a proxy that disturbs connections. It also builds the sidecar
+// and runs it as a process. The stand-ins record what they see, so that a test can check a run without relying on what
+// the sidecar reports.
 //
-// Every type owns its goroutines and ends them in Close. Records are copied out by methods that any goroutine may call.
-// All times are readings of the monotonic clock.
+// Each stand-in owns its goroutines and stops them in Close. The methods that return records return copies and are safe
+// for concurrent use. All times are readings of the monotonic clock.
 package standin
--- a/internal/standin/endpointchange.go
+++ b/internal/standin/endpointchange.go
@@ -10,6 +10,6 @@
 type EndpointChange struct {
 	EndpointID string
 	State      balance.EndpointState
-	ReadableAt time.Time // when the sidecar could read it at the earliest
-	NotifiedAt time.Time // when the sidecar counts as notified of it; not before ReadableAt
+	ReadableAt time.Time // earliest time at which the sidecar can read the change
+	NotifiedAt time.Time // time from which the sidecar counts as notified of the change; not before ReadableAt
 }
--- a/internal/standin/exchange.go
+++ b/internal/standin/exchange.go
@@ -8,66 +8,68 @@
 	"time"
 )
 
-// ExchangeEnd is how a request ended as its client saw it.
+// ExchangeOutcome is the outcome of an exchange as the client saw it.
 type ExchangeEnd int
 
-// The ends of exchanges.
+// The outcomes of exchanges.
 const (
 	ExchangeServed             ExchangeEnd = iota // a complete response with status 200
 	ExchangeRejected                              // a complete response with status 429 or 503
 	ExchangeFailed                                // a complete response with any other status
-	ExchangeTruncated                             // part of a response, then the end of the connection
-	ExchangeClosed                                // the end of the connection without any byte of a response
-	ExchangeTimedOut                              // no byte until responseGrace after the deadline
-	ExchangeClientDisconnected                    // the client closed the connection first
-	ExchangeNotSent                               // the request was not written completely
+	ExchangeTruncated                             // part of a response, then the connection ended
+	ExchangeClosed                                // the connection ended before any byte of a response
+	ExchangeTimedOut                              // no byte of a response until responseGrace after the deadline
+	ExchangeClientDisconnected                    // the client closed the connection before the response was complete
+	ExchangeNotSent                               // no connection, or the request was not written completely
 )
 
-// String returns the name of an end for reports.
+// String returns the name of an outcome for reports.
 func (e ExchangeEnd) String() string {
-	return [...]string{"served", "rejected", "failed", "truncated", "closed", "timed out", "client left", "not sent"}[e]
+	return [...]string{
+		"served", "rejected", "failed", "truncated", "closed", "timed out", "client disconnected", "not sent",
+	}[e]
 }
 
-// Exchange is a request that a client sent on one connection, and how it ended.
+// Exchange is a request that a client sent on one connection, and its outcome.
 type Exchange struct {
 	Request
-	BeganAt    time.Time // before a connection was chosen
-	SentAt     time.Time // when its last byte was written; zero: it was not
+	BeganAt    time.Time // before the client picks or opens a connection
+	SentAt     time.Time // when the last byte of the request was written; zero if it was not
 	EndedAt    time.Time
 	End        ExchangeEnd
-	Status     int  // of the response; 0: no head of a response came
-	WrongBody  bool // the body is not the one of this request
-	ReusedConn bool // the connection had carried an earlier request
+	Status     int  // of the response; 0 if no complete head of a response was received
+	WrongBody  bool // the body of a response with status 200 is not the one for this request
+	ReusedConn bool // the connection had been used for an earlier request
 	Err        error
 }
 
-// fail records an end with its error.
-func (e *Exchange) fail(end ExchangeEnd, err error) { e.End, e.Err = end, err }
+// setOutcome sets the outcome of an exchange without a complete response, and the error that led to it.
+func (e *Exchange) setOutcome(outcome ExchangeEnd, err error) { e.End, e.Err = outcome, err }
 
-// readResponse reads the response and records the end. It reports whether the connection can be used again.
+// readResponse reads the response and sets the outcome. It reports whether the connection can be reused.
 func (e *Exchange) readResponse(conn *clientConn) (reusable bool) {
 	if _, err := conn.reader.Peek(1); err != nil {
-		e.fail(e.endWithoutResponse(err), err)
+		e.setOutcome(e.outcomeWithoutResponse(err), err)
 		return false
 	}
 	response, err := http.ReadResponse(conn.reader, &http.Request{Method: http.MethodGet})
 	if err != nil {
-		e.fail(endOfPartialResponse(err), err)
+		e.setOutcome(outcomeOfPartialResponse(err), err)
 		return false
 	}
 	e.Status = response.StatusCode
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		e.fail(endOfPartialResponse(err), err)
+		e.setOutcome(outcomeOfPartialResponse(err), err)
 		return false
 	}
-	e.End = endOfResponse(response.StatusCode)
+	e.End = outcomeOfStatus(response.StatusCode)
 	e.WrongBody = e.End == ExchangeServed && !BodyMatches(body, e.TraceID)
 	return !response.Close && conn.reader.Buffered() == 0
 }
 
-// endOfResponse returns how an exchange with a complete response ended.
-func endOfResponse(status int) ExchangeEnd {
+// outcomeOfStatus returns the outcome of an exchange with a complete response, by its status.
+func outcomeOfStatus(status int) ExchangeEnd {
 	switch status {
 	case http.StatusOK:
 		return ExchangeServed
@@ -77,8 +79,8 @@
 	return ExchangeFailed
 }
 
-// endWithoutResponse returns how an exchange ended that got no byte of a response, by the error of the read.
-func (e *Exchange) endWithoutResponse(err error) ExchangeEnd {
+// outcomeWithoutResponse returns the outcome of an exchange without any byte of a response, by the error of the read.
+func (e *Exchange) outcomeWithoutResponse(err error) ExchangeEnd {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return ExchangeClosed
@@ -88,9 +90,9 @@
 	return ExchangeTimedOut
 }
 
-// endOfPartialResponse returns how an exchange ended that got only part of a response, by the error of the read. A client that
-// waits for a response without end gives up.
-func endOfPartialResponse(err error) ExchangeEnd {
+// outcomeOfPartialResponse returns the outcome of an exchange with only part of a response, by the error of the read.
+// If the deadline of the read passes, the client disconnects, as the response may never end.
+func outcomeOfPartialResponse(err error) ExchangeEnd {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return ExchangeClientDisconnected
 	}
--- a/internal/standin/freeaddress.go
+++ b/internal/standin/freeaddress.go
@@ -9,27 +9,31 @@
 	"syscall"
 )
 
-// The ports of FreeAddress are below those that the kernel gives to outgoing connections, from 32768 on by default. It guards
-// against a connection that takes the port before the address is used: the listener would fail with "address already in use".
+// The range of ports that FreeAddress returns. It lies below the kernel's default range for outgoing connections, which
+// begins at 32768. A port of that range could be taken by an outgoing connection before the caller listens on it, and
+// the listener would fail with "address already in use".
 const (
-	firstFreePort = 20000
-	freePortCount = 10000
+	firstPort = 20000
+	portCount = 10000
 )
 
-// portCounter numbers the ports of this process. It starts at random, as other test processes run at the same time.
-var portCounter = newPortCounter()
+// portOffset is incremented for each port that is tried. Modulo portCount, it is the port's offset from firstPort. It
+// starts at a random value, as other test processes choose ports at the same time.
+var portOffset = newPortOffset()
 
-func newPortCounter() *atomic.Uint32 {
+// newPortOffset returns a counter with a random value below portCount.
+func newPortOffset() *atomic.Uint32 {
 	counter := &atomic.Uint32{}
-	counter.Store(rand.Uint32N(freePortCount))
+	counter.Store(rand.Uint32N(portCount))
 	return counter
 }
 
-// FreeAddress returns an address of the loopback interface at which nothing listens now, another one with each call.
+// FreeAddress returns a loopback address with a port on which nothing listens now. Each call returns another port,
+// until all ports of the range have been used once.
 func FreeAddress() (string, error) {
 	var err error
-	for range freePortCount {
-		port := firstFreePort + portCounter.Add(1)%freePortCount
+	for range portCount {
+		port := firstPort + portOffset.Add(1)%portCount
 		var listener net.Listener
 		listener, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
@@ -40,5 +44,5 @@
 			break
 		}
 	}
-	return "", fmt.Errorf("find a free address: %w", err)
+	return "", fmt.Errorf("find a free port from %d to %d: %w", firstPort, firstPort+portCount-1, err)
 }
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Process is the built sidecar, running with a configuration file of its own.
+// Process is a running sidecar program with its own configuration file.
 type Process struct {
 	Config ProcessConfig // as last written
 
 	dir     string
 	command *exec.Cmd
 	exited  chan struct{} // closed when the process has ended
-	exitErr error
+	exitErr error         // error of exec.Cmd.Wait; set before exited is closed
 }
 
-// StartProcess starts a sidecar with a configuration, whose file and log are in dir, and waits until it is ready.
-// environment, of the form "key=value", is added to that of this process. If the process is not ready, it is returned with a
-// *NotReadyError.
+// StartProcess starts a sidecar with a configuration and waits until it is ready. The configuration file and the log
+// are in dir. The variables in environment, in the form "key=value", are added to those of the calling process. If the
+// sidecar does not become ready, StartProcess returns the process together with a *NotReadyError.
 func StartProcess(program, dir string, config ProcessConfig, environment ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, config.Name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -31,7 +31,8 @@
 	return StartProcessWithLog(program, dir, config, log, environment...)
 }
 
-// StartProcessWithLog is StartProcess with a file that takes the log, which the process closes at its end.
+// StartProcessWithLog is StartProcess with a given file for the log. The file is closed when the sidecar has ended, or
+// if it cannot be started.
 func StartProcessWithLog(
 	program, dir string, config ProcessConfig, log *os.File, environment ...string,
 ) (*Process, error) {
@@ -55,14 +56,14 @@
 	return p, p.awaitReady()
 }
 
-// logPath returns the path of the log.
+// logPath returns the path of the log file that StartProcess creates.
 func (p *Process) logPath() string { return filepath.Join(p.dir, p.Config.Name+".log") }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
 
-// ended reports whether the process has ended.
-func (p *Process) ended() bool {
+// hasExited reports whether the process has ended.
+func (p *Process) hasExited() bool {
 	select {
 	case <-p.exited:
 		return true
@@ -71,26 +72,26 @@
 	}
 }
 
-// Wait waits until the process has ended and returns the error of its exit, nil for exit code 0; or until a timeout, and returns
-// false.
+// Wait waits until the process has ended and returns true and the error of its exit, nil for exit code 0. It returns
+// false if the process has not ended within the timeout.
 func (p *Process) Wait(timeout time.Duration) (ended bool, exit error) {
 	select {
 	case <-p.exited:
 	case <-time.After(timeout):
 	}
-	if !p.ended() { // also where both have come
+	if !p.hasExited() { // select may pick the timeout although the process has ended
 		return false, nil
 	}
 	return true, p.exitErr
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has ended.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// LogLines returns the lines of the log that contain a text.
+// LogLines returns the lines of the log that contain a text. It returns none if the log cannot be read.
 func (p *Process) LogLines(text string) []string {
 	content, err := os.ReadFile(p.logPath())
 	if err != nil {
--- a/internal/standin/processconfig.go
+++ b/internal/standin/processconfig.go
@@ -9,7 +9,7 @@
 	"cindersaddle/internal/membership"
 )
 
-// ProcessConfig is the configuration file of a sidecar, with the platform's keys.
+// ProcessConfig is the content of a sidecar's configuration file, with the platform's keys.
 type ProcessConfig struct {
 	Name      string                  `json:"name"`
 	Listen    string                  `json:"listen"`
@@ -31,16 +31,16 @@
 // configPath returns the path of the configuration file.
 func (p *Process) configPath() string { return filepath.Join(p.dir, p.Config.Name+".json") }
 
-// WriteConfig replaces the configuration file whole.
+// WriteConfig replaces the configuration file atomically: it writes a temporary file and renames it.
 func (p *Process) WriteConfig(config ProcessConfig) error {
 	text, err := json.Marshal(config)
 	if err != nil {
 		return fmt.Errorf("encode the configuration of %s: %w", config.Name, err)
 	}
 	p.Config = config
-	part := p.configPath() + ".part"
-	if err := os.WriteFile(part, text, 0o600); err != nil {
+	temporaryPath := p.configPath() + ".part"
+	if err := os.WriteFile(temporaryPath, text, 0o600); err != nil {
 		return fmt.Errorf("write the configuration of %s: %w", config.Name, err)
 	}
-	return os.Rename(part, p.configPath())
+	return os.Rename(temporaryPath, p.configPath())
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -10,94 +10,100 @@
 	"time"
 )
 
-// proxyConnectTimeout bounds the establishment of a connection to the server.
+// proxyConnectTimeout limits how long the proxy takes to connect to the server.
 const proxyConnectTimeout = time.Second
 
-// Proxy forwards the connections of sidecars to a server and disturbs them. When a sidecar closes its side, that is forwarded
-// at once also during a disturbance, so that the records of the server show when the sidecar closed the connection of an attempt.
+// proxyBufferSize is the most bytes that the proxy forwards in one write.
+const proxyBufferSize = 16 << 10
+
+// Proxy forwards the connections of sidecars to a server, and can delay, discard or reset their traffic. When a sidecar
+// closes a connection, the proxy forwards that at once, even while it disturbs the traffic, so that the server's
+// records show when the sidecar closed the connection of an attempt.
 type Proxy struct {
-	target    string
-	listener  net.Listener
-	running   sync.WaitGroup
-	conns     connTracker
-	partition atomic.Bool  // nothing is forwarded
-	delay     atomic.Int64 // of what the server sends, in nanoseconds
+	target           string
+	listener         net.Listener
+	goroutines       sync.WaitGroup
+	conns            connTracker
+	partitioned      atomic.Bool  // whether received bytes are discarded
+	delayNanoseconds atomic.Int64 // delay before each write to a sidecar
 }
 
-// NewProxy starts a proxy for the server at an address. It returns an error if it cannot listen.
+// NewProxy starts a proxy for the server at the address target. It returns an error if it cannot listen.
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("start a proxy: %w", err)
 	}
 	p := &Proxy{target: target, listener: listener}
-	p.running.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
 // Addr returns the address of the proxy.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Partition discards all bytes in both directions until Heal is called.
-func (p *Proxy) Partition() { p.partition.Store(true) }
+// Partition makes the proxy discard all bytes in both directions until Heal is called.
+func (p *Proxy) Partition() { p.partitioned.Store(true) }
 
-// Heal ends a partition for connections that had nothing discarded. The others remain without traffic.
-func (p *Proxy) Heal() { p.partition.Store(false) }
+// Heal ends a partition. A direction of a connection in which bytes were discarded stays without traffic.
+func (p *Proxy) Heal() { p.partitioned.Store(false) }
 
-// SetDelay delays what the server sends; 0 ends the delay.
-func (p *Proxy) SetDelay(delay time.Duration) { p.delay.Store(int64(delay)) }
+// SetDelay sets the delay of the bytes that the server sends. 0 ends the delay.
+func (p *Proxy) SetDelay(delay time.Duration) { p.delayNanoseconds.Store(int64(delay)) }
 
-// ResetAll resets all connections on both sides.
+// ResetAll resets all connections, to sidecars and to the server.
 func (p *Proxy) ResetAll() { p.conns.resetAll() }
 
-// Close resets all connections and waits for the proxy's goroutines.
+// Close stops listening, resets all connections and waits until the proxy's goroutines have ended.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.conns.close()
-	p.running.Wait()
+	p.goroutines.Wait()
 }
 
+// accept accepts connections until the listener is closed, and serves each in its own goroutine.
 func (p *Proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.running.Go(func() { p.serve(conn) })
+		p.goroutines.Go(func() { p.serve(conn) })
 	}
 }
 
-// serve forwards between a sidecar and the server until both directions have ended.
-func (p *Proxy) serve(sidecar net.Conn) {
-	server, err := net.DialTimeout("tcp", p.target, proxyConnectTimeout)
+// serve forwards bytes between a sidecar and the server until both directions have ended.
+func (p *Proxy) serve(sidecarConn net.Conn) {
+	serverConn, err := net.DialTimeout("tcp", p.target, proxyConnectTimeout)
 	if err != nil {
-		reset(sidecar)
+		reset(sidecarConn)
 		return
 	}
-	if !p.conns.add(sidecar, server) {
+	if !p.conns.add(sidecarConn, serverConn) {
 		return
 	}
-	defer p.conns.remove(sidecar, server)
+	defer p.conns.remove(sidecarConn, serverConn)
 	requestsDone := make(chan struct{})
-	p.running.Go(func() {
+	p.goroutines.Go(func() {
 		defer close(requestsDone)
-		p.forward(server, sidecar, func() {})
-		server.Close()
+		p.forward(serverConn, sidecarConn, func() {})
+		serverConn.Close()
 	})
-	p.forward(sidecar, server, func() { time.Sleep(time.Duration(p.delay.Load())) })
-	sidecar.Close()
+	p.forward(sidecarConn, serverConn, func() { time.Sleep(time.Duration(p.delayNanoseconds.Load())) })
+	sidecarConn.Close()
 	<-requestsDone
 }
 
-// forward copies bytes until the end of the stream or an error, and calls beforeWrite before each write. A reset is forwarded as
-// a reset. What comes during a partition is discarded, and so is all that follows on this connection: the other side must not
-// see a stream with a gap. The end of the stream is noticed also then.
+// forward copies bytes until the end of the stream or an error, and calls beforeWrite before each write. It forwards a
+// read error as a reset. Bytes that arrive during a partition are discarded, and so are all later ones in this
+// direction, as the other side must not receive a stream with a gap. The end of the stream is detected even while bytes
+// are discarded.
 func (p *Proxy) forward(to, from net.Conn, beforeWrite func()) {
-	buffer := make([]byte, 16<<10)
+	buffer := make([]byte, proxyBufferSize)
 	discarding := false
 	for {
 		n, err := from.Read(buffer)
-		discarding = discarding || n > 0 && p.partition.Load()
+		discarding = discarding || n > 0 && p.partitioned.Load()
 		if n > 0 && !discarding {
 			beforeWrite()
 			if _, err := to.Write(buffer[:n]); err != nil {
--- a/internal/standin/readiness.go
+++ b/internal/standin/readiness.go
@@ -9,35 +9,38 @@
 )
 
 const (
-	// readyTimeout is how long a process may take until it is ready.
+	// readyTimeout limits how long a process takes to become ready.
 	readyTimeout = 10 * time.Second
-	// readyPollInterval is the time between two polls of its readiness.
+	// readyPollInterval is the pause between two readiness requests.
 	readyPollInterval = 5 * time.Millisecond
-	// readyCallTimeout bounds the connection of such a poll, and the response to it.
-	readyCallTimeout = time.Second
+	// readyRequestTimeout limits connecting for a readiness request, and then sending it and receiving the response.
+	readyRequestTimeout = time.Second
 )
 
-// NotReadyError is the error of a process that was not ready in time, or ended before it was.
+// NotReadyError is the error of a process that did not become ready within readyTimeout, or ended before it was ready.
 type NotReadyError struct {
-	Sidecar string
-	Ended   bool
-	Exit    error // of a process that has ended; nil: exit code 0
+	Sidecar   string // name in the configuration
+	HasExited bool
+	ExitErr   error // error of exec.Cmd.Wait if the process has exited; nil for exit code 0
 }
 
+// Error returns which sidecar did not become ready, and why.
 func (e *NotReadyError) Error() string {
-	if e.Ended {
-		return fmt.Sprintf("%s ended before it was ready: %v", e.Sidecar, e.Exit)
+	if e.HasExited {
+		return fmt.Sprintf("%s ended before it was ready: %v", e.Sidecar, e.ExitErr)
 	}
-	return fmt.Sprintf("%s is not ready within %v", e.Sidecar, readyTimeout)
+	return fmt.Sprintf("%s was not ready within %v", e.Sidecar, readyTimeout)
 }
 
-func (e *NotReadyError) Unwrap() error { return e.Exit }
+// Unwrap returns the error of the exit, nil if there is none.
+func (e *NotReadyError) Unwrap() error { return e.ExitErr }
 
-// awaitReady waits until the sidecar responds that it is ready. It returns a *NotReadyError if that does not happen in time.
+// awaitReady polls the sidecar until it is ready. It returns a *NotReadyError if readyTimeout passes or the process
+// ends before.
 func (p *Process) awaitReady() error {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(readyPollInterval) {
-		if p.ended() {
-			return &NotReadyError{Sidecar: p.Config.Name, Ended: true, Exit: p.exitErr}
+		if p.hasExited() {
+			return &NotReadyError{Sidecar: p.Config.Name, HasExited: true, ExitErr: p.exitErr}
 		}
 		if p.ready() {
 			return nil
@@ -46,18 +49,19 @@
 	return &NotReadyError{Sidecar: p.Config.Name}
 }
 
-// ready polls the admin address if there is one: during an upgrade, the predecessor may respond at the clients' address.
+// ready reports whether the sidecar responds that it is ready. It asks at the admin address if there is one, as the
+// predecessor may respond at the clients' address during an upgrade.
 func (p *Process) ready() bool {
 	address, path := p.Config.Listen, "/up"
 	if p.Config.Admin != "" {
 		address, path = p.Config.Admin, "/api/ready"
 	}
-	conn, err := net.DialTimeout("tcp", address, readyCallTimeout)
+	conn, err := net.DialTimeout("tcp", address, readyRequestTimeout)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(readyCallTimeout))
+	conn.SetDeadline(time.Now().Add(readyRequestTimeout))
 	fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n", path)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	return err == nil && response.StatusCode == http.StatusOK
--- a/internal/standin/receivedrequest.go
+++ b/internal/standin/receivedrequest.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// receivedRequest is a request with the times of its bytes.
+// receivedRequest is a request with the times at which its first and last byte were received.
 type receivedRequest struct {
 	*http.Request
 	firstByteAt, lastByteAt time.Time
 }
 
-// isHealthCheck reports whether a request is one for health or the load report, which is no attempt.
-func (r *receivedRequest) isHealthCheck() bool {
+// isHealthCheckOrLoadReport reports whether the request asks for a health check or the load report. Such a request is
+// not an attempt.
+func (r *receivedRequest) isHealthCheckOrLoadReport() bool {
 	return r.URL.Path == "/alive" || r.URL.Path == "/metrics/load"
 }
 
-// readRequests reads requests until the connection ends or stop is closed. As it reads while a response is written, it notices
-// the end of the connection at once.
+// readRequests reads requests until the connection ends or stop is closed. It runs in its own goroutine, so that the
+// end of the connection is detected at once, even while a response is written.
 func readRequests(conn net.Conn, requests chan<- *receivedRequest, stop <-chan struct{}) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -36,7 +37,7 @@
 	}
 }
 
-// readRequest reads a request and discards its body.
+// readRequest reads the next request and discards its body.
 func readRequest(reader *bufio.Reader) (*receivedRequest, error) {
 	if _, err := reader.Peek(1); err != nil {
 		return nil, err
--- a/internal/standin/reply.go
+++ b/internal/standin/reply.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// ReplyKind is how a server treats a request.
+// ReplyKind is the way in which a server handles a request.
 type ReplyKind int
 
 // The kinds of replies.
 const (
 	ReplyServed        ReplyKind = iota // status 200 and a body
 	ReplyError                          // status 500: the request was executed
-	ReplyNeverExecuted                  // status 503 with the header field that proves that the request was not executed
-	ReplyReset                          // the connection is reset after the request was executed
-	ReplyHang                           // nothing, until the other side closes the connection
+	ReplyNeverExecuted                  // status 503 with X-Never-Ran, which proves that the request was not executed
+	ReplyReset                          // the request is executed, then the connection is reset without a response
+	ReplyHang                           // no response until the other side closes the connection
 	ReplyMalformed                      // a response that cannot be parsed
 	ReplyTruncated                      // part of a response, then a reset
 )
 
-// Reply is what a server does with one request.
+// Reply defines how a server handles one request.
 type Reply struct {
 	Kind      ReplyKind
 	Framing   Framing
-	Delay     time.Duration // until the response begins
-	Parts     int           // the body is written in this many parts; 0 and 1: at once, with the head
-	PartPause time.Duration // between two parts
-	Padding   int           // bytes added to the body
+	Delay     time.Duration // time until the response begins
+	Parts     int           // number of parts in which the body is written; 0 and 1: in one write, with the head
+	PartPause time.Duration // pause between two parts
+	Padding   int           // number of bytes added to the body
 }
 
-// respond carries out the reply to the request with a trace ID. It returns how the attempt ended, and whether the connection
-// persists. gone is closed when the other side has closed the connection.
-func (r *Reply) respond(conn net.Conn, traceID string, gone <-chan struct{}) (end AttemptEnd, persists bool) {
-	if !waitOrGone(r.Delay, gone) {
+// respond handles the request with a trace ID as the reply defines. It returns the outcome of the attempt and whether
+// the connection persists. peerClosed is closed when the other side has closed the connection.
+func (r *Reply) respond(
+	conn net.Conn, traceID string, peerClosed <-chan struct{},
+) (outcome AttemptOutcome, persists bool) {
+	if !waitUnlessClosed(r.Delay, peerClosed) {
 		return AttemptClosedBySidecar, false
 	}
 	switch r.Kind {
 	case ReplyServed:
-		return r.respondWhole(conn, "200 OK", traceID, AttemptServed, gone)
+		return r.respondCompletely(conn, "200 OK", traceID, AttemptServed, peerClosed)
 	case ReplyError:
-		return r.respondWhole(conn, "500 Oops", traceID, AttemptFailed, gone)
+		return r.respondCompletely(conn, "500 Oops", traceID, AttemptFailed, peerClosed)
 	case ReplyNeverExecuted:
 		return AttemptNeverExecuted, writeNeverExecuted(conn) == nil
 	case ReplyHang:
-		<-gone
+		<-peerClosed
 		return AttemptClosedBySidecar, false
 	case ReplyMalformed:
 		io.WriteString(conn, "HTTP/1.1 2x0 OK\r\n\r\n")
 	case ReplyTruncated:
-		r.message("200 OK", traceID).writeTruncated(conn, gone)
+		r.framedResponse("200 OK", traceID).writeTruncated(conn, peerClosed)
 		reset(conn)
 	case ReplyReset:
 		reset(conn)
@@ -57,22 +59,29 @@
 	return AttemptBroken, false
 }
 
-// respondWhole writes a complete response. It returns end, or that the sidecar closed the connection if the write fails.
-func (r *Reply) respondWhole(
-	conn net.Conn, status, traceID string, end AttemptEnd, gone <-chan struct{},
-) (AttemptEnd, bool) {
-	if err := r.message(status, traceID).write(conn, gone); err != nil {
+// respondCompletely writes a complete response. It returns the given outcome, or AttemptClosedBySidecar if the write
+// fails, and whether the connection persists.
+func (r *Reply) respondCompletely(
+	conn net.Conn, status, traceID string, outcome AttemptOutcome, peerClosed <-chan struct{},
+) (AttemptOutcome, bool) {
+	if err := r.framedResponse(status, traceID).write(conn, peerClosed); err != nil {
 		return AttemptClosedBySidecar, false
 	}
-	return end, r.Framing != FramedByClose
+	return outcome, r.Framing != FramedByClose
 }
 
-// message returns the response with a status.
-func (r *Reply) message(status, traceID string) *message {
-	return &message{status: status, body: bodyFor(traceID, r.Padding), framing: r.Framing, parts: r.Parts, partPause: r.PartPause}
+// framedResponse returns the response with a status to the request with a trace ID.
+func (r *Reply) framedResponse(status, traceID string) *framedResponse {
+	return &framedResponse{
+		status:            status,
+		body:              responseBody(traceID, r.Padding),
+		framing:           r.Framing,
+		partCount:         r.Parts,
+		pauseBetweenParts: r.PartPause,
+	}
 }
 
-// writeNeverExecuted writes a rejection with the proof that the request was not executed.
+// writeNeverExecuted writes a rejection with X-Never-Ran, which proves that the request was not executed.
 func writeNeverExecuted(conn net.Conn) error {
 	_, err := io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 	return err
@@ -84,14 +93,14 @@
 	return err
 }
 
-// waitOrGone waits for a pause and reports true, or false as soon as gone is closed.
-func waitOrGone(pause time.Duration, gone <-chan struct{}) bool {
+// waitUnlessClosed waits for a pause and returns true. It returns false as soon as peerClosed is closed.
+func waitUnlessClosed(pause time.Duration, peerClosed <-chan struct{}) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-gone:
+	case <-peerClosed:
 		return false
 	}
 }
--- a/internal/standin/request.go
+++ b/internal/standin/request.go
@@ -12,23 +12,23 @@
 	"cindersaddle/balance"
 )
 
-// Request is what a client sends: a GET if it is idempotent, and otherwise a POST.
+// Request is a request that a client sends. Its method is GET if it is idempotent, and POST otherwise.
 type Request struct {
 	TraceID     string
 	Class       string
 	Idempotency balance.Idempotency
 	Tenant      string
-	Deadline    time.Duration // how long the client waits for the response, which it also states
-	LeaveAfter  time.Duration // when the client closes its connection, from the last byte written; 0: at its deadline
-	Parts       int           // the request is written in this many parts; 0 and 1: at once
-	PartPause   time.Duration // between two parts
-	BodyBytes   int           // length of the body of a POST
+	Deadline    time.Duration // time within which the client wants the response; X-Expires-In carries it
+	LeaveAfter  time.Duration // time from the last byte written until the client disconnects; 0: it waits past Deadline
+	Parts       int           // number of parts in which the request is written; 0 and 1: in one write
+	PartPause   time.Duration // pause between two parts
+	BodyBytes   int           // length of the body of a POST, in bytes
 }
 
-// TraceID returns a trace ID for the request with a number. All have the same length.
+// TraceID returns the trace ID for a request number. All trace IDs have the same length.
 func TraceID(number int) string { return "t" + strconv.FormatInt(int64(number)+1<<40, 16) }
 
-// method returns the HTTP method.
+// method returns the HTTP method of the request.
 func (r *Request) method() string {
 	if r.Idempotency == balance.Idempotent {
 		return http.MethodGet
@@ -36,8 +36,8 @@
 	return http.MethodPost
 }
 
-// write writes the request in its parts.
-func (r *Request) write(conn net.Conn) error {
+// writeRequest writes the request in its parts, with pauses between them.
+func (r *Request) writeRequest(conn net.Conn) error {
 	text := r.encode()
 	parts := max(1, r.Parts)
 	for i := range parts {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// encode returns the request as HTTP/1.1 text, with the header fields of the platform.
+// encode returns the request in HTTP/1.1 format, with the platform's header fields.
 func (r *Request) encode() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s /api HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n",
