--- a/internal/sidecartest/config.go
+++ b/internal/sidecartest/config.go
@@ -10,17 +10,17 @@
 	"cindersaddle/internal/membership"
 )
 
-// EmptyEnvironment stands in for os.Getenv where no variable is set.
+// EmptyEnvironment replaces os.Getenv in tests that set no environment variable. It returns "" for every name.
 func EmptyEnvironment(string) string { return "" }
 
-// ConfigPath returns the path of the configuration file on which the tests build.
+// ConfigPath returns the path of the configuration file that the tests use.
 func ConfigPath() string {
 	_, thisFile, _, _ := runtime.Caller(0)
 	return filepath.Join(filepath.Dir(thisFile), "..", "config", "testdata", "config.json")
 }
 
-// Config returns the configuration of ConfigPath with the given endpoints as the known ones. A shutdown does not wait for
-// new connections, and connections to endpoints need no rest between two requests.
+// Config returns the configuration in the file of ConfigPath, with the given endpoints as the known ones. No connections
+// are accepted after the shutdown signal, and connections to endpoints are reused without a delay.
 func Config(t *testing.T, endpoints ...membership.Endpoint) *config.Config {
 	t.Helper()
 	text, err := os.ReadFile(ConfigPath())
--- a/internal/sidecartest/conn.go
+++ b/internal/sidecartest/conn.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// ConnPair opens a connection through a listener of its own. It returns the client's side, which is closed at the end of the
-// test, and the accepted one.
+// ConnPair opens a loopback TCP connection and returns both sides of it. The client's side is closed at the end of the
+// test, the accepted side is not.
 func ConnPair(t *testing.T) (client net.Conn, accepted *net.TCPConn) {
 	t.Helper()
 	listener := Listen(t)
--- a/internal/sidecartest/client.go
+++ b/internal/sidecartest/disconnect.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// DisconnectMethods are the ways in which a client can disconnect, by name.
+// DisconnectMethods are the ways in which a client can disconnect, by name. They require a *net.TCPConn.
 var DisconnectMethods = map[string]func(net.Conn){
 	"close":      func(conn net.Conn) { conn.Close() },
 	"half-close": func(conn net.Conn) { conn.(*net.TCPConn).CloseWrite() },
--- a/internal/sidecartest/discovery.go
+++ b/internal/sidecartest/discovery.go
@@ -8,19 +8,21 @@
 	"cindersaddle/internal/membership"
 )
 
-// DiscoveryServer is a discovery service that responds to each request with the next list that the test sends.
+// DiscoveryServer is a discovery service that responds to each request with the next value that the test sends to Lists
+// or RawLists.
 type DiscoveryServer struct {
 	Addr      string
-	Queries   chan string                  // the query of each request
-	Lists     chan membership.EndpointList // the responses
-	RawLists  chan []byte                  // responses that are written as they are
-	Cancelled chan bool                    // a value for each request that was cancelled before its response
+	Queries   chan string                  // receives the query string of each request
+	Lists     chan membership.EndpointList // responses, which are encoded as JSON
+	RawLists  chan []byte                  // responses that are written unchanged
+	Cancelled chan bool                    // receives true for each request that the client cancels before its response
 }
 
-// eventBacklog is more than the events of any test, so that a server is not blocked by a test that does not read them.
+// eventBacklog is the capacity of the channels to which servers send events. No test causes more events, so that a
+// server does not block if the test does not read them.
 const eventBacklog = 100
 
-// NewDiscoveryServer starts a discovery service, which is stopped at the end of the test.
+// NewDiscoveryServer starts a discovery service and stops it at the end of the test.
 func NewDiscoveryServer(t *testing.T) *DiscoveryServer {
 	t.Helper()
 	server := &DiscoveryServer{
@@ -33,7 +35,8 @@
 	return server
 }
 
-// respond waits for the response to one request. Writing it may fail, as a test may stop the client at any time.
+// respond waits until the test provides a response or the client cancels the request. It ignores errors of the write,
+// as a test may stop the client at any time.
 func (server *DiscoveryServer) respond(w http.ResponseWriter, request *http.Request) {
 	server.Queries <- request.URL.RawQuery
 	select {
--- a/internal/sidecartest/gate.go
+++ b/internal/sidecartest/gate.go
@@ -6,34 +6,35 @@
 	"testing"
 )
 
-// Gate holds the responses of a server back until a test opens it.
+// Gate delays the responses of a ScriptedServer until the test opens it.
 type Gate struct {
-	held   chan struct{} // a value for each request that reaches the gate
-	opened chan struct{} // closed by Open
-	open   func()
+	requests chan struct{} // receives a value for each request that reaches the gate
+	opened   chan struct{} // closed when the gate is opened
+	open     func()        // closes opened; safe to call more than once
 }
 
-// NewGate returns a gate that is closed.
+// NewGate returns a closed gate.
 func NewGate() *Gate {
-	gate := &Gate{held: make(chan struct{}, eventBacklog), opened: make(chan struct{})}
+	gate := &Gate{requests: make(chan struct{}, eventBacklog), opened: make(chan struct{})}
 	gate.open = sync.OnceFunc(func() { close(gate.opened) })
 	return gate
 }
 
-// Hold returns a step that waits until the gate is open, and then runs another one.
+// Hold returns a step that waits until the gate is open and then runs the given step.
 func (gate *Gate) Hold(step Step) Step {
 	return func(conn net.Conn) bool {
-		gate.held <- struct{}{}
+		gate.requests <- struct{}{}
 		<-gate.opened
 		return step(conn)
 	}
 }
 
-// AwaitRequest waits until one more request has reached the gate.
+// AwaitRequest waits until another request reaches the gate. Each request ends one wait only.
 func (gate *Gate) AwaitRequest(t *testing.T) {
 	t.Helper()
-	Next(t, gate.held)
+	Next(t, gate.requests)
 }
 
-// Open lets the requests at the gate and all later ones pass. It may be called more than once.
+// Open releases the requests that wait at the gate, and all later ones pass without waiting. It may be called more than
+// once.
 func (gate *Gate) Open() { gate.open() }
--- a/internal/sidecartest/data.go
+++ b/internal/sidecartest/longbody.go
@@ -2,5 +2,5 @@
 
 import "strings"
 
-// LongBody is longer than the bodies that a sidecar buffers in one piece, so that it is streamed.
+// LongBody is a body that the sidecar streams, as it is too long to be buffered completely.
 var LongBody = strings.Repeat("0123456789abcdef", 1<<16) // 1 MiB
--- a/internal/sidecartest/server.go
+++ b/internal/sidecartest/scriptedserver.go
@@ -11,26 +11,27 @@
 	"testing"
 )
 
-// Step responds to one request on a connection and reports whether the connection goes on; otherwise it is closed.
+// Step responds to one request on a connection. It reports whether the server keeps the connection open.
 type Step func(net.Conn) bool
 
-// ScriptedServer is an HTTP server on raw connections that runs one step for each request, after it has read the request.
-// The last step is repeated.
+// ScriptedServer is an HTTP server that runs one Step for each request, after it has read the complete request. The
+// steps run in the order of the requests on all connections. The last step also handles all further requests.
 type ScriptedServer struct {
 	Addr string
 
-	mu       sync.Mutex
-	requests []ReceivedRequest
-	conns    int // number of accepted connections
+	mu        sync.Mutex
+	requests  []ReceivedRequest
+	connCount int // number of connections accepted so far
 }
 
 // ReceivedRequest is a complete request that a server received.
 type ReceivedRequest struct {
 	*http.Request
-	BodyText string // the body, which Request.Body no longer has
+	BodyText string // complete body; Request.Body has already been read
 }
 
-// NewScriptedServer starts a server, which is stopped with its connections at the end of the test.
+// NewScriptedServer starts a server with at least one step. The server and its connections are closed at the end of the
+// test.
 func NewScriptedServer(t *testing.T, steps ...Step) *ScriptedServer {
 	t.Helper()
 	server := &ScriptedServer{}
@@ -50,13 +51,14 @@
 	return server
 }
 
+// countConn counts an accepted connection.
 func (server *ScriptedServer) countConn() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	server.conns++
+	server.connCount++
 }
 
-// serve reads requests until the client or a step ends the connection.
+// serve reads requests and runs their steps until the client or a step ends the connection.
 func (server *ScriptedServer) serve(conn net.Conn, steps []Step) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -69,15 +71,15 @@
 		if err != nil {
 			return
 		}
-		step := server.record(ReceivedRequest{request, string(body)}, steps)
+		step := server.addRequest(ReceivedRequest{request, string(body)}, steps)
 		if !step(conn) {
 			return
 		}
 	}
 }
 
-// record adds a request and returns the step for it.
-func (server *ScriptedServer) record(request ReceivedRequest, steps []Step) Step {
+// addRequest records a request and returns the step that responds to it.
+func (server *ScriptedServer) addRequest(request ReceivedRequest, steps []Step) Step {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	step := steps[min(len(server.requests), len(steps)-1)]
@@ -85,7 +87,7 @@
 	return step
 }
 
-// Requests returns the requests received so far, in their order.
+// Requests returns the requests received so far, in the order of their arrival.
 func (server *ScriptedServer) Requests() []ReceivedRequest {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -96,10 +98,11 @@
 func (server *ScriptedServer) ConnCount() int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	return server.conns
+	return server.connCount
 }
 
-// Respond returns a step that writes a complete response and keeps the connection.
+// Respond returns a step that writes a complete response and keeps the connection open. Each header is a complete line
+// without CRLF.
 func Respond(status int, body string, headers ...string) Step {
 	return func(conn net.Conn) bool {
 		head := "HTTP/1.1 " + strconv.Itoa(status) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
@@ -111,15 +114,16 @@
 	}
 }
 
-// RespondRawAndClose returns a step that writes part of a response and closes the connection.
-func RespondRawAndClose(part string) Step {
+// RespondRawAndClose returns a step that writes a text, such as part of a response, and closes the connection.
+func RespondRawAndClose(text string) Step {
 	return func(conn net.Conn) bool {
-		io.WriteString(conn, part)
+		io.WriteString(conn, text)
 		return false
 	}
 }
 
-// RespondRaw returns a step that writes part of a response, or invalid text, and keeps the connection.
+// RespondRaw returns a step that writes a text, such as part of a response or an invalid one, and keeps the connection
+// open.
 func RespondRaw(text string) Step {
 	return func(conn net.Conn) bool {
 		_, err := io.WriteString(conn, text)
@@ -127,13 +131,14 @@
 	}
 }
 
-// endlessRepeats is the number of times that RespondEndlessly repeats its text in each write.
-const endlessRepeats = 100
+// repeatsPerWrite is the number of times that RespondEndlessly repeats its text in one write.
+const repeatsPerWrite = 100
 
-// RespondEndlessly returns a step that writes a start and then repeats a text until the client closes the connection.
+// RespondEndlessly returns a step that writes a start and then writes a text repeatedly until the client closes the
+// connection.
 func RespondEndlessly(start, repeated string) Step {
 	return func(conn net.Conn) bool {
-		for text := start; ; text = strings.Repeat(repeated, endlessRepeats) {
+		for text := start; ; text = strings.Repeat(repeated, repeatsPerWrite) {
 			if _, err := io.WriteString(conn, text); err != nil {
 				return false
 			}
--- a/internal/sidecartest/wait.go
+++ b/internal/sidecartest/wait.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// Timeout bounds every wait of a test. Only a test that fails takes that long.
+// Timeout limits each wait in a test. Only a test that fails waits that long.
 const Timeout = 30 * time.Second
 
-// Next returns the next value of a channel.
+// Next receives the next value from a channel. The test fails if none arrives within Timeout.
 func Next[T any](t *testing.T, events <-chan T) T {
 	t.Helper()
 	select {
 	case event := <-events:
 		return event
 	case <-time.After(Timeout):
-		t.Fatalf("no event within %v", Timeout)
+		t.Fatalf("got no event within %v, want one", Timeout)
 	}
 	panic("unreachable")
 }
 
-// WaitFor waits until a condition holds, which is described for the message of a failure.
+// WaitFor waits until the function holds returns true. The test fails if that does not happen within Timeout, with the
+// description of the condition in its message.
 func WaitFor(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(Timeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %v in vain for: %s", Timeout, description)
+			t.Fatalf("condition not met within %v: %s", Timeout, description)
 		}
 	}
 }
 
-// Listen opens a listener on a free port of the loopback interface, which is closed at the end of the test.
+// Listen opens a listener on a free port of the loopback interface. It is closed at the end of the test.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
