--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -33,7 +33,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("start discovery: %w", err)
 	}
-	d := &Discovery{listener: listener, revision: 1, endpoints: map[string]membership.Endpoint{}, changed: make(chan struct{})}
+	d := &Discovery{
+		listener:  listener,
+		revision:  1,
+		endpoints: map[string]membership.Endpoint{},
+		changed:   make(chan struct{}),
+	}
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serveList)}
 	d.goroutines.Go(func() { d.server.Serve(listener) })
 	return d, nil
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -11,8 +11,8 @@
 // Behavior decides how a server handles a request. It has to be safe for concurrent use.
 type Behavior func(*http.Request) Reply
 
-// Server is an HTTP/1.1 server that acts as one incarnation of an endpoint. It responds with status 200 to health checks
-// and requests for the load report, and to all others as its Behavior decides.
+// Server is an HTTP/1.1 server that acts as one incarnation of an endpoint. It responds with status 200 to health
+// checks and requests for the load report, and to all others as its Behavior decides.
 type Server struct {
 	behavior   Behavior
 	listener   net.Listener
@@ -94,8 +94,9 @@
 	}
 }
 
-// handle responds to a request and reports whether the connection persists. It records the request as an attempt, unless
-// it is a health check or asks for the load report. peerClosed is closed when the other side has closed the connection.
+// handle responds to a request and reports whether the connection persists. It records the request as an attempt,
+// unless it is a health check or asks for the load report. peerClosed is closed when the other side has closed the
+// connection.
 func (s *Server) handle(conn net.Conn, request *receivedRequest, peerClosed <-chan struct{}) (persists bool) {
 	if request.isHealthCheckOrLoadReport() {
 		return writeHealthy(conn) == nil
