--- a/internal/sidecartest/config.go
+++ b/internal/sidecartest/config.go
@@ -19,8 +19,8 @@
 	return filepath.Join(filepath.Dir(thisFile), "..", "config", "testdata", "config.json")
 }
 
-// Config returns the configuration in the file of ConfigPath, with the given endpoints as the known ones. No connections
-// are accepted after the shutdown signal, and connections to endpoints are reused without a delay.
+// Config returns the configuration in the file of ConfigPath, with the given endpoints as the known ones. No
+// connections are accepted after the shutdown signal, and connections to endpoints are reused without a delay.
 func Config(t *testing.T, endpoints ...membership.Endpoint) *config.Config {
 	t.Helper()
 	text, err := os.ReadFile(ConfigPath())
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -93,7 +93,7 @@
 	d.wakeWaitersLocked()
 }
 
-// SetEarliestNotification sets the time before which the sidecar does not count as notified of any change. It serves
+// SetEarliestNotification sets the time before which the sidecar does not count as notified of any change. It is used
 // for a sidecar that does not know the address of this agent yet.
 func (d *Discovery) SetNotifiedAfter(at time.Time) {
 	d.mu.Lock()
--- a/internal/standin/freeaddress.go
+++ b/internal/standin/freeaddress.go
@@ -10,8 +10,8 @@
 )
 
 // The range of ports that FreeAddress returns. It lies below the kernel's default range for outgoing connections, which
-// begins at 32768. A port of that range could be taken by an outgoing connection before the caller listens on it, and
-// the listener would fail with "address already in use".
+// begins at 32768. An outgoing connection could take a port of the kernel's range before the caller listens on it,
+// and the listener would fail with "address already in use".
 const (
 	firstPort = 20000
 	portCount = 10000
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -12,7 +12,7 @@
 
 // Process is a running sidecar program with its own configuration file.
 type Process struct {
-	Config ProcessConfig // as last written
+	Config ProcessConfig // configuration that was last written to the file
 
 	dir     string
 	command *exec.Cmd
@@ -32,7 +32,7 @@
 }
 
 // StartProcessWithLog is StartProcess with a given file for the log. The file is closed when the sidecar has ended, or
-// if it cannot be started.
+// if the program cannot be executed.
 func StartProcessWithLog(
 	program, dir string, config ProcessConfig, log *os.File, environment ...string,
 ) (*Process, error) {
@@ -74,7 +74,7 @@
 
 // Wait waits until the process has ended and returns true and the error of its exit, nil for exit code 0. It returns
 // false if the process has not ended within the timeout.
-func (p *Process) Wait(timeout time.Duration) (ended bool, exit error) {
+func (p *Process) Wait(timeout time.Duration) (ended bool, exitErr error) {
 	select {
 	case <-p.exited:
 	case <-time.After(timeout):
--- a/internal/standin/processconfig.go
+++ b/internal/standin/processconfig.go
@@ -25,7 +25,7 @@
 type ProcessLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // maximum number of open sockets
 }
 
 // configPath returns the path of the configuration file.
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -14,7 +14,7 @@
 const proxyConnectTimeout = time.Second
 
 // proxyBufferSize is the most bytes that the proxy forwards in one write.
-const proxyBufferSize = 16 << 10
+const proxyBufferSize = 16 << 10 // 16 KiB
 
 // Proxy forwards the connections of sidecars to a server, and can delay, discard or reset their traffic. When a sidecar
 // closes a connection, the proxy forwards that at once, even while it disturbs the traffic, so that the server's
@@ -25,7 +25,7 @@
 	goroutines       sync.WaitGroup
 	conns            connTracker
 	partitioned      atomic.Bool  // whether received bytes are discarded
-	delayNanoseconds atomic.Int64 // delay before each write to a sidecar
+	delayNanoseconds atomic.Int64 // pause before each write to a sidecar
 }
 
 // NewProxy starts a proxy for the server at the address target. It returns an error if it cannot listen.
--- a/internal/standin/readiness.go
+++ b/internal/standin/readiness.go
@@ -42,16 +42,16 @@
 		if p.hasExited() {
 			return &NotReadyError{Sidecar: p.Config.Name, HasExited: true, ExitErr: p.exitErr}
 		}
-		if p.ready() {
+		if p.isReady() {
 			return nil
 		}
 	}
 	return &NotReadyError{Sidecar: p.Config.Name}
 }
 
-// ready reports whether the sidecar responds that it is ready. It asks at the admin address if there is one, as the
+// isReady reports whether the sidecar responds that it is ready. It asks at the admin address if there is one, as the
 // predecessor may respond at the clients' address during an upgrade.
-func (p *Process) ready() bool {
+func (p *Process) isReady() bool {
 	address, path := p.Config.Listen, "/up"
 	if p.Config.Admin != "" {
 		address, path = p.Config.Admin, "/api/ready"
