--- a/internal/admin/faults_test.go
+++ b/internal/admin/faults_test.go
@@ -22,13 +22,13 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			var calls atomic.Int32
-			fault.Use(&fault.Plan{Decide: func(call fault.Call) error {
+			fault.SetPlan(&fault.Plan{ErrorFor: func(call fault.Call) error {
 				if call == fault.Accept && calls.Add(1) <= 2 {
 					return errno
 				}
 				return nil
 			}})
-			defer fault.Use(nil)
+			defer fault.SetPlan(nil)
 			listener := sidecartest.Listen(t)
 			server := New(&metrics.Metrics{}, func() bool { return true })
 			done := make(chan struct{})
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -44,7 +44,7 @@
 
 // accept makes one attempt to accept a connection. The fault plan of a test may make it fail.
 func (l *limitedListener) accept() (net.Conn, error) {
-	if err := fault.Injected(fault.Accept); err != nil {
+	if err := fault.InjectedError(fault.Accept); err != nil {
 		return nil, err
 	}
 	return l.Listener.Accept()
--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -30,14 +30,14 @@
 		{syscall.EINTR, true, 3}, {syscall.EACCES, false, 1}, {os.ErrNotExist, false, 1},
 	} {
 		var calls atomic.Int32
-		fault.Use(&fault.Plan{Decide: func(call fault.Call) error {
+		fault.SetPlan(&fault.Plan{ErrorFor: func(call fault.Call) error {
 			if call == fault.ReadFile && calls.Add(1) <= 2 {
 				return test.err
 			}
 			return nil
 		}})
 		_, err := Load(getenv)
-		fault.Use(nil)
+		fault.SetPlan(nil)
 		if loaded := err == nil; loaded != test.loads || calls.Load() != test.calls {
 			t.Errorf("%v: got loaded %v after %d calls (error %v), want %v after %d",
 				test.err, loaded, calls.Load(), err, test.loads, test.calls)
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -39,7 +39,7 @@
 
 // readFileOnce makes one attempt to read a file.
 func readFileOnce(path string) ([]byte, error) {
-	if err := fault.Injected(fault.ReadFile); err != nil {
+	if err := fault.InjectedError(fault.ReadFile); err != nil {
 		return nil, err
 	}
 	return os.ReadFile(path)
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -28,7 +28,7 @@
 func failCallsAfter(t *testing.T, call fault.Call, passed, count int32, err error) {
 	t.Helper()
 	var calls atomic.Int32
-	fault.Use(&fault.Plan{Decide: func(made fault.Call) error {
+	fault.SetPlan(&fault.Plan{ErrorFor: func(made fault.Call) error {
 		if made != call {
 			return nil
 		}
@@ -37,7 +37,7 @@
 		}
 		return err
 	}})
-	t.Cleanup(func() { fault.Use(nil) })
+	t.Cleanup(func() { fault.SetPlan(nil) })
 }
 
 // transientAcceptErrors are the errors that accept(2) documents, except those that mean that the listener can no longer
@@ -166,8 +166,8 @@
 		t.Fatal(err)
 	}
 	conn, client := newTrackedConn(t)
-	fault.Use(plan)
-	t.Cleanup(func() { fault.Use(nil) })
+	fault.SetPlan(plan)
+	t.Cleanup(func() { fault.SetPlan(nil) })
 	const request = "GET /api HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 	go io.WriteString(client, request)
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -147,7 +147,7 @@
 
 // acceptOnce accepts one connection from the listener, unless a test injects an error.
 func (l *Listener) acceptOnce() (net.Conn, error) {
-	if err := fault.Injected(fault.Accept); err != nil {
+	if err := fault.InjectedError(fault.Accept); err != nil {
 		return nil, err
 	}
 	return l.Listener.Accept()
--- a/internal/downstream/listener_drain.go
+++ b/internal/downstream/listener_drain.go
@@ -64,7 +64,7 @@
 // acceptDescriptor accepts a connection without blocking and returns its file descriptor. The error is a syscall.Errno:
 // EAGAIN if the queue is empty.
 func acceptDescriptor(listenerFD int) (int, error) {
-	if err := fault.Injected(fault.Accept); err != nil {
+	if err := fault.InjectedError(fault.Accept); err != nil {
 		return 0, err
 	}
 	fd, _, err := syscall.Accept4(listenerFD, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -92,7 +92,7 @@
 
 // connFromFile returns the connection of a file, which gets a duplicate of the file descriptor.
 func connFromFile(file *os.File) (net.Conn, error) {
-	if err := fault.Injected(fault.Duplicate); err != nil {
+	if err := fault.InjectedError(fault.Duplicate); err != nil {
 		return nil, err
 	}
 	return net.FileConn(file)
--- a/internal/fault/inject.go
+++ b/internal/fault/inject.go
@@ -21,12 +21,12 @@
 		if err != nil {
 			panic(err)
 		}
-		Use(plan)
+		SetPlan(plan)
 	}
 }
 
 // SetPlan replaces the plan that applies. With nil, no call fails.
-func Use(plan *Plan) {
+func SetPlan(plan *Plan) {
 	if plan != nil {
 		plan.random = rand.New(rand.NewPCG(plan.Seed, 0))
 	}
@@ -34,13 +34,13 @@
 }
 
 // InjectedError returns the error with which the next call of a kind has to fail, or nil if it can be made.
-func Injected(call Call) error {
+func InjectedError(call Call) error {
 	plan := currentPlan.Load()
 	if plan == nil {
 		return nil
 	}
-	if plan.Decide != nil {
-		return plan.Decide(call)
+	if plan.ErrorFor != nil {
+		return plan.ErrorFor(call)
 	}
 	errnos := plan.Errors[call]
 	plan.mu.Lock()
@@ -52,7 +52,7 @@
 }
 
 // TransferLimit returns how many of n bytes the next read or write may transfer: at least 1, unless n is 0.
-func Shortened(_ Call, n int) int {
+func TransferLimit(_ Call, n int) int {
 	plan := currentPlan.Load()
 	if plan == nil || n < 2 {
 		return n
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -21,7 +21,7 @@
 	ErrorRate float64                  // fraction of the calls with an entry in Errors that fail
 	ShortRate float64                  // fraction of the reads and writes that are shortened
 	Errors    map[Call][]syscall.Errno // possible errors of each kind of call
-	Decide    func(Call) error         // if set, it returns the error of each call, and ErrorRate and Errors are ignored
+	ErrorFor  func(Call) error         // if set, it returns the error of each call, and ErrorRate and Errors are ignored
 
 	mu     sync.Mutex
 	random *rand.Rand
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -93,7 +93,7 @@
 // writeLine writes a line. If lines were dropped, it first logs their number. Write errors are ignored, as there is
 // nowhere to report them.
 func (w *Writer) writeLine(line []byte) {
-	if fault.Injected(fault.Log) != nil {
+	if fault.InjectedError(fault.Log) != nil {
 		return
 	}
 	if dropped := w.dropped.Swap(0); dropped > 0 {
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -97,14 +97,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reply := standin.Reply{
-		Delay:     r.randomServiceTime(),
-		Framing:   framings[r.random.IntN(len(framings))],
-		Parts:     1 + r.random.IntN(maxParts),
-		PartPause: r.randomPause(maxPartPause),
-		Padding:   r.random.IntN(maxPadding),
+		Delay:        r.randomServiceTime(),
+		Framing:      framings[r.random.IntN(len(framings))],
+		PartCount:    1 + r.random.IntN(maxParts),
+		PartPause:    r.randomPause(maxPartPause),
+		PaddingBytes: r.random.IntN(maxPadding),
 	}
 	if r.random.IntN(longBodyInterval) == 0 {
-		reply.Padding = longPadding
+		reply.PaddingBytes = longPadding
 	}
 	if r.random.Float64() < r.plan.FailureRate {
 		reply.Kind = failureReplies[r.random.IntN(len(failureReplies))]
--- a/internal/soak/event_drain.go
+++ b/internal/soak/event_drain.go
@@ -32,6 +32,6 @@
 	defer r.mu.Unlock()
 	endpoint.listEntry.Phase = phase
 	for _, sidecar := range r.sidecars {
-		sidecar.discovery.Set(endpoint.listEntry)
+		sidecar.discovery.SetEndpoint(endpoint.listEntry)
 	}
 }
--- a/internal/soak/event_reload.go
+++ b/internal/soak/event_reload.go
@@ -69,9 +69,9 @@
 	former = sidecar.discovery
 	r.records.addNotifications(sidecar)
 	for _, endpoint := range r.endpoints {
-		next.Set(endpoint.listEntry)
+		next.SetEndpoint(endpoint.listEntry)
 	}
-	next.SetNotifiedAfter(time.Now().Add(reloadNotificationDelay))
+	next.SetEarliestNotification(time.Now().Add(reloadNotificationDelay))
 	sidecar.discovery = next
 	sidecar.config.Discovery = next.Addr()
 	return sidecar.process, sidecar.config, former
--- a/internal/soak/exceptions.go
+++ b/internal/soak/exceptions.go
@@ -35,7 +35,7 @@
 		return true
 	}
 	return slices.ContainsFunc(j.attempts[traceID], func(attempt Attempt) bool {
-		return attempt.End == standin.AttemptBroken || j.connectionBroken(&attempt)
+		return attempt.Outcome == standin.AttemptBroken || j.connectionBroken(&attempt)
 	})
 }
 
--- a/internal/soak/harness_test.go
+++ b/internal/soak/harness_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(server.Close)
-		fleet.discovery.Set(readyListEntry(endpointID(number), server.Addr()))
+		fleet.discovery.SetEndpoint(readyListEntry(endpointID(number), server.Addr()))
 	}
 	return fleet
 }
--- a/internal/soak/log_test.go
+++ b/internal/soak/log_test.go
@@ -43,9 +43,9 @@
 					TraceID: fmt.Sprintf("log-%d", i), Class: "pay", Idempotency: balance.NonIdempotent,
 					Tenant: tenantName, Deadline: 2 * time.Second,
 				})
-				if exchange.End != standin.ExchangeFailed && exchange.End != standin.ExchangeRejected {
+				if exchange.Outcome != standin.ExchangeFailed && exchange.Outcome != standin.ExchangeRejected {
 					t.Fatalf("request %d: got %v (error: %v), want %v or %v",
-						i, exchange.End, exchange.Err, standin.ExchangeFailed, standin.ExchangeRejected)
+						i, exchange.Outcome, exchange.Err, standin.ExchangeFailed, standin.ExchangeRejected)
 				}
 			}
 		})
--- a/internal/soak/overdue_test.go
+++ b/internal/soak/overdue_test.go
@@ -60,7 +60,7 @@
 		}
 		delay := raceObjective/2 + time.Duration((rand.Float64()-raceJitterBefore)*float64(raceJitter))
 		return standin.Reply{
-			Delay: delay, Framing: standin.FramedByClose, Parts: 2, PartPause: raceBodyPause, Padding: 2000,
+			Delay: delay, Framing: standin.FramedByClose, PartCount: 2, PartPause: raceBodyPause, PaddingBytes: 2000,
 		}
 	}
 	fleet := startFleet(t, raceEndpoints, behavior)
@@ -82,9 +82,9 @@
 	}
 	stopLoad()
 	for _, exchange := range client.Exchanges() {
-		if exchange.End == standin.ExchangeTruncated || exchange.End == standin.ExchangeClosed || exchange.WrongBody {
+		if exchange.Outcome == standin.ExchangeTruncated || exchange.Outcome == standin.ExchangeClosed || exchange.WrongBody {
 			line := fmt.Sprintf("request %s of class %s: got %v (error: %v, wrong body: %v), want a complete response",
-				exchange.TraceID, exchange.Class, exchange.End, exchange.Err, exchange.WrongBody)
+				exchange.TraceID, exchange.Class, exchange.Outcome, exchange.Err, exchange.WrongBody)
 			failures = append(failures, line+"\n"+strings.Join(sidecar.LogLines(exchange.TraceID), "\n"))
 		}
 	}
--- a/internal/soak/rule_client_disconnected.go
+++ b/internal/soak/rule_client_disconnected.go
@@ -15,7 +15,7 @@
 // closed its connection until the end of the run.
 func (j *judge) checkClientsDisconnected() {
 	j.forEachKnownAttempt(func(e *Exchange, attempt *Attempt) {
-		if e.End != standin.ExchangeClientDisconnected {
+		if e.Outcome != standin.ExchangeClientDisconnected {
 			return
 		}
 		if after := attempt.FirstByteAt.Sub(e.EndedAt); after > disconnectSlack+recordSlack {
--- a/internal/soak/rule_drain_test.go
+++ b/internal/soak/rule_drain_test.go
@@ -77,7 +77,7 @@
 	request := standin.Request{TraceID: "n0.1.x", Deadline: time.Second}
 	exchange := standin.Exchange{Request: request, BeganAt: at, SentAt: at, EndedAt: at, Status: http.StatusOK}
 	attempt := standin.Attempt{
-		TraceID: request.TraceID, FirstByteAt: at, LastByteAt: at, EndedAt: at, End: standin.AttemptServed,
+		TraceID: request.TraceID, FirstByteAt: at, LastByteAt: at, EndedAt: at, Outcome: standin.AttemptServed,
 	}
 	r.Exchanges = append(r.Exchanges, Exchange{Exchange: exchange, Sidecar: sidecar})
 	r.Attempts = append(r.Attempts, Attempt{Attempt: attempt, Endpoint: endpoint})
--- a/internal/soak/rule_duplicate.go
+++ b/internal/soak/rule_duplicate.go
@@ -40,7 +40,7 @@
 		j.report(RuleDuplicate, e.TraceID, "endpoint %s received the request while an attempt was open at endpoint %s",
 			attempt.Endpoint, earlier.Endpoint)
 	}
-	if earlier.End != standin.AttemptNeverExecuted {
+	if earlier.Outcome != standin.AttemptNeverExecuted {
 		j.checkRetry(e, earlier, attempt)
 	}
 }
--- a/internal/soak/rule_response.go
+++ b/internal/soak/rule_response.go
@@ -32,7 +32,7 @@
 }
 
 func (j *judge) checkResponse(e *Exchange) {
-	switch e.End {
+	switch e.Outcome {
 	case standin.ExchangeServed, standin.ExchangeRejected, standin.ExchangeFailed:
 		j.checkCompleteResponse(e)
 	case standin.ExchangeTimedOut:
@@ -56,7 +56,7 @@
 		j.report(RuleResponse, e.TraceID, "received the response to another request")
 	}
 	late := e.EndedAt.Sub(e.SentAt) - e.Deadline
-	if e.End != standin.ExchangeServed && late > lateResponseSlack+recordSlack {
+	if e.Outcome != standin.ExchangeServed && late > lateResponseSlack+recordSlack {
 		j.report(RuleResponse, e.TraceID, "received the response %v after the deadline", late)
 	}
 }
--- a/internal/soak/sidecar.go
+++ b/internal/soak/sidecar.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	for _, endpoint := range r.endpoints {
-		discovery.Set(endpoint.listEntry)
+		discovery.SetEndpoint(endpoint.listEntry)
 	}
 	sidecar := &sidecar{id: sidecarID(number), discovery: discovery, client: standin.NewClient(listen)}
 	sidecar.config = r.sidecarConfig(number, listen, discovery.Addr())
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -41,9 +41,9 @@
 				t.Fatal(err)
 			}
 			reportViolations(t, records, Judge(records))
-			ends := map[standin.ExchangeEnd]int{}
+			ends := map[standin.ExchangeOutcome]int{}
 			for _, exchange := range records.Exchanges {
-				ends[exchange.End]++
+				ends[exchange.Outcome]++
 			}
 			t.Logf("%d requests: %v; %d attempts, %d processes",
 				len(records.Exchanges), ends, len(records.Attempts), len(records.Incarnations))
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -47,16 +47,16 @@
 		if e.TraceID == traceID {
 			history.add(e.BeganAt,
 				"client of sidecar %s starts a request of class %s, deadline %v, reused connection: %v, disconnects after %v",
-				e.Sidecar, e.Class, e.Deadline, e.ReusedConn, e.LeaveAfter)
+				e.Sidecar, e.Class, e.Deadline, e.ReusedConn, e.DisconnectAfter)
 			history.add(e.SentAt, "client wrote the last byte")
-			history.add(e.EndedAt, "client: %v, status %d, error: %v", e.End, e.Status, e.Err)
+			history.add(e.EndedAt, "client: %v, status %d, error: %v", e.Outcome, e.Status, e.Err)
 		}
 	}
 	for _, attempt := range r.Attempts {
 		if attempt.TraceID == traceID {
 			history.add(attempt.LastByteAt, "endpoint %s received the request, stated remaining time %v",
 				attempt.Endpoint, attempt.ExpiresIn)
-			history.add(attempt.EndedAt, "endpoint %s: %v", attempt.Endpoint, attempt.End)
+			history.add(attempt.EndedAt, "endpoint %s: %v", attempt.Endpoint, attempt.Outcome)
 		}
 	}
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -53,7 +53,7 @@
 	for number := 0; time.Now().Before(end); number++ {
 		// The suffix ".x" ensures that no trace ID is a prefix of another one, because logs are searched for trace IDs.
 		request := r.randomRequest(fmt.Sprintf("%s.%d.%d.x", sidecar.id, worker, number))
-		if exchange := sidecar.client.Do(request); exchange.End == standin.ExchangeNotSent {
+		if exchange := sidecar.client.Do(request); exchange.Outcome == standin.ExchangeNotSent {
 			time.Sleep(notSentPause)
 		}
 		time.Sleep(r.randomThinkTime())
@@ -81,13 +81,13 @@
 		BodyBytes:   r.random.IntN(maxBodyBytes),
 	}
 	if r.random.Float64() < r.plan.DisconnectRate {
-		request.LeaveAfter = time.Duration(1 + r.random.ExpFloat64()*float64(meanDisconnectTime))
+		request.DisconnectAfter = time.Duration(1 + r.random.ExpFloat64()*float64(meanDisconnectTime))
 	}
 	if r.random.IntN(longUploadInterval) == 0 {
 		request.BodyBytes = minLongUploadBytes + r.random.IntN(longUploadSpreadBytes)
 	}
 	if r.random.IntN(slowUploadInterval) == 0 {
-		request.Parts = minUploadParts + r.random.IntN(maxUploadParts-minUploadParts+1)
+		request.PartCount = minUploadParts + r.random.IntN(maxUploadParts-minUploadParts+1)
 		request.PartPause = r.randomPause(maxUploadPause)
 	}
 	return request
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -21,10 +21,10 @@
 
 // readOnce makes one read call.
 func readOnce(conn net.Conn, buffer []byte, call fault.Call) (int, error) {
-	if err := fault.Injected(call); err != nil {
+	if err := fault.InjectedError(call); err != nil {
 		return 0, err
 	}
-	return conn.Read(buffer[:fault.Shortened(call, len(buffer))])
+	return conn.Read(buffer[:fault.TransferLimit(call, len(buffer))])
 }
 
 // WriteConn writes all bytes to a connection. It continues after transient errors, until the write deadline of the
@@ -48,8 +48,8 @@
 
 // writeOnce makes one write call, which may accept only a part of the bytes.
 func writeOnce(conn net.Conn, data []byte, call fault.Call) (int, error) {
-	if err := fault.Injected(call); err != nil {
+	if err := fault.InjectedError(call); err != nil {
 		return 0, err
 	}
-	return conn.Write(data[:fault.Shortened(call, len(data))])
+	return conn.Write(data[:fault.TransferLimit(call, len(data))])
 }
--- a/internal/socket/descriptor.go
+++ b/internal/socket/descriptor.go
@@ -20,10 +20,10 @@
 
 // readDescriptor makes one read call.
 func readDescriptor(fd int, buffer []byte) (int, error) {
-	if err := fault.Injected(fault.Read); err != nil {
+	if err := fault.InjectedError(fault.Read); err != nil {
 		return 0, err
 	}
-	return syscall.Read(fd, buffer[:fault.Shortened(fault.Read, len(buffer))])
+	return syscall.Read(fd, buffer[:fault.TransferLimit(fault.Read, len(buffer))])
 }
 
 // Control calls f with the descriptor of a listener. It does nothing if the listener has no descriptor or is closed.
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -53,7 +53,7 @@
 
 // peekOnce receives the next byte without consuming it or blocking. The error is a syscall.Errno.
 func peekOnce(fd int) (int, error) {
-	if err := fault.Injected(fault.Peek); err != nil {
+	if err := fault.InjectedError(fault.Peek); err != nil {
 		return 0, err
 	}
 	var buffer [1]byte
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -32,7 +32,7 @@
 	FirstByteAt time.Time
 	LastByteAt  time.Time
 	EndedAt     time.Time // zero if it has not ended
-	End         AttemptOutcome
+	Outcome     AttemptOutcome
 }
 
 // newAttempt returns the attempt that begins with a received request.
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -56,7 +56,7 @@
 // more, on a new connection, and records both exchanges.
 func (c *Client) Do(request Request) Exchange {
 	exchange := c.doOnce(request, c.idleOrNewConn)
-	if exchange.ReusedConn && (exchange.End == ExchangeClosed || exchange.End == ExchangeNotSent) {
+	if exchange.ReusedConn && (exchange.Outcome == ExchangeClosed || exchange.Outcome == ExchangeNotSent) {
 		exchange = c.doOnce(request, c.newConn)
 	}
 	return exchange
@@ -90,8 +90,8 @@
 	}
 	exchange.SentAt = time.Now()
 	conn.SetDeadline(exchange.SentAt.Add(exchange.Deadline + responseGrace))
-	if exchange.LeaveAfter > 0 {
-		conn.SetReadDeadline(exchange.SentAt.Add(exchange.LeaveAfter))
+	if exchange.DisconnectAfter > 0 {
+		conn.SetReadDeadline(exchange.SentAt.Add(exchange.DisconnectAfter))
 	}
 	if !exchange.readResponse(conn) {
 		conn.Close()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -55,7 +55,7 @@
 
 // SetEndpoint adds or replaces a list entry. The sidecar counts as notified of the change from now on, or from the end
 // of the outage if there is one.
-func (d *Discovery) Set(endpoint membership.Endpoint) {
+func (d *Discovery) SetEndpoint(endpoint membership.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -95,7 +95,7 @@
 
 // SetEarliestNotification sets the time before which the sidecar does not count as notified of any change. It is used
 // for a sidecar that does not know the address of this agent yet.
-func (d *Discovery) SetNotifiedAfter(at time.Time) {
+func (d *Discovery) SetEarliestNotification(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.earliestNotification = at
--- a/internal/standin/exchange.go
+++ b/internal/standin/exchange.go
@@ -9,22 +9,22 @@
 )
 
 // ExchangeOutcome is the outcome of an exchange as the client saw it.
-type ExchangeEnd int
+type ExchangeOutcome int
 
 // The outcomes of exchanges.
 const (
-	ExchangeServed             ExchangeEnd = iota // a complete response with status 200
-	ExchangeRejected                              // a complete response with status 429 or 503
-	ExchangeFailed                                // a complete response with any other status
-	ExchangeTruncated                             // part of a response, then the connection ended
-	ExchangeClosed                                // the connection ended before any byte of a response
-	ExchangeTimedOut                              // no byte of a response until responseGrace after the deadline
-	ExchangeClientDisconnected                    // the client closed the connection before the response was complete
-	ExchangeNotSent                               // no connection, or the request was not written completely
+	ExchangeServed             ExchangeOutcome = iota // a complete response with status 200
+	ExchangeRejected                                  // a complete response with status 429 or 503
+	ExchangeFailed                                    // a complete response with any other status
+	ExchangeTruncated                                 // part of a response, then the connection ended
+	ExchangeClosed                                    // the connection ended before any byte of a response
+	ExchangeTimedOut                                  // no byte of a response until responseGrace after the deadline
+	ExchangeClientDisconnected                        // the client closed the connection before the response was complete
+	ExchangeNotSent                                   // no connection, or the request was not written completely
 )
 
 // String returns the name of an outcome for reports.
-func (e ExchangeEnd) String() string {
+func (e ExchangeOutcome) String() string {
 	return [...]string{
 		"served", "rejected", "failed", "truncated", "closed", "timed out", "client disconnected", "not sent",
 	}[e]
@@ -36,7 +36,7 @@
 	BeganAt    time.Time // before the client picks or opens a connection
 	SentAt     time.Time // when the last byte of the request was written; zero if it was not
 	EndedAt    time.Time
-	End        ExchangeEnd
+	Outcome    ExchangeOutcome
 	Status     int  // of the response; 0 if no complete head of a response was received
 	WrongBody  bool // the body of a response with status 200 is not the one for this request
 	ReusedConn bool // the connection had been used for an earlier request
@@ -44,7 +44,7 @@
 }
 
 // setOutcome sets the outcome of an exchange without a complete response, and the error that led to it.
-func (e *Exchange) setOutcome(outcome ExchangeEnd, err error) { e.End, e.Err = outcome, err }
+func (e *Exchange) setOutcome(outcome ExchangeOutcome, err error) { e.Outcome, e.Err = outcome, err }
 
 // readResponse reads the response and sets the outcome. It reports whether the connection can be reused.
 func (e *Exchange) readResponse(conn *clientConn) (reusable bool) {
@@ -63,13 +63,13 @@
 		e.setOutcome(outcomeOfPartialResponse(err), err)
 		return false
 	}
-	e.End = outcomeOfStatus(response.StatusCode)
-	e.WrongBody = e.End == ExchangeServed && !BodyMatches(body, e.TraceID)
+	e.Outcome = outcomeOfStatus(response.StatusCode)
+	e.WrongBody = e.Outcome == ExchangeServed && !BodyMatches(body, e.TraceID)
 	return !response.Close && conn.reader.Buffered() == 0
 }
 
 // outcomeOfStatus returns the outcome of an exchange with a complete response, by its status.
-func outcomeOfStatus(status int) ExchangeEnd {
+func outcomeOfStatus(status int) ExchangeOutcome {
 	switch status {
 	case http.StatusOK:
 		return ExchangeServed
@@ -80,11 +80,11 @@
 }
 
 // outcomeWithoutResponse returns the outcome of an exchange without any byte of a response, by the error of the read.
-func (e *Exchange) outcomeWithoutResponse(err error) ExchangeEnd {
+func (e *Exchange) outcomeWithoutResponse(err error) ExchangeOutcome {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return ExchangeClosed
-	case e.LeaveAfter > 0:
+	case e.DisconnectAfter > 0:
 		return ExchangeClientDisconnected
 	}
 	return ExchangeTimedOut
@@ -92,7 +92,7 @@
 
 // outcomeOfPartialResponse returns the outcome of an exchange with only part of a response, by the error of the read.
 // If the deadline of the read passes, the client disconnects, as the response may never end.
-func outcomeOfPartialResponse(err error) ExchangeEnd {
+func outcomeOfPartialResponse(err error) ExchangeOutcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return ExchangeClientDisconnected
 	}
--- a/internal/standin/reply.go
+++ b/internal/standin/reply.go
@@ -22,12 +22,12 @@
 
 // Reply defines how a server handles one request.
 type Reply struct {
-	Kind      ReplyKind
-	Framing   Framing
-	Delay     time.Duration // time until the response begins
-	Parts     int           // number of parts in which the body is written; 0 and 1: in one write, with the head
-	PartPause time.Duration // pause between two parts
-	Padding   int           // number of bytes added to the body
+	Kind         ReplyKind
+	Framing      Framing
+	Delay        time.Duration // time until the response begins
+	PartCount    int           // number of parts in which the body is written; 0 and 1: in one write, with the head
+	PartPause    time.Duration // pause between two parts
+	PaddingBytes int           // number of bytes added to the body
 }
 
 // respond handles the request with a trace ID as the reply defines. It returns the outcome of the attempt and whether
@@ -74,9 +74,9 @@
 func (r *Reply) framedResponse(status, traceID string) *framedResponse {
 	return &framedResponse{
 		status:            status,
-		body:              responseBody(traceID, r.Padding),
+		body:              responseBody(traceID, r.PaddingBytes),
 		framing:           r.Framing,
-		partCount:         r.Parts,
+		partCount:         r.PartCount,
 		pauseBetweenParts: r.PartPause,
 	}
 }
--- a/internal/standin/request.go
+++ b/internal/standin/request.go
@@ -14,15 +14,15 @@
 
 // Request is a request that a client sends. Its method is GET if it is idempotent, and POST otherwise.
 type Request struct {
-	TraceID     string
-	Class       string
-	Idempotency balance.Idempotency
-	Tenant      string
-	Deadline    time.Duration // time within which the client wants the response; X-Expires-In carries it
-	LeaveAfter  time.Duration // time from the last byte written until the client disconnects; 0: it waits past Deadline
-	Parts       int           // number of parts in which the request is written; 0 and 1: in one write
-	PartPause   time.Duration // pause between two parts
-	BodyBytes   int           // length of the body of a POST, in bytes
+	TraceID         string
+	Class           string
+	Idempotency     balance.Idempotency
+	Tenant          string
+	Deadline        time.Duration // time within which the client wants the response; X-Expires-In carries it
+	DisconnectAfter time.Duration // time from the last byte written until the client disconnects; 0: it waits past Deadline
+	PartCount       int           // number of parts in which the request is written; 0 and 1: in one write
+	PartPause       time.Duration // pause between two parts
+	BodyBytes       int           // length of the body of a POST, in bytes
 }
 
 // TraceID returns the trace ID for a request number. All trace IDs have the same length.
@@ -39,7 +39,7 @@
 // writeRequest writes the request in its parts, with pauses between them.
 func (r *Request) writeRequest(conn net.Conn) error {
 	text := r.encode()
-	parts := max(1, r.Parts)
+	parts := max(1, r.PartCount)
 	for i := range parts {
 		if i > 0 {
 			time.Sleep(r.PartPause)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -107,7 +107,7 @@
 	outcome, persists := reply.respond(conn, attempt.TraceID, peerClosed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	attempt.End, attempt.EndedAt = outcome, time.Now()
+	attempt.Outcome, attempt.EndedAt = outcome, time.Now()
 	return persists
 }
 
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -31,7 +31,7 @@
 // dial opens a connection to address, which Endpoint.Address held when connect was called. It may have changed since.
 func (p *Pool) dial(ctx context.Context, endpoint *Endpoint, address *string, deadline time.Time) (*endpointConn, error) {
 	dialer := net.Dialer{Timeout: p.connectTimeout, Deadline: deadline, KeepAlive: -1}
-	if err := fault.Injected(fault.Connect); err != nil {
+	if err := fault.InjectedError(fault.Connect); err != nil {
 		return nil, err
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", *address)
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -20,8 +20,8 @@
 	}
 	server := sidecartest.NewScriptedServer(t, sidecartest.Respond(200, "served"))
 	client := newTestClient(t, testMaxConns)
-	fault.Use(plan)
-	t.Cleanup(func() { fault.Use(nil) })
+	fault.SetPlan(plan)
+	t.Cleanup(func() { fault.SetPlan(nil) })
 	const attempts = 20
 	for range attempts {
 		outcome := expectResult(t, client, newAttempt(newEndpoint(server.Addr), sidecartest.Timeout), balance.OK)
@@ -49,14 +49,14 @@
 		syscall.EADDRNOTAVAIL: balance.NotAttempted,
 	} {
 		client := newTestClient(t, testMaxConns)
-		fault.Use(&fault.Plan{Decide: func(call fault.Call) error {
+		fault.SetPlan(&fault.Plan{ErrorFor: func(call fault.Call) error {
 			if call == fault.Connect {
 				return errno
 			}
 			return nil
 		}})
 		outcome := client.Do(newAttempt(newEndpoint(server.Addr), sidecartest.Timeout))
-		fault.Use(nil)
+		fault.SetPlan(nil)
 		if outcome.Result != want || !outcome.Result.NeverExecuted() || client.pool.openConns != 0 {
 			t.Errorf("%v: got %v with %d open connections, want %v with 0",
 				errno, outcome.Result, client.pool.openConns, want)
