--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -4,15 +4,17 @@
 
 // document is the settings document. Unknown keys are ignored, so that documents of later versions are accepted.
 //
-// These known keys have no field, because no decision depends on them: names (decisions must not depend on a name),
-// tiers and kinds of peers, nines_full, the keys of family_info other than warm_keys, the CPU limits (a pass over all
-// endpoints is cheap enough to stay within any of them), and the costs of operations that this module never performs
-// (moves, origin, fleet, discovery).
+// Some keys are known but have no field, because no decision depends on them:
+//   - names, as a decision must not depend on a name
+//   - tiers and kinds of peers, nines_full, and the keys of family_info other than warm_keys
+//   - the CPU limits, as a pass over all endpoints is cheap enough to stay within any of them
+//   - the costs of operations that the sidecar never performs: moves, origin, fleet and discovery
 //
-// Some other keys that no decision depends on have a field, so that a value of the wrong type or a negative number is
-// rejected.
+// Some other keys that no decision depends on do have a field, so that a value of the wrong type or a negative number
+// is rejected.
 //
-// Fields are pointers where the default value of the key is not the zero value.
+// A field is a pointer if a missing key must be told from the zero value. The corresponding fields of package balance
+// document the meaning of the fields.
 type document struct {
 	Classes          []classDocument      `json:"classes"`
 	Tenants          []tenantDocument     `json:"tenants"`
@@ -26,7 +28,7 @@
 	Application      applicationDocument  `json:"family_info"`
 	OverQuotaWeight  *float64             `json:"over_share_worth"`
 	MinBatchInterval balance.Milliseconds `json:"quantum_ms"`
-	Report           reportDocument       `json:"report"`
+	LoadReports      reportDocument       `json:"report"`
 	Limits           limitsDocument       `json:"limits"`
 	Rules            rulesDocument        `json:"rules"`
 	ScoreWeights     scoreDocument        `json:"result_mix"`
@@ -35,7 +37,7 @@
 
 // classDocument holds the settings of a class of requests.
 type classDocument struct {
-	Effect           string                `json:"effect"`
+	Idempotency      string                `json:"effect"`
 	DedupScope       string                `json:"group"`
 	DedupWindow      *balance.Milliseconds `json:"window_ms"`
 	LatencyObjective balance.Milliseconds  `json:"on_time_ms"` // 0: equal to the deadline
@@ -54,7 +56,7 @@
 
 // clientsDocument describes the behavior of the clients.
 type clientsDocument struct {
-	MarkRetries bool `json:"marks_retry"`
+	RetriesMarked bool `json:"marks_retry"`
 }
 
 // applicationDocument describes the behavior of the application.
@@ -62,13 +64,13 @@
 	KeyCaching bool `json:"warm_keys"`
 }
 
-// reportDocument describes the load reports: how they arrive, and the names of their values in order.
+// reportDocument describes the load reports: how they arrive, and the names of the values in them, in order.
 type reportDocument struct {
 	Mode   string   `json:"via"`
 	Fields []string `json:"fields"`
 }
 
-// limitsDocument holds the limits of a sidecar and the operations that it may use.
+// limitsDocument holds the limits of the sidecar, and says which optional operations it may use.
 type limitsDocument struct {
 	Cancellation    bool                 `json:"cancel"`
 	ConnectTimeout  balance.Milliseconds `json:"connect_timeout_ms"`
@@ -102,7 +104,8 @@
 	Nines       float64 `json:"nines_part"`
 }
 
-// costsDocument holds the costs of a sidecar's operations and failures.
+// costsDocument holds the costs of a sidecar's operations and failures. They are deducted from the priority weight that
+// responses earn.
 type costsDocument struct {
 	CrossZone      float64 `json:"cross_zone"`
 	WastedWork     float64 `json:"waste"`
--- a/internal/settings/enums.go
+++ b/internal/settings/enums.go
@@ -6,36 +6,36 @@
 const (
 	discoveryAutomatic = "automatic"
 	// discoverySubscribe means that discovery sends changes of the endpoint list only to an instance that subscribes
-	// or polls. It sets balance.Config.PolledDiscovery, so that the balancer requests the list.
-	discoverySubscribe   = "subscribe"
-	effectIdempotencyKey = "idempotency_key"
+	// or polls. It sets balance.Config.PolledDiscovery, so that the balancer polls the list.
+	discoverySubscribe = "subscribe"
+	idempotencyKeyName = "idempotency_key"
 )
 
-// idempotencies maps the values of a class's key effect.
-var idempotencies = map[string]balance.Idempotency{
-	"read_like":          balance.Idempotent,
-	effectIdempotencyKey: balance.IdempotencyKey,
-	"non_idempotent":     balance.NonIdempotent,
+// idempotenciesByName maps the values of the key effect of a class.
+var idempotenciesByName = map[string]balance.Idempotency{
+	"read_like":        balance.Idempotent,
+	idempotencyKeyName: balance.IdempotencyKey,
+	"non_idempotent":   balance.NonIdempotent,
 }
 
-// dedupScopes maps the values of a class's key group.
-var dedupScopes = map[string]balance.DedupScope{
+// dedupScopesByName maps the values of the key group of a class.
+var dedupScopesByName = map[string]balance.DedupScope{
 	"":     balance.DedupAll,
 	"all":  balance.DedupAll,
 	"zone": balance.DedupZone,
 	"cell": balance.DedupCell,
 }
 
-// loadReportModes maps the values of report.via.
-var loadReportModes = map[string]balance.LoadReportMode{
+// loadReportModesByName maps the values of report.via.
+var loadReportModesByName = map[string]balance.LoadReportMode{
 	"":          balance.LoadReportsNone,
 	"silent":    balance.LoadReportsNone,
 	"piggyback": balance.LoadReportsPiggybacked,
 	"pull":      balance.LoadReportsPolled,
 }
 
-// loadFieldsByName maps the names in report.fields. The names that later versions add are not in it and map to
-// balance.LoadFieldUnknown, the zero value.
+// loadFieldsByName maps the names in report.fields. A name that is not listed, such as one that a later version adds,
+// maps to the zero value, balance.LoadFieldUnknown.
 var loadFieldsByName = map[string]balance.LoadField{
 	"rif":       balance.LoadFieldInFlight,
 	"q":         balance.LoadFieldQueue,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings parses and validates the settings document, and converts it to the configuration of package balance.
-// The document is sent by the simulator and is part of the configuration file.
+// The document comes from the simulator, or from the configuration file, which contains it.
 //
 // The package has no mutable state, so Parse may be called from any goroutine.
 package settings
@@ -12,15 +12,15 @@
 	"cindersaddle/balance"
 )
 
-// Defaults of keys that the document does not have.
+// Default values of missing keys.
 const (
-	defaultOverQuotaWeight = 1.0
-	defaultMaxAttempts     = 1.0
-	defaultInitialFraction = 1.0 // of the endpoint's capacity: no slow start
-	defaultPriorityWeight  = 1.0
+	defaultOverQuotaWeight          = 1.0 // fraction of the request's priority
+	defaultMaxAttempts              = 1.0 // attempts per request: no retry
+	defaultSlowStartInitialFraction = 1.0 // fraction of the endpoint's capacity: no slow start
+	defaultPriorityWeight           = 1.0
 )
 
-// minInstanceCount is the least number of instances: this one. It also replaces an absent or lower peers_total.
+// minInstanceCount is the smallest number of instances: only this one. It replaces a missing or smaller peers_total.
 const minInstanceCount = 1
 
 // Parse validates a settings document and converts it to a configuration with the given random seed. Its errors begin
@@ -46,11 +46,11 @@
 
 		MinBatchInterval:    d.MinBatchInterval,
 		OverQuotaWeight:     valueOrDefault(d.OverQuotaWeight, defaultOverQuotaWeight),
-		ClientRetriesMarked: d.Clients.MarkRetries,
+		ClientRetriesMarked: d.Clients.RetriesMarked,
 		KeyCaching:          d.Application.KeyCaching,
 
-		LoadReports:      loadReportModes[d.Report.Mode],
-		LoadReportFields: d.reportFields(),
+		LoadReports:      loadReportModesByName[d.LoadReports.Mode],
+		LoadReportFields: d.loadReportFields(),
 		PolledDiscovery:  d.Discovery == discoverySubscribe,
 
 		Classes: d.classes(),
@@ -62,10 +62,10 @@
 	return cfg
 }
 
-// reportFields converts the names of the values in a load report, in order.
-func (d *document) reportFields() []balance.LoadField {
+// loadReportFields converts the names in report.fields, in order.
+func (d *document) loadReportFields() []balance.LoadField {
 	var fields []balance.LoadField
-	for _, name := range d.Report.Fields {
+	for _, name := range d.LoadReports.Fields {
 		fields = append(fields, loadFieldsByName[name])
 	}
 	return fields
@@ -80,7 +80,7 @@
 	return classes
 }
 
-// tenants converts the quotas of the tenants, in order.
+// tenants converts the tenants, in order.
 func (d *document) tenants() []balance.Tenant {
 	var tenants []balance.Tenant
 	for _, tenant := range d.Tenants {
@@ -89,15 +89,16 @@
 	return tenants
 }
 
-// toClass converts a class. Without a dedup window, endpoints are assumed to remember an idempotency key forever.
+// toClass converts a class. If the document has no dedup window, endpoints are assumed to remember an idempotency key
+// forever. If it has no latency objective, the objective is the deadline.
 func (c *classDocument) toClass() balance.Class {
 	objective := c.LatencyObjective
 	if objective == 0 {
 		objective = c.Deadline
 	}
 	return balance.Class{
-		Idempotency:      idempotencies[c.Effect],
-		DedupScope:       dedupScopes[c.DedupScope],
+		Idempotency:      idempotenciesByName[c.Idempotency],
+		DedupScope:       dedupScopesByName[c.DedupScope],
 		DedupWindow:      valueOrDefault(c.DedupWindow, balance.Milliseconds(math.Inf(1))),
 		LatencyObjective: objective,
 		Deadline:         c.Deadline,
@@ -107,7 +108,7 @@
 	}
 }
 
-// applyTo sets the limits of the sidecar and the operations that it may use.
+// applyTo sets the fields of cfg for the limits of the sidecar and for the operations that it may use.
 func (l *limitsDocument) applyTo(cfg *balance.Config) {
 	cfg.Cancellation = l.Cancellation
 	cfg.ConnectTimeout = l.ConnectTimeout
@@ -118,17 +119,17 @@
 	cfg.RetryAfter = l.RetryAfter
 }
 
-// applyTo sets time limits and the rules of slow start.
+// applyTo sets the fields of cfg for the time limits and for slow start.
 func (r *rulesDocument) applyTo(cfg *balance.Config) {
 	cfg.MaxPollInterval = r.MaxPollInterval
-	cfg.SlowStartInitialFraction = valueOrDefault(r.SlowStartInitialFraction, defaultInitialFraction)
+	cfg.SlowStartInitialFraction = valueOrDefault(r.SlowStartInitialFraction, defaultSlowStartInitialFraction)
 	cfg.SlowStartDuration = r.SlowStartDuration
 	cfg.DrainGrace = r.DrainGrace
 	cfg.SlowStartOverloadWindow = r.SlowStartOverloadWindow
 	cfg.SlowStartOverloadFactor = r.SlowStartOverloadFactor
 }
 
-// toCosts converts the costs of operations, without those that no decision needs.
+// toCosts converts the costs that decisions depend on.
 func (c *costsDocument) toCosts() balance.Costs {
 	return balance.Costs{
 		CrossZone:     c.CrossZone,
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,8 +14,8 @@
 	errNotFraction           = errors.New("want a number from 0 to 1")
 	errInvalidMaxAttempts    = errors.New("want a whole number from 1 to 2147483647")
 	errUnknownDiscovery      = errors.New(`want "automatic" or "subscribe"`)
-	errUnknownReportMode     = errors.New(`want "silent", "piggyback" or "pull"`)
-	errUnknownEffect         = errors.New(`want "read_like", "idempotency_key" or "non_idempotent"`)
+	errUnknownLoadReportMode = errors.New(`want "silent", "piggyback" or "pull"`)
+	errUnknownIdempotency    = errors.New(`want "read_like", "idempotency_key" or "non_idempotent"`)
 	errUnknownDedupScope     = errors.New(`want "all", "zone" or "cell"`)
 	errDedupWindowRequired   = errors.New("missing, want a number of 0 or more because effect is idempotency_key")
 	errOverloadRulesRequired = errors.New("want rules.fall_multiple and rules.fall_ms above 0 as well")
@@ -42,14 +42,14 @@
 // Unwrap returns the reason.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// numericKey is a key of the document and its value or default.
+// numericKey is a key with a numeric value.
 type numericKey struct {
 	key   string
-	value float64
+	value float64 // the value in the document, or the default of a missing key
 }
 
-// validate rejects values that make no sense in any deployment. Replacing such a value with a default without notice
-// could break a rule of the deployment.
+// validate returns an error for a value that makes no sense in any deployment. Silently replacing such a value with a
+// default could break a rule of the deployment.
 func (d *document) validate() error {
 	validators := []func() error{
 		d.validateEnums,
@@ -66,16 +66,16 @@
 	return nil
 }
 
-// validateEnums checks the enumerated values outside the classes. The key weights accepts any value, because the
-// endpoint list contains each endpoint's rating.
+// validateEnums checks the enumerated values outside the classes. Any value of the key weights is valid, because the
+// ratings of endpoints come from the endpoint list.
 func (d *document) validateEnums() error {
 	switch d.Discovery {
 	case "", discoveryAutomatic, discoverySubscribe:
 	default:
 		return &KeyError{Key: "discovery", Value: d.Discovery, Err: errUnknownDiscovery}
 	}
-	if _, known := loadReportModes[d.Report.Mode]; !known {
-		return &KeyError{Key: "report.via", Value: d.Report.Mode, Err: errUnknownReportMode}
+	if _, known := loadReportModesByName[d.LoadReports.Mode]; !known {
+		return &KeyError{Key: "report.via", Value: d.LoadReports.Mode, Err: errUnknownLoadReportMode}
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 	})
 }
 
-// validateNotNegative returns an error for the first negative number. The error has prefix before the key.
+// validateNotNegative returns an error for the first negative number. Its KeyError.Key is prefix followed by the key.
 func validateNotNegative(prefix string, numbers []numericKey) error {
 	for _, n := range numbers {
 		if n.value < 0 {
@@ -114,12 +114,12 @@
 // endpoint in slow start fails.
 func (d *document) validateSlowStart() error {
 	rules := &d.Rules
-	fraction := valueOrDefault(rules.SlowStartInitialFraction, defaultInitialFraction)
+	fraction := valueOrDefault(rules.SlowStartInitialFraction, defaultSlowStartInitialFraction)
 	if fraction < 0 || fraction > 1 {
 		return &KeyError{Key: "rules.cold_from", Value: fraction, Err: errNotFraction}
 	}
-	overloadUnset := rules.SlowStartOverloadFactor == 0 || rules.SlowStartOverloadWindow == 0
-	if rules.SlowStartDuration > 0 && overloadUnset {
+	overloadRulesUnset := rules.SlowStartOverloadFactor == 0 || rules.SlowStartOverloadWindow == 0
+	if rules.SlowStartDuration > 0 && overloadRulesUnset {
 		return &KeyError{Key: "rules.cold_ms", Value: rules.SlowStartDuration, Err: errOverloadRulesRequired}
 	}
 	return nil
@@ -147,12 +147,12 @@
 	return nil
 }
 
-// validate checks a class. Errors have prefix before the key.
+// validate checks a class. In its errors, KeyError.Key is prefix followed by the key.
 func (c *classDocument) validate(prefix string) error {
-	if _, known := idempotencies[c.Effect]; !known {
-		return &KeyError{Key: prefix + "effect", Value: c.Effect, Err: errUnknownEffect}
+	if _, known := idempotenciesByName[c.Idempotency]; !known {
+		return &KeyError{Key: prefix + "effect", Value: c.Idempotency, Err: errUnknownIdempotency}
 	}
-	if _, known := dedupScopes[c.DedupScope]; !known {
+	if _, known := dedupScopesByName[c.DedupScope]; !known {
 		return &KeyError{Key: prefix + "group", Value: c.DedupScope, Err: errUnknownDedupScope}
 	}
 	if c.Deadline <= 0 {
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Effect == effectIdempotencyKey && c.DedupWindow == nil {
+	if c.Idempotency == idempotencyKeyName && c.DedupWindow == nil {
 		return &KeyError{Key: prefix + "window_ms", Err: errDedupWindowRequired}
 	}
 	return nil
