--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 const (
 	// DefaultConnReuseDelay is the default of Config.ConnReuseDelay. An endpoint may send surplus bytes after a
 	// response, in a separate packet. If they arrived after the next request was written, they would be taken for
-	// the response to that request.
+	// the response to that request. The delay gives them time to arrive before the connection is used again.
 	DefaultConnReuseDelay = 3 * time.Millisecond
 	// DefaultAcceptDuringShutdown is the default of Config.AcceptDuringShutdown.
 	DefaultAcceptDuringShutdown = 500 * time.Millisecond
@@ -24,8 +24,8 @@
 // Config is the checked configuration of one sidecar.
 type Config struct {
 	Name           string // name of this instance
-	Listen         string // host and port to listen on for clients
-	AdminListen    string // host and port of the admin address (readiness and metrics); empty: none
+	Listen         string // IP address and port to listen on for clients
+	AdminListen    string // IP address and port of the admin address (readiness and metrics); empty: none
 	Discovery      string // host and port of the discovery service
 	Limits         Limits
 	KnownEndpoints membership.EndpointList // as listed in the file, which may be out of date
@@ -50,9 +50,9 @@
 
 // UsePredecessor applies the discovery address and the endpoint list of the predecessor in an upgrade.
 //
-// The predecessor may have switched to the discovery address in the file by a reload, which ignores the environment.
-// If it uses that address, the address also replaces an override from the environment. The predecessor's endpoint list
-// replaces the one in the file, unless it is empty.
+// A reload ignores the environment, so the predecessor may have switched from an override in the environment to the
+// discovery address in the file. If it uses the address in the file, so does this process. The predecessor's endpoint
+// list replaces the one in the file, unless it is empty.
 //
 // UsePredecessor must be called before any other goroutine uses the configuration.
 func (c *Config) UsePredecessor(discovery string, known membership.EndpointList) {
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -5,12 +5,12 @@
 
 // Environment variables that the configuration depends on.
 const (
-	envConfigPath = "NODE_CONFIG"    // the path of the configuration file
-	envName       = "NODE_NAME"      // overrides the key name
-	envListen     = "NODE_LISTEN"    // overrides the key listen
-	envAdmin      = "NODE_MGMT"      // overrides the key mgmt
-	envDiscovery  = "NODE_DISCOVERY" // overrides the key discovery
-	envScratchDir = "TMPDIR"         // the value of Config.ScratchDir
+	envConfigPath  = "NODE_CONFIG"    // the path of the configuration file
+	envName        = "NODE_NAME"      // overrides the key name
+	envListen      = "NODE_LISTEN"    // overrides the key listen
+	envAdminListen = "NODE_MGMT"      // overrides the key mgmt
+	envDiscovery   = "NODE_DISCOVERY" // overrides the key discovery
+	envScratchDir  = "TMPDIR"         // the value of Config.ScratchDir
 )
 
 // configPathEnvironment returns an environment in which only the path of the configuration file is set.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -11,15 +11,15 @@
 	"cindersaddle/internal/settings"
 )
 
-// Keys of the configuration file that appear in errors or are looked up in the parsed document.
+// Keys of the configuration file that errors name, or that are looked up in the parsed document.
 const (
-	keyListen    = "listen"
-	keyAdmin     = "mgmt"
-	keyDiscovery = "discovery"
-	keyLimits    = "limits"
-	keySockets   = "limits.sockets"
-	keyKnown     = "known"
-	keySettings  = "settings"
+	keyListen         = "listen"
+	keyAdminListen    = "mgmt"
+	keyDiscovery      = "discovery"
+	keyLimits         = "limits"
+	keySockets        = "limits.sockets"
+	keyKnownEndpoints = "known"
+	keySettings       = "settings"
 )
 
 // errMissing is the reason in a KeyError for a required key that is not in the file.
@@ -27,14 +27,14 @@
 
 // fileDocument is the structure of the configuration file. Keys not listed here are ignored.
 type fileDocument struct {
-	Name      string                  `json:"name"`
-	Listen    string                  `json:"listen"`
-	Admin     string                  `json:"mgmt"`
-	Discovery string                  `json:"discovery"`
-	Seed      string                  `json:"seed"`
-	Limits    Limits                  `json:"limits"`
-	Known     membership.EndpointList `json:"known"`
-	Settings  json.RawMessage         `json:"settings"`
+	Name           string                  `json:"name"`
+	Listen         string                  `json:"listen"`
+	AdminListen    string                  `json:"mgmt"`
+	Discovery      string                  `json:"discovery"`
+	Seed           string                  `json:"seed"`
+	Limits         Limits                  `json:"limits"`
+	KnownEndpoints membership.EndpointList `json:"known"`
+	Settings       json.RawMessage         `json:"settings"`
 }
 
 // Parse parses and checks the text of a configuration file, whose keys the NODE_ variables override. An error about a
@@ -58,15 +58,16 @@
 	return cfg, nil
 }
 
-// newConfig returns the configuration from a file and an environment. It does not check it or read the settings.
+// newConfig returns the configuration from a file and an environment. It neither checks the values nor reads the
+// settings.
 func newConfig(file *fileDocument, getenv Getenv) *Config {
 	cfg := &Config{
 		Name:                 cmp.Or(getenv(envName), file.Name),
 		Listen:               cmp.Or(getenv(envListen), file.Listen),
-		AdminListen:          cmp.Or(getenv(envAdmin), file.Admin),
+		AdminListen:          cmp.Or(getenv(envAdminListen), file.AdminListen),
 		Discovery:            cmp.Or(getenv(envDiscovery), file.Discovery),
 		Limits:               file.Limits,
-		KnownEndpoints:       file.Known,
+		KnownEndpoints:       file.KnownEndpoints,
 		ScratchDir:           getenv(envScratchDir),
 		ConnReuseDelay:       DefaultConnReuseDelay,
 		AcceptDuringShutdown: DefaultAcceptDuringShutdown,
@@ -76,14 +77,14 @@
 	return cfg
 }
 
-// parseDocument returns the parsed file, for CheckReload.
+// parseDocument parses the file for CheckReload.
 func parseDocument(text []byte) (map[string]any, error) {
 	var document map[string]any
 	if err := json.Unmarshal(text, &document); err != nil {
 		return nil, err
 	}
-	if document[keyKnown] != nil {
-		document[keyKnown] = true // the endpoints change all the time, so only the presence of the key is compared
+	if document[keyKnownEndpoints] != nil {
+		document[keyKnownEndpoints] = true // the endpoints change all the time, so only the presence of the key is compared
 	}
 	return document, nil
 }
@@ -98,7 +99,7 @@
 	if c.Balance, err = settings.Parse(parseSeed(file.Seed), file.Settings); err != nil {
 		return err
 	}
-	return c.addNames(file.Settings)
+	return c.applyNames(file.Settings)
 }
 
 // parseSeed parses the seed as a hexadecimal number of up to 64 bits. Any other text is hashed.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -9,8 +9,8 @@
 const (
 	// MinSockets is the smallest valid value of Limits.Sockets.
 	MinSockets = 32
-	// ReservedSockets is the number of descriptors reserved for the listeners, discovery, the poller and the standard
-	// streams.
+	// ReservedSockets is the number of descriptors, out of a process's share of Limits.Sockets, that are reserved for
+	// the listeners, discovery, the poller and the standard streams.
 	ReservedSockets = 24
 
 	// defaultSockets is the default of Limits.Sockets.
@@ -29,7 +29,7 @@
 	Sockets  int     `json:"sockets"`   // open sockets; 0 or missing in the file: defaultSockets
 }
 
-// Apply sets the limits of the Go runtime for a process that is the only one of its sidecar.
+// Apply sets the limits of the Go runtime for the only process of a sidecar.
 func (l Limits) Apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
--- a/internal/config/missing.go
+++ b/internal/config/missing.go
@@ -6,11 +6,12 @@
 	"strconv"
 )
 
-// missingList ends the path of a key that holds a list in the file in use, but another type of value in the next one.
+// missingList is the last element of the path that is reported if the file in use has a list where the next file has
+// another type of value.
 const missingList = "[]"
 
 // CheckReload returns a *MissingKeyError if the configuration file in use has a key that the next one lacks. Such a
-// file is rejected because the default value of the key could break a rule.
+// file is rejected because the default value of the key could break a rule of the deployment.
 func (c *Config) CheckReload(next *Config) error {
 	if key := missingKey(c.document, next.document); key != "" {
 		return &MissingKeyError{Key: key}
@@ -46,8 +47,8 @@
 	return ""
 }
 
-// missingKeyInList is missingKey for a list and the value that replaces it. The entries need not correspond to each
-// other: each new entry must have the keys that all entries of the current list have.
+// missingKeyInList is missingKey for a list and the value that replaces it. Entries are not compared by their position:
+// each new entry must have the keys that all entries of the current list have.
 func missingKeyInList(current []any, next any) string {
 	nextList, isList := next.([]any)
 	if !isList {
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Reasons of a KeyError for the names in the settings document.
+// Reasons in a KeyError for the names in the settings document.
 var (
 	errEmptyName     = errors.New("every class and tenant must have a name")
 	errDuplicateName = errors.New("the names of classes and the names of tenants must be unique")
@@ -19,7 +19,7 @@
 	Tenants      []namedEntry `json:"tenants"`
 	Zones        []string     `json:"zones"`
 	MachineTypes []string     `json:"kinds"`
-	Report       struct {
+	LoadReports  struct {
 		Fields []string `json:"fields"`
 	} `json:"report"`
 }
@@ -29,9 +29,9 @@
 	Name string `json:"name"`
 }
 
-// addNames sets the names from the settings document, which clients, endpoints and discovery use, and the indexes of
-// these names in package balance.
-func (c *Config) addNames(settings []byte) error {
+// applyNames sets the fields that hold the names from the settings document and their indexes in package balance. The
+// names are used by clients, endpoints and discovery.
+func (c *Config) applyNames(settings []byte) error {
 	var document namesDocument
 	if err := json.Unmarshal(settings, &document); err != nil {
 		return &KeyError{Key: keySettings, Err: err}
@@ -42,7 +42,7 @@
 	c.TenantIndex = IndexByName(c.TenantNames)
 	c.ZoneIndex = IndexByName(document.Zones)
 	c.MachineTypeIndex = IndexByName(document.MachineTypes)
-	c.LoadReportFields = document.Report.Fields
+	c.LoadReportFields = document.LoadReports.Fields
 	return c.validateNames()
 }
 
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -18,8 +18,8 @@
 )
 
 // readFile reads a file. It retries after transient errors that are not caused by the file, such as a lack of
-// descriptors or memory, or a failed disk read: a configuration rejected because of such an error would not be sent
-// again.
+// descriptors or memory, or a failed disk read. Without a retry, such an error would reject a valid configuration,
+// which is not sent a second time.
 func readFile(path string) (text []byte, err error) {
 	for range maxReadAttempts {
 		text, err = readFileOnce(path)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -12,7 +12,7 @@
 		return err
 	}
 	if c.AdminListen != "" {
-		if err := validateAddress(keyAdmin, c.AdminListen); err != nil {
+		if err := validateAddress(keyAdminListen, c.AdminListen); err != nil {
 			return err
 		}
 	}
@@ -23,7 +23,7 @@
 		return err
 	}
 	if err := c.KnownEndpoints.Validate(); err != nil {
-		return &KeyError{Key: keyKnown, Err: err}
+		return &KeyError{Key: keyKnownEndpoints, Err: err}
 	}
 	return nil
 }
