--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -9,20 +9,20 @@
 	"cindersaddle/internal/wire"
 )
 
-// notStartedError reports an event for an instance that has not started or has stopped.
-type notStartedError struct{ Instance uint16 }
+// notRunningError reports an event for an instance that has not started or has stopped.
+type notRunningError struct{ Instance uint16 }
 
 // Error implements error. It names the instance.
-func (e *notStartedError) Error() string {
+func (e *notRunningError) Error() string {
 	return fmt.Sprintf("event for instance %d, which has not started", e.Instance)
 }
 
 // host runs the instances of this process. Instances share no state.
 type host struct {
-	// balancers holds the balancer of each instance. It is nil if the settings of the instance were invalid; the
-	// events of such an instance are ignored.
+	// balancers holds the balancer of each running instance. A balancer is nil if the settings of its instance were
+	// invalid; the events of such an instance are ignored.
 	balancers map[uint16]*balance.Balancer
-	reply     wire.Reply // response to the current frame
+	reply     wire.Reply // reply to the current frame
 }
 
 // handle processes a record. A panic is reported as a fault of the record's instance, and other instances continue to
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// startInstance starts an instance. It replaces an earlier instance with the same number. Invalid settings are reported
-// as a fault.
+// startInstance starts an instance, which replaces an earlier instance with the same number. Invalid settings are
+// reported as a fault.
 func (h *host) startInstance(clock balance.Milliseconds, instance uint16, start wire.InstanceStart) {
 	cfg, err := settings.Parse(start.Seed, start.Settings)
 	if err != nil {
@@ -58,12 +58,12 @@
 	h.reply.AddActions(instance, balancer.Start(clock))
 }
 
-// deliverEvent passes an event to an instance. An event that the balancer rejects is reported as a fault. An error is
-// returned only if the instance has not started; it ends the adapter.
+// deliverEvent passes an event to an instance. An event that the balancer rejects is reported as a fault. The only
+// error is a *notRunningError, which ends the adapter.
 func (h *host) deliverEvent(clock balance.Milliseconds, instance uint16, event balance.Event) error {
-	balancer, started := h.balancers[instance]
-	if !started {
-		return &notStartedError{Instance: instance}
+	balancer, running := h.balancers[instance]
+	if !running {
+		return &notRunningError{Instance: instance}
 	}
 	if balancer == nil {
 		return nil
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,8 +1,8 @@
 // Command adapter runs instances of package balance for the simulator. It reads frames from standard input and writes a
 // reply to each frame to standard output.
 //
-// All work is done in one goroutine. The command exits with status 1 if a frame cannot be read or decoded, if a record
-// is for an instance that has not started, or if a reply cannot be written. A fault of an instance is reported in the
+// All work is done in one goroutine. The command exits with status 1 if a frame cannot be read or decoded, if an event
+// is for an instance that is not running, or if a reply cannot be written. A fault of an instance is reported in the
 // reply and does not end the command.
 package main
 
--- a/cmd/cindersaddle/main.go
+++ b/cmd/cindersaddle/main.go
@@ -39,8 +39,9 @@
 	return sidecar.Run(ctx, cfg, reloads, log)
 }
 
-// notifyReloads returns a channel that receives SIGHUP. It must be called before everything else, because an unhandled
-// SIGHUP ends the process. The channel buffers one signal: several signals in quick succession need only one reload.
+// notifyReloads returns a channel that receives SIGHUP. It must be called before everything else, because a SIGHUP that
+// arrives earlier ends the process. The channel buffers one signal: several signals in quick succession need only one
+// reload.
 func notifyReloads() <-chan os.Signal {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -37,15 +37,15 @@
 	flagWrite
 )
 
-// updateKindFailed is the code of the only kind of endpoint update that refers to no server table.
-const updateKindFailed = 2
+// kindCodeFailed is the code of balance.UpdateFailed, the only kind of endpoint update without a server table.
+const kindCodeFailed = 2
 
 // updateKindsByCode maps the codes of the kinds of endpoint updates.
 var updateKindsByCode = map[uint8]balance.UpdateKind{
-	0:                balance.UpdateSnapshot,
-	1:                balance.UpdateCachedSnapshot,
-	updateKindFailed: balance.UpdateFailed,
-	3:                balance.UpdateDelta,
+	0:              balance.UpdateSnapshot,
+	1:              balance.UpdateCachedSnapshot,
+	kindCodeFailed: balance.UpdateFailed,
+	3:              balance.UpdateDelta,
 }
 
 // endpointStatesByCode maps the codes of the states in a server table.
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -10,8 +10,8 @@
 // portBits is the number of low bits of an endpoint ID that hold the port; the bits above them hold the IPv4 address.
 const portBits = 16
 
-// cursor reads the values of a frame in sequence. A read past the end of the frame sets truncated and returns
-// zero, and so does every read after it.
+// cursor reads the fields of a frame in sequence. A read past the end of the frame sets truncated, and this read and
+// all later ones return zero.
 type cursor struct {
 	data      []byte
 	pos       int  // index in data of the next byte
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -7,5 +7,6 @@
 // instance. All numbers are big-endian and not padded.
 //
 // A Reader retains the server tables (numbered lists of endpoints), because later frames refer to them. A Reply holds
-// the bytes of one frame. Neither starts a goroutine, and each must be used by one goroutine at a time.
+// the bytes of one frame to the simulator. Neither starts a goroutine, and each must be used by one goroutine at a
+// time.
 package wire
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -36,7 +36,7 @@
 	if !known {
 		return nil, &UnknownValueError{Field: "kind of endpoint update", Value: uint16(kindCode)}
 	}
-	if kindCode == updateKindFailed {
+	if kindCode == kindCodeFailed {
 		return balance.EndpointUpdate{Kind: kind}, nil
 	}
 	endpoints, err := r.serverTables.get(number)
--- a/internal/wire/framebuffer.go
+++ b/internal/wire/framebuffer.go
@@ -10,7 +10,7 @@
 // maxTextSize is the largest size of a text in a frame, in bytes. Longer texts are truncated.
 const maxTextSize = math.MaxUint16
 
-// frameBuffer is a frame to the simulator, to which fields are appended.
+// frameBuffer holds a frame to the simulator. The put methods append fields.
 type frameBuffer []byte
 
 // putActionHeader appends the header of an action: its code and its instance.
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -44,7 +44,7 @@
 	return record, nil
 }
 
-// decodeContent decodes the fields of a record after its code and instance.
+// decodeContent decodes the fields that follow the code and the instance of a record.
 func (r *Reader) decodeContent(code uint16, fields *cursor, record *Record) error {
 	switch code {
 	case codeServerTable:
--- a/internal/wire/servertables.go
+++ b/internal/wire/servertables.go
@@ -11,11 +11,11 @@
 	maxServerTables      = 16 // the numbers of server tables are below this
 )
 
-// serverTables holds the server tables by number. A server table is a list of endpoints, to which endpoint updates in
-// later records refer. It is nil until the simulator sends it.
+// serverTables holds the server tables by number. A server table is a list of endpoints; endpoint updates refer to it
+// by its number. A table is nil until the simulator has sent it.
 type serverTables [maxServerTables][]balance.Endpoint
 
-// get returns the table with a number. Its error is a *MissingTableError.
+// get returns the table with the given number, or a *MissingTableError if there is none.
 func (t *serverTables) get(number uint16) ([]balance.Endpoint, error) {
 	if number >= maxServerTables || t[number] == nil {
 		return nil, &MissingTableError{Number: number}
