--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -67,7 +67,8 @@
 	return err
 }
 
-// nextChunk reads everything ahead of the data of the next chunk. It returns io.EOF at the end of the body.
+// nextChunk reads up to the data of the next chunk: the line end after the previous chunk, and the size. At the end of
+// the body it also reads the trailers and returns io.EOF.
 func (c *ChunkedReader) nextChunk() error {
 	if c.inChunk {
 		if err := c.readChunkEnd(); err != nil {
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// skipTrailers discards the trailers and returns io.EOF after them. No request asks for trailers with a TE header.
+// skipTrailers discards the trailers and returns io.EOF after them. Trailers need not be forwarded, because no request
+// asks for them with a TE header.
 func (c *ChunkedReader) skipTrailers() error {
 	for {
 		line, err := c.readLine()
@@ -125,8 +127,9 @@
 	}
 }
 
-// readLine reads a complete line and returns it without its line end. With an error it consumes nothing: an incomplete
-// line stays in the buffer. A line may be as long as the buffer. The returned slice is valid until the next read.
+// readLine reads a complete line and returns it without its line end. The slice is valid until the next read. If
+// readLine returns an error, it has consumed nothing: an incomplete line stays in the buffer. A line must fit into the
+// buffer.
 func (c *ChunkedReader) readLine() ([]byte, error) {
 	for {
 		buffered, _ := c.Source.Peek(c.Source.Buffered())
--- a/internal/http1/limitedreader.go
+++ b/internal/http1/limitedreader.go
@@ -15,7 +15,7 @@
 	PartBody ResponsePart = "body"
 )
 
-// noLimit as the limit of a limitedReader allows any number of bytes.
+// noLimit is the limit of a limitedReader that never returns a *SizeError.
 const noLimit = math.MaxInt
 
 // SizeError reports that a part of a response exceeds its limit.
--- a/internal/http1/requestscanner.go
+++ b/internal/http1/requestscanner.go
@@ -34,8 +34,8 @@
 // and withholds the end of its head, so that net/http responds with 400 and closes the connection.
 //
 // The zero value is ready for use. Scan is called for each read of the connection, by one goroutine at a time. Other
-// goroutines may call LastByteAt and Partial and read Started at any time, but must synchronize with Scan to read the
-// other fields.
+// goroutines may call LastByteAt and Partial and read RequestsStarted at any time, but must synchronize with Scan to
+// read the other fields.
 type RequestScanner struct {
 	linePrefix          []byte // the first bytes of the current line of a head, at most maxLinePrefix
 	inHead              bool   // a request line or header line is being read
@@ -50,10 +50,12 @@
 	// Err is the framing error that ended the scan, or nil.
 	Err error
 
-	// Started counts the requests of which at least one byte has arrived.
+	// RequestsStarted counts the requests of which at least one byte has arrived.
 	Started atomic.Int64
 
-	completed  atomic.Int64              // requests that have arrived completely; a chunked request counts after its head
+	// requestsCompleted counts the requests that have arrived completely, and chunked requests whose head has arrived.
+	requestsCompleted atomic.Int64
+
 	startedAt  atomic.Pointer[time.Time] // when the last request began, on the monotonic clock; nil before the first
 	lastByteAt atomic.Pointer[time.Time] // when the last byte arrived, on the monotonic clock; nil before the first
 }
@@ -69,14 +71,14 @@
 	return time.Time{}, false
 }
 
-// Partial reports whether the last request has only arrived in part, and when it began.
-func (s *RequestScanner) Partial() (began time.Time, partial bool) {
-	began, _ = loadTime(&s.startedAt)
-	return began, s.Started.Load() > s.completed.Load()
+// Partial reports whether the last request has arrived only in part, and when its first byte arrived.
+func (s *RequestScanner) Partial() (startedAt time.Time, partial bool) {
+	startedAt, _ = loadTime(&s.startedAt)
+	return startedAt, s.Started.Load() > s.requestsCompleted.Load()
 }
 
 // Scan processes the bytes of one read, which arrived at the time now, and returns how many of them may be passed to
-// net/http. These are all of them unless Scan sets s.Err; it must not be called again after that.
+// net/http: all of them, unless Scan sets s.Err. If it does, it must not be called again.
 func (s *RequestScanner) Scan(data []byte, now time.Time) int {
 	if len(data) > 0 {
 		s.lastByteAt.Store(&now)
@@ -110,7 +112,7 @@
 	n := min(s.bodyRemaining, int64(len(data)))
 	s.bodyRemaining -= n
 	if s.bodyRemaining == 0 {
-		s.completed.Add(1)
+		s.requestsCompleted.Add(1)
 	}
 	return data[n:]
 }
@@ -180,7 +182,7 @@
 		s.bodyRemaining = max(s.contentLength, 0)
 	}
 	if s.bodyRemaining == 0 {
-		s.completed.Add(1)
+		s.requestsCompleted.Add(1)
 	}
 	return nil
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -22,28 +22,29 @@
 // ResponseReader reads the responses on one connection to an endpoint. It is not safe for concurrent use.
 type ResponseReader struct {
 	*bufio.Reader
-	limit *limitedReader // the source of Reader
+	limitedSource *limitedReader // the source of Reader, whose limit is set for each part of a response
 }
 
 // NewResponseReader returns a reader of the responses in source, which must be positioned at the start of a response.
 func NewResponseReader(source io.Reader) ResponseReader {
-	limit := &limitedReader{source: source}
-	return ResponseReader{Reader: bufio.NewReader(limit), limit: limit}
+	limitedSource := &limitedReader{source: source}
+	return ResponseReader{Reader: bufio.NewReader(limitedSource), limitedSource: limitedSource}
 }
 
 // Response is the result of ResponseReader.Next.
 type Response struct {
 	Head      *http.Response
 	Body      []byte // the complete body, or the first part of a body that is streamed
-	Streaming bool   // the body is long, and the rest of it must be read from Head.Body
+	Streaming bool   // the rest of the body must be read from Head.Body
 }
 
-// Next reads the response to a request with the given method. It also reads the body, unless the body is long.
-//
-// A body with a Content-Length is long if the length exceeds MaxBufferedBody; Response.Body is empty then. A body of
-// unknown length is long if more than MaxBufferedBody bytes arrive. As its length cannot be predicted, such a body in a
-// response with status 200 is also long if a part of it, but not all, arrives before the deadline that
-// observer.ShortenDeadline sets. An expired deadline counts only if observer.ShortenedDeadlineExpired returns true.
+// Next reads the response to a request with the given method. It also reads the complete body, unless the body is
+// streamed:
+//   - A body with a Content-Length is streamed if the length exceeds MaxBufferedBody. Response.Body is empty then.
+//   - A body of unknown length is streamed if more than MaxBufferedBody bytes arrive.
+//   - In a response with status 200, a body of unknown length is also streamed if only a part of it arrives before the
+//     deadline that observer.ShortenDeadline sets, because its length cannot be predicted. An expired deadline
+//     counts only if observer.ShortenedDeadlineExpired returns true.
 //
 // Next returns an error if the head is malformed, if the head of a response with status 200 does not define where the
 // body ends, or if the body ends early. It returns a *SizeError if the head is too large or the Content-Length exceeds
@@ -62,46 +63,48 @@
 	if resp.StatusCode == http.StatusOK && !r.bufferHoldsBody(resp) {
 		observer.ResponseStarted()
 	}
-	r.limit.setLimit(PartBody, maxChunkedSizeRatio*MaxBufferedBody)
+	r.limitedSource.setLimit(PartBody, maxChunkedSizeRatio*MaxBufferedBody)
 	if resp.ContentLength > MaxBufferedBody {
 		return Response{Head: resp, Streaming: true}, r.awaitBody()
 	}
-	body, long, err := r.readBody(resp, observer)
-	return Response{Head: resp, Body: body, Streaming: long}, err
+	body, streamed, err := r.readBody(resp, observer)
+	return Response{Head: resp, Body: body, Streaming: streamed}, err
 }
 
-// awaitBody waits for the first byte of a long body, which may never arrive, and removes the limit for the rest.
+// awaitBody waits for the first byte of a streamed body, which may never arrive, and removes the limit for the rest.
 func (r ResponseReader) awaitBody() error {
 	_, err := r.Peek(1)
-	r.limit.setLimit(PartBody, noLimit)
+	r.limitedSource.setLimit(PartBody, noLimit)
 	return err
 }
 
-// readBody reads a body of unknown length or of at most MaxBufferedBody bytes. It reports whether the body is long;
-// if so, it removes the limit for the rest.
-func (r ResponseReader) readBody(resp *http.Response, observer ResponseObserver) (body []byte, long bool, err error) {
+// readBody reads a body of unknown length or of at most MaxBufferedBody bytes. It reports whether the body is
+// streamed; if so, it removes the limit for the rest.
+func (r ResponseReader) readBody(
+	resp *http.Response, observer ResponseObserver,
+) (body []byte, streamed bool, err error) {
 	mayStream := resp.StatusCode == http.StatusOK && resp.ContentLength < 0
 	if mayStream {
 		observer.ShortenDeadline()
 		defer observer.RestoreDeadline()
 	}
 	body, err = io.ReadAll(io.LimitReader(resp.Body, MaxBufferedBody+1))
-	long = len(body) > MaxBufferedBody
+	streamed = len(body) > MaxBufferedBody
 	if mayStream && len(body) > 0 && errors.Is(err, os.ErrDeadlineExceeded) && observer.ShortenedDeadlineExpired() {
-		long = true
+		streamed = true
 		err = nil
 	}
-	if long {
-		r.limit.setLimit(PartBody, noLimit) // the client reads the rest, of any length
+	if streamed {
+		r.limitedSource.setLimit(PartBody, noLimit) // the client reads the rest, of any length
 	}
-	return body, long, err
+	return body, streamed, err
 }
 
 // readHead skips interim responses and reads the head of the final response.
 func (r ResponseReader) readHead(method string) (*http.Response, error) {
-	r.limit.setLimit(PartHead, maxResponseHead)
+	r.limitedSource.setLimit(PartHead, maxResponseHead)
 	for {
-		closes := r.announcesClose()
+		closeAnnounced := r.announcesClose()
 		resp, err := http.ReadResponse(r.Reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
@@ -109,8 +112,8 @@
 		if resp.StatusCode < firstFinalStatus {
 			continue
 		}
-		if bodyEndUnknown(resp) && !closes {
-			return ignoreBody(resp)
+		if bodyEndUnknown(resp) && !closeAnnounced {
+			return ignoreBodyUnlessOK(resp)
 		}
 		if len(resp.TransferEncoding) > 0 { // always "chunked": http.ReadResponse rejects other encodings
 			resp.Body = io.NopCloser(&ChunkedReader{Source: r.Reader})
