--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -33,7 +33,7 @@
 	done      chan struct{} // closed when the goroutine has ended
 }
 
-// New returns a logger that writes to out, and its Writer, which the caller must close.
+// New returns a logger and the Writer through which it writes to out. The caller must close the Writer.
 func New(out io.Writer) (*slog.Logger, *Writer) {
 	w := &Writer{
 		out:     out,
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -15,7 +15,8 @@
 // may be a fifth of a second old, and older while the loop is busy.
 const GaugeUpdatesPerSecond = 5
 
-// maxClasses limits the number of classes with counters, as every new configuration may add classes.
+// maxClasses is the largest number of classes whose counters are kept, unless more are in use. It limits the memory, as
+// every new configuration may add classes.
 const maxClasses = 256
 
 // Metrics holds the metrics of one process. The zero value is ready for use. It is safe for concurrent use.
@@ -27,7 +28,7 @@
 	Endpoints            atomic.Int64 // endpoints in the list
 	UnavailableEndpoints atomic.Int64 // endpoints draining, ejected, in a zone outage, or failing the last health check
 
-	mu      sync.Mutex // guards classes, but not the counters in it, which are atomic
+	mu      sync.Mutex // guards the slice classes; the counters themselves are atomic
 	classes []*ClassCounters
 }
 
@@ -37,8 +38,8 @@
 	completed, rejected, failed atomic.Int64
 }
 
-// Class returns the counters of a class, and creates them if there are none. They are kept when a new configuration no
-// longer has the class: a counter that disappears and comes back at 0 would look like a restart.
+// Class returns the counters of a class, and creates them if there are none. They are kept if a new configuration does
+// not have the class: a counter that disappears and comes back at 0 would look like a restart of the process.
 func (m *Metrics) Class(name string) *ClassCounters {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,7 +53,8 @@
 	return class
 }
 
-// TrimClasses removes the oldest classes that are not in use until at most maxClasses remain, or only classes in use.
+// TrimClasses removes the oldest classes that are not in use, until at most maxClasses classes, or only those in use,
+// remain.
 func (m *Metrics) TrimClasses(inUse []*ClassCounters) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -7,8 +7,8 @@
 	"cindersaddle/internal/fault"
 )
 
-// ReadConn reads from a connection. It repeats the call after transient errors, until the read deadline of the
-// connection. The parameter call identifies the call for fault injection.
+// ReadConn reads from a connection. It retries after transient errors, until the read deadline of the connection
+// expires. The parameter call identifies the system call for fault injection.
 func ReadConn(conn net.Conn, buffer []byte, call fault.Call) (int, error) {
 	for {
 		n, err := readOnce(conn, buffer, call)
@@ -28,8 +28,8 @@
 }
 
 // WriteConn writes all bytes to a connection. It continues after transient errors, until the write deadline of the
-// connection. With an error it also returns how many bytes the kernel has accepted. The parameter call identifies the
-// call for fault injection.
+// connection expires. If it returns an error, written is the number of bytes that the kernel has accepted. The
+// parameter call identifies the system call for fault injection.
 func WriteConn(conn net.Conn, data []byte, call fault.Call) (written int, err error) {
 	for {
 		n, err := writeOnce(conn, data[written:], call)
--- a/internal/socket/deadline.go
+++ b/internal/socket/deadline.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// PastDeadline is a deadline in the past. Setting it on a connection or a listener interrupts all calls that are
-// blocked there in a read, a write or an accept.
+// PastDeadline is a deadline in the past. If it is set on a connection or a listener, calls that are blocked in a read,
+// a write or an accept there return at once.
 var PastDeadline = time.Unix(1, 0)
--- a/internal/socket/descriptor.go
+++ b/internal/socket/descriptor.go
@@ -11,15 +11,15 @@
 // EAGAIN if no bytes can be read from a non-blocking descriptor. At the end of the stream n is 0 and err is nil.
 func Read(fd int, buffer []byte) (n int, err error) {
 	for {
-		n, err = readDescriptor(fd, buffer)
+		n, err = readDescriptorOnce(fd, buffer)
 		if err != syscall.EINTR {
 			return n, err
 		}
 	}
 }
 
-// readDescriptor makes one read call.
-func readDescriptor(fd int, buffer []byte) (int, error) {
+// readDescriptorOnce makes one read call.
+func readDescriptorOnce(fd int, buffer []byte) (int, error) {
 	if err := fault.Injected(fault.Read); err != nil {
 		return 0, err
 	}
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -16,8 +16,8 @@
 	syscall.EADDRNOTAVAIL,
 }
 
-// transientErrors are errors of a read or a write that do not concern the connection: the same call may succeed soon
-// after.
+// transientErrors are errors of a read or a write that do not concern the connection: the same call may succeed if
+// it is repeated.
 var transientErrors = []error{
 	syscall.EINTR,
 	syscall.ENOBUFS,
@@ -39,16 +39,16 @@
 const RetryDelay = time.Millisecond
 
 // Exhausted reports whether err means that the machine or the process has no resources left for another socket.
-func Exhausted(err error) bool { return isAny(err, exhaustionErrors) }
+func Exhausted(err error) bool { return wrapsAny(err, exhaustionErrors) }
 
 // Transient reports whether a read or a write that failed with err may be repeated on the same connection.
-func Transient(err error) bool { return isAny(err, transientErrors) }
+func Transient(err error) bool { return wrapsAny(err, transientErrors) }
 
 // ListenerBroken reports whether err, an error of accept, means that the listener can no longer accept connections.
-func ListenerBroken(err error) bool { return isAny(err, brokenListenerErrors) }
+func ListenerBroken(err error) bool { return wrapsAny(err, brokenListenerErrors) }
 
-// isAny reports whether err wraps one of the candidates.
-func isAny(err error, candidates []error) bool {
+// wrapsAny reports whether err wraps one of the candidates.
+func wrapsAny(err error, candidates []error) bool {
 	for _, candidate := range candidates {
 		if errors.Is(err, candidate) {
 			return true
