--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -4,33 +4,33 @@
 
 // Codes of the records that the simulator sends.
 const (
-	codeServerTable       = 1000
-	codeRequest           = 1010
-	codeTimerFired        = 1020
-	codeStreamStarted     = 1030
-	codeEndpointUpdate    = 1040
-	codePeerMessage       = 1050 // sent by another instance; ignored
-	codeInstanceStopped   = 1060
-	codeInstanceStarted   = 1070
-	codeHealthCheckResult = 1080
-	codeAttemptEnded      = 1090
-	codeClientGone        = 1100
+	recordCodeServerTable       = 1000
+	recordCodeRequest           = 1010
+	recordCodeTimerFired        = 1020
+	recordCodeStreamStarted     = 1030
+	recordCodeEndpointUpdate    = 1040
+	recordCodePeerMessage       = 1050 // a message from another instance; ignored
+	recordCodeInstanceStopped   = 1060
+	recordCodeInstanceStarted   = 1070
+	recordCodeHealthCheckResult = 1080
+	recordCodeAttemptEnded      = 1090
+	recordCodeClientGone        = 1100
 )
 
 // Codes of the actions that are sent to the simulator.
 const (
-	codeSendAttempt    = 1000
-	codeRejectRequest  = 1010
-	codeFailRequest    = 1020
-	codeCancelAttempt  = 1030
-	codeSetTimer       = 1040
-	codeCheckHealth    = 1050
-	codeLog            = 1080
-	codeFault          = 1090
-	codeWatchEndpoints = 1100
+	actionCodeSendAttempt    = 1000
+	actionCodeRejectRequest  = 1010
+	actionCodeFailRequest    = 1020
+	actionCodeCancelAttempt  = 1030
+	actionCodeSetTimer       = 1040
+	actionCodeCheckHealth    = 1050
+	actionCodeLog            = 1080
+	actionCodeFault          = 1090
+	actionCodeWatchEndpoints = 1100
 )
 
-// Flags of a request, as bits.
+// Bits of the flags of a request.
 const (
 	flagHasWorkHint = 1 << iota
 	flagClientRetry
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -5,19 +5,19 @@
 // decodeEvent decodes the fields of a record that contains an event of package balance.
 func (r *Reader) decodeEvent(code uint16, fields *cursor) (balance.Event, error) {
 	switch code {
-	case codeRequest:
+	case recordCodeRequest:
 		return decodeRequest(fields), nil
-	case codeTimerFired:
+	case recordCodeTimerFired:
 		return balance.TimerFired{Token: fields.readUint64()}, nil
-	case codeStreamStarted:
+	case recordCodeStreamStarted:
 		return decodeStreamStarted(fields), nil
-	case codeEndpointUpdate:
+	case recordCodeEndpointUpdate:
 		return r.decodeEndpointUpdate(fields)
-	case codeHealthCheckResult:
+	case recordCodeHealthCheckResult:
 		return r.decodeHealthCheckResult(fields)
-	case codeAttemptEnded:
+	case recordCodeAttemptEnded:
 		return r.decodeOutcome(fields)
-	case codeClientGone:
+	case recordCodeClientGone:
 		return balance.ClientGone{Request: fields.readRequestID()}, nil
 	default:
 		return nil, errUnknownCode
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -47,16 +47,16 @@
 // decodeContent decodes the fields that follow the code and the instance of a record.
 func (r *Reader) decodeContent(code uint16, fields *cursor, record *Record) error {
 	switch code {
-	case codeServerTable:
+	case recordCodeServerTable:
 		return r.serverTables.decode(fields, record.Instance) // the instance is the number of the table
-	case codePeerMessage:
+	case recordCodePeerMessage:
 		skipPeerMessage(fields)
 		return nil
-	case codeInstanceStarted:
+	case recordCodeInstanceStarted:
 		record.Kind = InstanceStarted
 		record.Start = decodeInstanceStart(fields)
 		return nil
-	case codeInstanceStopped:
+	case recordCodeInstanceStopped:
 		record.Kind = InstanceStopped
 		return nil
 	default:
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -10,7 +10,7 @@
 const (
 	replyHeaderSize = 4 // bytes
 
-	watchEnabled = 1 // value of the field of codeWatchEndpoints
+	watchEnabled = 1 // value of the field of actionCodeWatchEndpoints
 )
 
 // Reply collects the actions that respond to one frame. Reset must be called before each frame.
@@ -37,7 +37,7 @@
 
 // AddFault appends a report that an instance could not start, panicked, or rejected an event.
 func (r *Reply) AddFault(instance uint16, text string) {
-	r.buffer.putActionHeader(codeFault, instance)
+	r.buffer.putActionHeader(actionCodeFault, instance)
 	r.buffer.putText(text)
 }
 
@@ -64,46 +64,46 @@
 }
 
 func (r *Reply) addSendAttempt(instance uint16, action *balance.Action) {
-	r.buffer.putActionHeader(codeSendAttempt, instance)
+	r.buffer.putActionHeader(actionCodeSendAttempt, instance)
 	r.buffer.putUint64(uint64(action.Request))
 	r.buffer.putMilliseconds(action.Deadline)
 	r.buffer.putEndpointID(action.Endpoint)
 }
 
 func (r *Reply) addRejectRequest(instance uint16, action *balance.Action) {
-	r.buffer.putActionHeader(codeRejectRequest, instance)
+	r.buffer.putActionHeader(actionCodeRejectRequest, instance)
 	r.buffer.putUint64(uint64(action.Request))
 	r.buffer.putMilliseconds(action.RetryAfter)
 }
 
 func (r *Reply) addFailRequest(instance uint16, action *balance.Action) {
-	r.buffer.putActionHeader(codeFailRequest, instance)
+	r.buffer.putActionHeader(actionCodeFailRequest, instance)
 	r.buffer.putUint64(uint64(action.Request))
 }
 
 func (r *Reply) addCancelAttempt(instance uint16, action *balance.Action) {
-	r.buffer.putActionHeader(codeCancelAttempt, instance)
+	r.buffer.putActionHeader(actionCodeCancelAttempt, instance)
 	r.buffer.putUint64(uint64(action.Request))
 	r.buffer.putUint8(uint8(action.Attempt))
 }
 
 func (r *Reply) addSetTimer(instance uint16, action *balance.Action) {
-	r.buffer.putActionHeader(codeSetTimer, instance)
+	r.buffer.putActionHeader(actionCodeSetTimer, instance)
 	r.buffer.putUint64(action.Token)
 	r.buffer.putMilliseconds(action.Delay)
 }
 
 func (r *Reply) addCheckHealth(instance uint16, action *balance.Action) {
-	r.buffer.putActionHeader(codeCheckHealth, instance)
+	r.buffer.putActionHeader(actionCodeCheckHealth, instance)
 	r.buffer.putEndpointID(action.Endpoint)
 }
 
 func (r *Reply) addLog(instance uint16, action *balance.Action) {
-	r.buffer.putActionHeader(codeLog, instance)
+	r.buffer.putActionHeader(actionCodeLog, instance)
 	r.buffer.putText(action.Text)
 }
 
 func (r *Reply) addWatchEndpoints(instance uint16) {
-	r.buffer.putActionHeader(codeWatchEndpoints, instance)
+	r.buffer.putActionHeader(actionCodeWatchEndpoints, instance)
 	r.buffer.putUint8(watchEnabled)
 }
