--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -14,7 +14,7 @@
 // is rejected.
 //
 // A field is a pointer if a missing key must be told from the zero value. The corresponding fields of package balance
-// document the meaning of the fields.
+// document the meaning of the fields. The names of the struct types appear in errors of encoding/json.
 type document struct {
 	Classes          []classDocument      `json:"classes"`
 	Tenants          []tenantDocument     `json:"tenants"`
