--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -51,7 +51,7 @@
 
 // trailingDataAfter reports whether bytes were read after the request with this number. The caller holds readMu.
 func (c *Conn) trailingDataAfter(requestNumber int64) bool {
-	return c.trailingBytes > 0 || c.scanner.Started.Load() > requestNumber
+	return c.trailingBytes > 0 || c.scanner.RequestsStarted.Load() > requestNumber
 }
 
 // finishResponse records that a response was written completely.
--- a/internal/downstream/conn_closing.go
+++ b/internal/downstream/conn_closing.go
@@ -29,7 +29,7 @@
 // betweenRequests reports whether no byte has been read since the last response, or since the connection was accepted
 // if there was none. The caller holds readMu.
 func (c *Conn) betweenRequests() bool {
-	return c.scanner.Started.Load() <= c.responsesFinished
+	return c.scanner.RequestsStarted.Load() <= c.responsesFinished
 }
 
 // requestIncomplete reports whether only part of a request has been read and the request is not being uploaded.
--- a/internal/http1/requestscanner.go
+++ b/internal/http1/requestscanner.go
@@ -51,7 +51,7 @@
 	Err error
 
 	// RequestsStarted counts the requests of which at least one byte has arrived.
-	Started atomic.Int64
+	RequestsStarted atomic.Int64
 
 	// requestsCompleted counts the requests that have arrived completely, and chunked requests whose head has arrived.
 	requestsCompleted atomic.Int64
@@ -74,7 +74,7 @@
 // Partial reports whether the last request has arrived only in part, and when its first byte arrived.
 func (s *RequestScanner) Partial() (startedAt time.Time, partial bool) {
 	startedAt, _ = loadTime(&s.startedAt)
-	return startedAt, s.Started.Load() > s.requestsCompleted.Load()
+	return startedAt, s.RequestsStarted.Load() > s.requestsCompleted.Load()
 }
 
 // Scan processes the bytes of one read, which arrived at the time now, and returns how many of them may be passed to
@@ -134,7 +134,7 @@
 	s.contentLength = unknownLength
 	s.linePrefix = s.linePrefix[:0]
 	s.startedAt.Store(&now)
-	s.Started.Add(1)
+	s.RequestsStarted.Add(1)
 }
 
 // endLine processes a complete line of a head. An empty line ends the head.
--- a/internal/http1/requestscanner_test.go
+++ b/internal/http1/requestscanner_test.go
@@ -38,7 +38,7 @@
 				passed += scanner.Scan(rest[:n], time.Now())
 				rest = rest[n:]
 			}
-			if started := scanner.Started.Load(); !errors.Is(scanner.Err, test.want) || started != test.started {
+			if started := scanner.RequestsStarted.Load(); !errors.Is(scanner.Err, test.want) || started != test.started {
 				t.Errorf("%s in reads of %d bytes: got error %v after %d requests, want %v after %d",
 					name, step, scanner.Err, started, test.want, test.started)
 			}
@@ -69,9 +69,9 @@
 			passedInParts += inParts.Scan(rest[:n], time.Now())
 			rest = rest[n:]
 		}
-		if passedInParts != passedAtOnce || !errors.Is(inParts.Err, atOnce.Err) || inParts.Started.Load() != atOnce.Started.Load() {
+		if passedInParts != passedAtOnce || !errors.Is(inParts.Err, atOnce.Err) || inParts.RequestsStarted.Load() != atOnce.RequestsStarted.Load() {
 			t.Errorf("in parts: got %d bytes, error %v, %d requests, want %d bytes, error %v, %d requests as in one read",
-				passedInParts, inParts.Err, inParts.Started.Load(), passedAtOnce, atOnce.Err, atOnce.Started.Load())
+				passedInParts, inParts.Err, inParts.RequestsStarted.Load(), passedAtOnce, atOnce.Err, atOnce.RequestsStarted.Load())
 		}
 		if len(atOnce.linePrefix) > maxLinePrefix {
 			t.Errorf("got %d bytes of a header line stored, want at most %d", len(atOnce.linePrefix), maxLinePrefix)
