--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -41,11 +41,13 @@
 // for long.
 type Observer interface {
 	// UploadSent is called when the last byte of a streamed request body was written to the endpoint.
-	UploadSent(*Attempt)
+	UploadSent(attempt *Attempt)
 	// ResponseStarted is called when the head of a successful response has arrived, but not its complete body.
-	ResponseStarted(*Attempt, time.Time)
-	// StreamStarted is called with a streamed response. The observer must have its Download read or finished.
-	StreamStarted(*Attempt, *exchange.Response, time.Time)
+	// startedAt is when the head arrived.
+	ResponseStarted(attempt *Attempt, startedAt time.Time)
+	// StreamStarted is called with a streamed response, whose head and first bytes had arrived at startedAt. The
+	// observer must ensure that its Download is read until the end or that Download.Finish is called.
+	StreamStarted(attempt *Attempt, response *exchange.Response, startedAt time.Time)
 }
 
 // notifyResponseStarted notifies the observer that the head of a successful response has arrived.
@@ -61,8 +63,9 @@
 func (a *Attempt) mustNotSend() bool { return a.Endpoint.Closed.Load() || a.obsolete() || a.expired() }
 
 // setReadDeadline sets the deadline for reading the response. A cancellation interrupts the attempt by setting a past
-// deadline. If the new deadline replaced that one, the cancellation would be lost and the attempt would continue until its
-// deadline. The check below finds a cancellation that came before it; a later one sets the past deadline after this call.
+// deadline. If the new deadline replaced the past one, the cancellation would be lost and the attempt would continue
+// until its deadline. The check below therefore sets the past deadline again if the attempt is already cancelled; a
+// later cancellation replaces the new deadline itself.
 func (a *Attempt) setReadDeadline(conn net.Conn, deadline time.Time) {
 	conn.SetReadDeadline(deadline)
 	if a.Context.Err() != nil {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -4,10 +4,11 @@
 // does not report whether the last byte was written. An attempt must know that: a request whose last byte was not
 // written was not executed and may be retried.
 //
-// The event loop owns the endpoints and the attempts. The package reads them; the only fields that change while it does are
-// the atomic ones: Endpoint.Address, Endpoint.Closed and Attempt.RequestDone. The caller runs Client.Do and
-// Client.CheckHealth on one goroutine per attempt or health check. An attempt with a streamed request body starts a second
-// goroutine, which writes the body. Pool.Run closes idle connections on its own goroutine. A mutex guards the pool.
+// The event loop owns the endpoints and the attempts. The package reads them; while it reads them, only the atomic
+// fields change: Endpoint.Address, Endpoint.Closed and Attempt.RequestDone. The caller runs Client.Do and
+// Client.CheckHealth on one goroutine per attempt or health check. An attempt with a streamed request body starts a
+// second goroutine, which writes the body. Pool.Run closes idle connections on its own goroutine. A mutex guards the
+// pool.
 package upstream
 
 import (
@@ -51,15 +52,15 @@
 		c.pool.put(conn)
 		return Outcome{Result: balance.NotAttempted, ClientDisconnected: clientDisconnected}
 	}
-	result := runInterruptible(attempt.Context, conn, attempt.Deadline, func() exchangeOutcome {
-		return c.exchange(attempt, conn)
+	result := runInterruptible(attempt.Context, conn, attempt.Deadline, func() roundTripOutcome {
+		return c.roundTrip(attempt, conn)
 	})
 	return c.releaseConn(conn, result)
 }
 
 // releaseConn returns a connection to the pool, or closes it if it cannot be reused. It returns the outcome of the
-// exchange.
-func (c *Client) releaseConn(conn *endpointConn, result exchangeOutcome) Outcome {
+// round trip.
+func (c *Client) releaseConn(conn *endpointConn, result roundTripOutcome) Outcome {
 	if result.connReusable {
 		c.pool.put(conn)
 	} else {
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -25,20 +25,20 @@
 		c.pool.put(conn)
 		return Outcome{Result: balance.NotAttempted}
 	}
-	result := runInterruptible(ctx, conn, deadline, func() exchangeOutcome { return c.sendHealthCheck(conn) })
+	result := runInterruptible(ctx, conn, deadline, func() roundTripOutcome { return c.sendHealthCheck(conn) })
 	return c.releaseConn(conn, result)
 }
 
 // sendHealthCheck writes the request of a health check and reads its response.
-func (c *Client) sendHealthCheck(conn *endpointConn) exchangeOutcome {
+func (c *Client) sendHealthCheck(conn *endpointConn) roundTripOutcome {
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.checkPath, *conn.address); err != nil {
-		return failedExchange(balance.ConnectFailed, err)
+		return failedRoundTrip(balance.ConnectFailed, err)
 	}
 	response, err := conn.reader.Next(http.MethodGet, http1.NopResponseObserver{})
 	if err != nil {
-		return failedExchange(readErrorResult(err), err)
+		return failedRoundTrip(readErrorResult(err), err)
 	}
-	return exchangeOutcome{c.healthCheckOutcome(response), conn.reusableAfter(response)}
+	return roundTripOutcome{c.healthCheckOutcome(response), conn.reusableAfter(response)}
 }
 
 // healthCheckOutcome returns the outcome of a health check. The load report is in the header or the body of the response.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// get returns an idle connection that is still open, or a new one. It returns a connLimitError or a connectError. An
-// error that wraps errNoSocket does not count against the endpoint.
+// get returns an idle connection that is still open, or a new one. The error wraps a *connLimitError or is a
+// *connectError. It does not count against the endpoint if it wraps errNoSocket.
 func (p *Pool) get(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*endpointConn, error) {
 	if conn := p.takeHealthy(endpoint); conn != nil {
 		return conn, nil
@@ -56,10 +56,10 @@
 	}
 }
 
-// takeHealthy takes an idle connection, or returns nil if there is none. It closes the stale and dead ones that it
-// finds. The endpoint may have closed an idle connection, or lost it in a crash; the kernel can report that
-// before the request is written. A request that is written to such a connection would end as a reset, which does not show whether
-// the request was executed, so that it might not be retried.
+// takeHealthy takes an idle connection that is still usable, or returns nil if there is none. It closes the stale and
+// dead connections that it finds on the way. An endpoint may have closed an idle connection or lost it in a crash,
+// which the kernel can report before a request is written. A request written to such a connection would end with a
+// reset, which does not show whether the request was executed, so a non-idempotent request could not be retried.
 func (p *Pool) takeHealthy(endpoint *Endpoint) *endpointConn {
 	for {
 		conn := p.takeIdle(endpoint)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/roundtrip.go
@@ -9,66 +9,66 @@
 	"cindersaddle/internal/socket"
 )
 
-// exchangeOutcome describes how an exchange of a request and a response ended.
-type exchangeOutcome struct {
+// roundTripOutcome describes how a round trip ended: one request and its response on one connection.
+type roundTripOutcome struct {
 	outcome      Outcome
 	connReusable bool // the connection may carry another request
 }
 
-// failedExchange returns the outcome of an exchange without a complete response. Its connection must be closed.
-func failedExchange(result balance.Result, err error) exchangeOutcome {
-	return exchangeOutcome{outcome: Outcome{Result: result, Err: err}}
+// failedRoundTrip returns the outcome of a round trip without a complete response. Its connection must be closed.
+func failedRoundTrip(result balance.Result, err error) roundTripOutcome {
+	return roundTripOutcome{outcome: Outcome{Result: result, Err: err}}
 }
 
-// runInterruptible runs an exchange that may take until the deadline. If ctx is done, it interrupts the exchange: all
-// reads and writes of the connection return an error, and the connection is not reused.
+// runInterruptible runs a round trip that may take until the deadline. If ctx is done, it interrupts the round trip:
+// all reads and writes of the connection return an error, and the connection is not reused.
 func runInterruptible(
-	ctx context.Context, conn *endpointConn, deadline time.Time, exchange func() exchangeOutcome,
-) exchangeOutcome {
+	ctx context.Context, conn *endpointConn, deadline time.Time, roundTrip func() roundTripOutcome,
+) roundTripOutcome {
 	conn.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(socket.PastDeadline) })
-	result := exchange()
+	result := roundTrip()
 	interrupted := !stop()
 	result.connReusable = result.connReusable && !interrupted
 	return result
 }
 
-// exchange writes the request of an attempt and reads its response.
-func (c *Client) exchange(attempt *Attempt, conn *endpointConn) exchangeOutcome {
+// roundTrip writes the request of an attempt and reads its response.
+func (c *Client) roundTrip(attempt *Attempt, conn *endpointConn) roundTripOutcome {
 	if attempt.Message.Upload != nil {
-		return c.exchangeUpload(attempt, conn)
+		return c.roundTripUpload(attempt, conn)
 	}
-	return c.exchangeBuffered(attempt, conn)
+	return c.roundTripBuffered(attempt, conn)
 }
 
-// exchangeBuffered sends a request whose complete body is in memory and reads the response.
-func (c *Client) exchangeBuffered(attempt *Attempt, conn *endpointConn) exchangeOutcome {
+// roundTripBuffered sends a request whose complete body is in memory and reads the response.
+func (c *Client) roundTripBuffered(attempt *Attempt, conn *endpointConn) roundTripOutcome {
 	request, err := attempt.Message.Encode(attempt.Deadline)
 	if err != nil {
-		return failedExchange(balance.NotAttempted, err)
+		return failedRoundTrip(balance.NotAttempted, err)
 	}
-	// A request that was executed must not be retried. Writing it in a single call makes the number of bytes that the
-	// kernel accepted show whether the last byte was sent.
+	// A request that may have been executed must not be retried. It is written in a single call, so that the number of
+	// bytes that the kernel accepted shows whether the last byte was sent.
 	if written, err := conn.Write(request); written < len(request) {
-		return failedExchange(attempt.writeErrorResult(err), err)
+		return failedRoundTrip(attempt.writeErrorResult(err), err)
 	}
 	c.metrics.Attempts.Add(1)
 	response, err := conn.reader.Next(attempt.Message.Method, deadlineObserver{attempt, conn})
 	if err != nil {
-		return failedExchange(attempt.readErrorResult(err), err)
+		return failedRoundTrip(attempt.readErrorResult(err), err)
 	}
 	return c.handleResponse(attempt, conn, response)
 }
 
-// exchangeUpload sends a request while its body is still arriving from the client. The response may arrive before the
+// roundTripUpload sends a request while its body is still arriving from the client. The response may arrive before the
 // body is complete.
-func (c *Client) exchangeUpload(attempt *Attempt, conn *endpointConn) exchangeOutcome {
+func (c *Client) roundTripUpload(attempt *Attempt, conn *endpointConn) roundTripOutcome {
 	upload := newUploadWriter(attempt.Message.Upload, conn)
 	request := attempt.Message.NewRequest(attempt.PostUploadTimeout, upload.source, upload.source.Length)
 	go upload.run(request, func() { c.uploadSent(attempt, conn) })
 
 	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt: attempt})
-	var result exchangeOutcome
+	var result roundTripOutcome
 	if err == nil {
 		result = c.handleResponse(attempt, conn, response)
 	}
@@ -81,9 +81,9 @@
 		result.connReusable = result.connReusable && sent
 		return result
 	case sent:
-		return failedExchange(attempt.readErrorResult(err), err)
+		return failedRoundTrip(attempt.readErrorResult(err), err)
 	default:
-		return exchangeOutcome{outcome: upload.incompleteOutcome(attempt, err)}
+		return roundTripOutcome{outcome: upload.incompleteOutcome(attempt, err)}
 	}
 }
 
@@ -95,21 +95,21 @@
 	attempt.Observer.UploadSent(attempt)
 }
 
-// handleResponse returns the outcome of an exchange that got a response. If the response is streamed, it returns when the
-// stream has ended.
-func (c *Client) handleResponse(attempt *Attempt, conn *endpointConn, response http1.Response) exchangeOutcome {
+// handleResponse returns the outcome of a round trip that got a response. If the response is streamed, it returns when
+// the stream has ended.
+func (c *Client) handleResponse(attempt *Attempt, conn *endpointConn, response http1.Response) roundTripOutcome {
 	outcome := Outcome{Result: statusResult(response.Head), LoadReport: loadReportFrom(response.Head, c.loadReportFields)}
 	if outcome.Result != balance.OK {
-		return exchangeOutcome{outcome, !response.Streaming && conn.reusableAfter(response)}
+		return roundTripOutcome{outcome, !response.Streaming && conn.reusableAfter(response)}
 	}
 	response.Head.Header.Del(LoadReportHeader)
 	http1.RemoveHopHeaders(response.Head.Header)
 	if !response.Streaming {
 		outcome.Response = bufferedResponse(response)
-		return exchangeOutcome{outcome, conn.reusableAfter(response)}
+		return roundTripOutcome{outcome, conn.reusableAfter(response)}
 	}
 	err := streamToClient(attempt, conn, response)
 	outcome.Result = attempt.streamResult(err)
 	outcome.Err = err
-	return exchangeOutcome{outcome, err == nil && conn.reusableAfter(response)}
+	return roundTripOutcome{outcome, err == nil && conn.reusableAfter(response)}
 }
