--- a/internal/downstream/abort_test.go
+++ b/internal/downstream/abort_test.go
@@ -16,8 +16,8 @@
 // abortingHandler is a RequestHandler that aborts every request.
 type abortingHandler struct{}
 
-func (abortingHandler) RequestArrived(request *exchange.Exchange) {
-	request.Responses <- &exchange.Response{Abort: true}
+func (abortingHandler) RequestArrived(ex *exchange.Exchange) {
+	ex.Responses <- &exchange.Response{Abort: true}
 }
 
 func (abortingHandler) ClientDisconnected(*exchange.Exchange) {}
--- a/internal/downstream/api.go
+++ b/internal/downstream/api.go
@@ -10,38 +10,38 @@
 
 // handleAPI passes a request to the RequestHandler, waits for its response and writes it.
 func (s *Server) handleAPI(w http.ResponseWriter, r *http.Request, conn *Conn) {
-	request, err := s.parseRequest(w, r, conn)
+	ex, err := s.parseRequest(w, r, conn)
 	if err == nil {
-		err = markAwaitingIfComplete(request, conn)
+		err = markAwaitingIfComplete(ex, conn)
 	}
 	if err != nil {
 		respondError(w, err)
 		return
 	}
-	if upload := request.Message.Upload; upload != nil {
+	if upload := ex.Message.Upload; upload != nil {
 		defer conn.uploading.Store(false)
 		defer upload.Release()
 	}
 	conn.record.setPhase(phaseAwaiting)
-	s.handler.RequestArrived(request)
-	response := s.awaitResponse(r, conn, request)
+	s.handler.RequestArrived(ex)
+	response := s.awaitResponse(r, conn, ex)
 	conn.record.setPhase(phaseResponding)
-	s.respond(w, r, conn, request.Message.Upload, response)
+	s.respond(w, r, conn, ex.Message.Upload, response)
 }
 
 // awaitResponse waits for the response to a request and returns it. If there is none, it panics with
 // http.ErrAbortHandler, which closes the connection. If it returned instead, net/http would send an empty response with
 // status 200, and a client that has closed only its sending side would accept it.
-func (s *Server) awaitResponse(r *http.Request, conn *Conn, request *exchange.Exchange) *exchange.Response {
+func (s *Server) awaitResponse(r *http.Request, conn *Conn, ex *exchange.Exchange) *exchange.Response {
 	select {
-	case response := <-request.Responses:
+	case response := <-ex.Responses:
 		if !response.Abort {
 			return response
 		}
 		conn.record.setReason(reasonDisconnectedBeforeSend, nil)
 	case <-r.Context().Done():
 		conn.record.setReason(reasonContextEnded, context.Cause(r.Context()))
-		s.handler.ClientDisconnected(request)
+		s.handler.ClientDisconnected(ex)
 	case <-s.done:
 		conn.record.setReason(reasonProcessEnds, nil)
 	}
@@ -51,8 +51,8 @@
 // markAwaitingIfComplete records that a request awaits its response if its body has been read completely. For an
 // upload, this is recorded when its last byte has been read. It returns an error if bytes follow the request, but not
 // if the client has disconnected: the context of the request ends in that case.
-func markAwaitingIfComplete(request *exchange.Exchange, conn *Conn) error {
-	if request.Message.Upload != nil {
+func markAwaitingIfComplete(ex *exchange.Exchange, conn *Conn) error {
+	if ex.Message.Upload != nil {
 		return nil
 	}
 	if err := conn.MarkAwaitingResponse(conn.requestCount); errors.Is(err, ErrTrailingData) {
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -42,7 +42,8 @@
 	return nil, s.newUpload(r, conn, controller, limited, body), nil
 }
 
-// newUpload returns the upload of a long body. firstBytes were already read; source provides the rest.
+// newUpload returns the upload of a body that is too long to be buffered. firstBytes were already read; source provides
+// the rest.
 func (s *Server) newUpload(
 	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, firstBytes []byte,
 ) *exchange.Upload {
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -26,8 +26,8 @@
 	// requestCount is the number of requests that reached the HTTP handler, and so the number of the current request.
 	// Only the serving goroutine uses it.
 	requestCount int64
-	// uploading is true while a long body is being received. Its request is passed on before the body is complete, so
-	// it does not count as incomplete.
+	// uploading is true while the handler serves a request with an upload. Such a request is passed on before its body
+	// is complete, so it does not count as incomplete.
 	uploading atomic.Bool
 
 	// readMu guards the fields below. A read and the update of scanner are one critical section, and so are a check of
--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -57,8 +57,8 @@
 	return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 }
 
-// readWhenReady waits until the connection is readable and reads once. In readModeDiscard it waits until the read
-// fails, for instance at the end of the connection.
+// readWhenReady waits until the connection is readable and reads once. In readModeDiscard it waits until a read fails,
+// for instance because the client has closed the connection.
 func (c *Conn) readWhenReady(buffer []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -1,5 +1,5 @@
-// Package downstream implements the client side of the sidecar. It accepts connections from the application, reads and
-// validates requests, passes them to a RequestHandler, writes the responses, and closes the connections at shutdown.
+// Package downstream serves the clients of the sidecar. It accepts their connections, reads and validates requests,
+// passes them to a RequestHandler, writes the responses, and closes the connections at shutdown.
 //
 // # Shutdown
 //
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -9,7 +9,8 @@
 	// MinIdleBeforeClose is how long a connection without a request must have been open before it may be closed. It is
 	// closed earlier only if a new connection could not be admitted otherwise.
 	MinIdleBeforeClose = 2 * time.Second
-	// maxVictimChecks is how many connections of a group of candidates one eviction examines. Each takes a system call.
+	// maxVictimChecks is how many connections of each group of candidates takeVictim examines. Each check takes a
+	// system call.
 	maxVictimChecks = 32
 )
 
--- a/internal/downstream/headers.go
+++ b/internal/downstream/headers.go
@@ -92,12 +92,12 @@
 // validateMethodAndTokens checks that the request has the method of its class and the identifiers that endpoints need:
 // a trace ID, and an idempotency key if the class requires one.
 func validateMethodAndTokens(r *http.Request, idempotency balance.Idempotency) error {
-	method := http.MethodPost
+	wantMethod := http.MethodPost
 	if idempotency == balance.Idempotent {
-		method = http.MethodGet
+		wantMethod = http.MethodGet
 	}
-	if r.Method != method {
-		return &exchange.RequestError{Status: http.StatusMethodNotAllowed, Text: "this class wants " + method}
+	if r.Method != wantMethod {
+		return &exchange.RequestError{Status: http.StatusMethodNotAllowed, Text: "this class wants " + wantMethod}
 	}
 	if !isToken(r.Header.Get(traceIDHeader)) {
 		return exchange.BadRequestf("no %s, or one that is no token", traceIDHeader)
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -8,12 +8,12 @@
 	"cindersaddle/internal/http1"
 )
 
-// parseRequest validates a request and reads its body, or the first part of a long body. Errors are of type
-// *exchange.RequestError; their texts are sent to the client. It removes the hop-by-hop headers from r.
+// parseRequest validates a request and reads its body, or the first part of a body that becomes an upload. Errors are
+// of type *exchange.RequestError; their texts are sent to the client. It removes the hop-by-hop headers from r.
 func (s *Server) parseRequest(w http.ResponseWriter, r *http.Request, conn *Conn) (*exchange.Exchange, error) {
 	settings := s.state.Settings.Load()
 	traceID := r.Header.Get(traceIDHeader)
-	request, err := parseHeaders(r, settings)
+	balancerRequest, err := parseHeaders(r, settings)
 	if err != nil {
 		return nil, err
 	}
@@ -22,10 +22,10 @@
 		return nil, err
 	}
 	receivedAt := time.Now()
-	request.Uploading = upload != nil
+	balancerRequest.Uploading = upload != nil
 	return &exchange.Exchange{
 		TraceID:    traceID,
-		Request:    request,
+		Request:    balancerRequest,
 		Message:    newMessage(r, body, upload, conn),
 		ReceivedAt: receivedAt,
 		Responses:  make(chan *exchange.Response, 1),
--- a/internal/downstream/queues.go
+++ b/internal/downstream/queues.go
@@ -43,8 +43,8 @@
 // inactiveCount returns the number of new and idle connections.
 func (q *connQueues) inactiveCount() int { return q.newConns.Len() + q.idleConns.Len() }
 
-// possiblyStalled returns the connections that have not had a request and those with an incomplete request. They are in
-// the order of their last activity, the longest silent one first.
+// possiblyStalled returns the connections in newConns and those with an incomplete request. They are in the order of
+// their last activity, the longest silent one first.
 func (q *connQueues) possiblyStalled() []*Conn {
 	conns := connsOf(&q.newConns)
 	for _, queue := range []*list.List{&q.idleConns, &q.activeConns} {
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -26,7 +26,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// respond writes the response to a request. upload is nil unless the request has a long body.
+// respond writes the response to a request. upload is nil if the request body was buffered completely.
 func (s *Server) respond(
 	w http.ResponseWriter, r *http.Request, conn *Conn, upload *exchange.Upload, response *exchange.Response,
 ) {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -17,7 +17,8 @@
 const (
 	// headTimeout is the maximum time for reading the head of a request: the request line and the headers.
 	headTimeout = 2600 * time.Millisecond
-	// readTimeout is the maximum time for reading a complete request. pacedReader extends it for long bodies.
+	// readTimeout is the maximum time for reading a complete request. pacedReader extends it for bodies that take
+	// longer.
 	readTimeout = 2900 * time.Millisecond
 	// writeTimeout is the maximum time for writing a buffered response. A client that does not read its response ties
 	// up the buffer and a file descriptor.
@@ -39,11 +40,10 @@
 // RequestHandler handles the requests of clients. Its methods are called by the goroutine that serves the connection of
 // the request.
 type RequestHandler interface {
-	// RequestArrived is called for each valid request. The handler sends the response to the Responses channel of the
-	// exchange, at most once.
-	RequestArrived(*exchange.Exchange)
+	// RequestArrived is called for each valid request. The handler sends the response to ex.Responses, at most once.
+	RequestArrived(ex *exchange.Exchange)
 	// ClientDisconnected is called after RequestArrived if the client closes its connection before it gets a response.
-	ClientDisconnected(*exchange.Exchange)
+	ClientDisconnected(ex *exchange.Exchange)
 }
 
 // Server serves the requests of clients. Its methods are safe for concurrent use.
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -11,8 +11,8 @@
 const (
 	// drainPollInterval is the time between two checks for open connections during a shutdown.
 	drainPollInterval = 10 * time.Millisecond
-	// streamDrainTimeout is how long a shutdown waits for long responses after its time limit. A response that takes
-	// longer is considered stuck.
+	// streamDrainTimeout is how long a shutdown waits for streamed responses after its time limit. A response that
+	// takes longer is considered stuck.
 	streamDrainTimeout = time.Minute
 )
 
@@ -27,8 +27,9 @@
 }
 
 // ShutdownAfterUpgrade is like Shutdown, except that it leaves new connections to the successor and closes no idle
-// connection before ShutdownTimes.LateAfter; until then, connections are closed only after their next response. A
-// request that is on its way when its connection is closed would be lost, and its client would see a reset connection.
+// connection before ShutdownTimes.LateAfter; until then, connections are closed only after their next response. If an
+// idle connection were closed while a request is on its way to it, the request would be lost and its client would see a
+// reset connection.
 func (s *Server) ShutdownAfterUpgrade(ctx context.Context, server *http.Server, listener *Listener) error {
 	listener.ShareQueue()
 	listener.Drain(ctx)
@@ -39,8 +40,9 @@
 }
 
 // closeIdleUntilEmpty closes idle connections until no connection is open or ctx ends, and then closes the server; see
-// drainStreams. It does not use http.Server.Shutdown, which could lose a request: that considers a connection idle
-// while it has read a request but not yet parsed its head. ConnTracker takes the bytes that were read into account.
+// drainStreams. It does not use http.Server.Shutdown, which considers a connection idle until it has parsed the head of
+// the next request, and could therefore close a connection from which it has already read that request. ConnTracker
+// takes the bytes that were read into account.
 func (s *Server) closeIdleUntilEmpty(ctx context.Context, server *http.Server) error {
 	for ctx.Err() == nil && !s.tracker.empty() {
 		s.tracker.closeIdleConns()
@@ -50,8 +52,8 @@
 }
 
 // drainStreams closes the connections without a complete request, waits until the remaining connections are closed, and
-// closes the server. The requests that are still open after the shutdown's time limit are those with long responses;
-// they are cut off only after streamDrainTimeout.
+// closes the server. The requests that are still open after the shutdown's time limit are those with streamed
+// responses; they are cut off only after streamDrainTimeout.
 func (s *Server) drainStreams(server *http.Server) error {
 	s.tracker.closeConnsWithoutRequest()
 	ctx, cancel := context.WithTimeout(context.Background(), streamDrainTimeout)
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -13,7 +13,7 @@
 	"cindersaddle/internal/exchange"
 )
 
-// streamBufferSize is the maximum number of bytes of a long response that are read and written at a time.
+// streamBufferSize is the maximum number of bytes of a streamed response that are read and written at a time.
 const streamBufferSize = 32 << 10
 
 // streamBufferPool holds buffers of streamBufferSize bytes for reuse.
@@ -22,11 +22,11 @@
 	return &buffer
 }}
 
-// streamResponse writes a long response as fast as the client reads it, and flushes each part.
+// streamResponse writes a streamed response as fast as the client reads it, and flushes each part.
 //
 // If the response breaks off, it panics with http.ErrAbortHandler, so that the client does not take the response for a
-// complete one: net/http closes the connection before the declared length or the last chunk was written. In HTTP/1.0, a
-// body of unknown length ends with the connection, so the connection is reset in that case.
+// complete one: net/http then closes the connection without writing the rest of the declared length or the last chunk.
+// In HTTP/1.0, a body of unknown length ends with the connection, so the connection is reset in that case.
 func streamResponse(w http.ResponseWriter, r *http.Request, conn *Conn, response *exchange.Response) {
 	download := response.Download
 	stop := context.AfterFunc(r.Context(), download.Cancel) // ends the attempt at once if the client disconnects
@@ -44,7 +44,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeStreamHead writes the head of a long response. The client has exchange.StallTimeout to read it.
+// writeStreamHead writes the head of a streamed response. The client has exchange.StallTimeout to read it.
 func writeStreamHead(w http.ResponseWriter, response *exchange.Response) {
 	header := w.Header()
 	maps.Copy(header, response.Header)
@@ -56,8 +56,8 @@
 	w.WriteHeader(response.Status)
 }
 
-// copyDownload writes the body of a long response. If the client stops reading, it returns exchange.ErrDownloadStopped
-// joined with the cause, and if the body cannot be read completely, the error of that read.
+// copyDownload writes the body of a streamed response. If the client stops reading, it returns
+// exchange.ErrDownloadStopped joined with the cause. If the body cannot be read completely, it returns the read error.
 func copyDownload(w http.ResponseWriter, download *exchange.Download) error {
 	controller := http.NewResponseController(w)
 	first := download.FirstBytes
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -11,7 +11,7 @@
 	"cindersaddle/internal/timing"
 )
 
-// inactiveDivisor limits the inactive connections, which are those without a request: at most maxConns/inactiveDivisor
+// inactiveDivisor limits the inactive connections, which are those without a request. At most maxConns/inactiveDivisor
 // of them are kept open for another request.
 const inactiveDivisor = 4
 
@@ -30,8 +30,8 @@
 	// AfterRead, if set, is called after each read, before net/http gets the bytes. It is for tests and must be set
 	// before the first connection is added.
 	AfterRead func()
-	// Log receives failed accepts and connections that end without a complete response. It must be set before the first
-	// connection is added.
+	// Log is the log for failed accepts and for connections that end without a complete response. It must be set before
+	// the first connection is added.
 	Log *slog.Logger
 }
 
@@ -98,7 +98,8 @@
 func (t *ConnTracker) closeIdleConns() {
 	for _, conn := range t.all() {
 		mayClose := func() bool {
-			return conn.betweenRequests() && (conn.responsesFinished > 0 || time.Since(conn.openedAt) >= MinIdleBeforeClose)
+			return conn.betweenRequests() &&
+				(conn.responsesFinished > 0 || time.Since(conn.openedAt) >= MinIdleBeforeClose)
 		}
 		if conn.markClosing(mayClose) {
 			conn.closeWithReason(reasonShutdownIdle)
@@ -120,8 +121,8 @@
 	return t.open == 0
 }
 
-// tooManyInactive reports whether there are so many connections without a request that connections must be closed after
-// their response. Otherwise an application that opens a connection for each request and keeps it open could use up its
+// tooManyInactive reports whether there are so many inactive connections that a connection must be closed after its
+// response. Otherwise an application that opens a connection for each request and keeps it open could use up its
 // limited number of file descriptors and be unable to connect.
 func (t *ConnTracker) tooManyInactive() bool {
 	t.mu.Lock()
--- a/internal/exchange/download.go
+++ b/internal/exchange/download.go
@@ -10,8 +10,8 @@
 // bytes, or the response is not forwarded to a client at all.
 var ErrDownloadStopped = errors.New("client stopped reading the response")
 
-// Download is the body of a response that is too long to be buffered. It is copied to the client while it arrives. The
-// client side reads it; the attempt that received the response stays open until Done has a value.
+// Download is the body of a response that is too long to be buffered. It is copied to the client while it arrives.
+// Package downstream reads it; the attempt that received the response stays open until Done has a value.
 type Download struct {
 	FirstBytes     []byte             // the part of the body that was read before the Response was delivered
 	Body           io.Reader          // the rest of the body, read from the endpoint
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -7,15 +7,15 @@
 	"cindersaddle/balance"
 )
 
-// Exchange is one request of a client while the sidecar handles it. The client side creates it and hands it to the event
-// loop, which then owns it and sends exactly one Response, or none if the client has disconnected.
+// Exchange is one request of a client while the sidecar handles it. Package downstream creates it and hands it to the
+// event loop, which then owns it and sends exactly one Response, or none if the client has disconnected.
 type Exchange struct {
 	TraceID    string          // the client's identifier of the request, from X-Trace-Id
-	Request    balance.Request // event for the balancer; the event loop sets ID; Remaining counts from ReceivedAt
+	Request    balance.Request // passed to the balancer; the event loop sets ID; Remaining counts from ReceivedAt
 	Message    *Message        // the HTTP request that is sent to endpoints
-	ReceivedAt time.Time       // when its last byte was read; for an Upload, when its first part was read
+	ReceivedAt time.Time       // when the last byte of the request was read; for an Upload, when its first part was read
 	Responses  chan *Response  // receives the final response; buffered for one value
-	Settings   *Settings       // settings that were in effect when it was read
+	Settings   *Settings       // settings that were in effect when the request was read
 }
 
 // Response is the final response to a client.
@@ -25,7 +25,7 @@
 	Body      []byte    // empty if Download is set
 	CloseConn bool      // close the client's connection after this response
 	Download  *Download // body of a streamed response; nil if Body is complete
-	// Abort closes the connection without a response because the client has disconnected. The client side cannot rely on
-	// detecting that itself: net/http stops monitoring a connection when a byte follows the request.
+	// Abort closes the connection without a response because the client has disconnected. Package downstream cannot
+	// rely on detecting that itself: net/http stops monitoring a connection when a byte follows the request.
 	Abort bool
 }
--- a/internal/exchange/lastbytetracker.go
+++ b/internal/exchange/lastbytetracker.go
@@ -36,9 +36,9 @@
 // maxAge returns how long ago the last byte may have arrived, at most. While the byte has not been read, that is the
 // total length of the counted pauses, because it may have arrived during one of them.
 func (t *lastByteTracker) maxAge() time.Duration {
-	since := time.Duration(t.countedPauses.Load())
+	age := time.Duration(t.countedPauses.Load())
 	if at := t.receivedAt.Load(); at != nil {
-		since += time.Since(*at)
+		age += time.Since(*at)
 	}
-	return since
+	return age
 }
--- a/internal/exchange/service.go
+++ b/internal/exchange/service.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// ServiceState is the state of the process that the event loop, the client side and the admin server share. Any goroutine
-// may read it. The event loop writes Settings and Ready; package sidecar writes the other fields.
+// ServiceState is the state of the process that the event loop, package downstream and the admin server share. Any
+// goroutine may read it. The event loop writes Settings and Ready; package sidecar writes the other fields.
 type ServiceState struct {
 	Settings     atomic.Pointer[Settings]      // settings for new requests
 	Ready        atomic.Bool                   // the endpoint list is not empty
--- a/internal/exchange/upload.go
+++ b/internal/exchange/upload.go
@@ -35,8 +35,8 @@
 
 // Upload is a request body that is too long to be buffered completely. It is copied from the client to an endpoint as
 // fast as both allow. The bytes read so far are buffered while the budget allows, so that another attempt can send them
-// again. The client side creates the Upload, and each attempt reads it through its own UploadReader. Any goroutine may
-// read the flags.
+// again. Package downstream creates the Upload, and each attempt reads it through its own UploadReader. Any goroutine
+// may read Discarded and Received.
 type Upload struct {
 	Length         int64               // length in bytes as declared by the client; -1 if chunked
 	Source         io.Reader           // the client's connection
@@ -56,8 +56,8 @@
 	err       error      // why reading ended; io.EOF after the last byte
 }
 
-// SetFirstBytes records the first bytes of the body, which the client side has already read from Source. They do not count
-// against Budget. It must be called before the first attempt reads.
+// SetFirstBytes records the first bytes of the body, which package downstream has already read from Source. They do not
+// count against Budget. It must be called before the first attempt reads.
 func (u *Upload) SetFirstBytes(first []byte) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -65,8 +65,8 @@
 	u.bytesRead = int64(len(first))
 }
 
-// Release frees the buffer and ends reading: a reader that waits for the client returns with an error. The client side
-// calls it when the request has ended.
+// Release frees the buffer and ends reading: a reader that waits for the client returns with an error. Package
+// downstream calls it when the request has ended.
 func (u *Upload) Release() {
 	if !u.Received.Load() {
 		u.SetReadTimeout(expiredTimeout) // interrupts a reader that waits for the client and holds mu
--- a/internal/exchange/uploadreader.go
+++ b/internal/exchange/uploadreader.go
@@ -36,5 +36,5 @@
 	return n, err
 }
 
-// Close does nothing, because the client side owns the upload. It makes UploadReader an io.ReadCloser.
+// Close does nothing, because package downstream owns the upload. It makes UploadReader an io.ReadCloser.
 func (r *UploadReader) Close() error { return nil }
