--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// currentAddress holds the address of discovery. A change of the address cancels the calls to the previous one, so
-// that no list from there is reported after one from the new address.
+// currentAddress holds the address of discovery. A change of the address cancels the calls to the previous one, so that
+// no list from the previous address is reported after one from the new address.
 type currentAddress struct {
 	mu      sync.Mutex
 	address string             // host and port
@@ -26,8 +26,8 @@
 	}
 }
 
-// beginCalls returns the address and a context for the calls to it. The context is cancelled when the address changes,
-// when beginCalls is called again, or when ctx is done.
+// beginCalls returns a context for the calls to the address, and the address. The context is cancelled when the address
+// changes, when beginCalls is called again, or when ctx is done.
 func (a *currentAddress) beginCalls(ctx context.Context) (context.Context, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -11,16 +11,17 @@
 	minCallInterval = 100 * time.Millisecond
 	// initialBackoff is the maximum pause after the first failed call.
 	initialBackoff = 100 * time.Millisecond
-	// maxPolledDoublings is how often the maximum pause doubles in polled mode. It limits the pause to 800 ms, so that
-	// the Watcher notices within a second that an address has become reachable.
+	// maxPolledDoublings is the maximum number of times that the maximum pause doubles in polled mode. It limits the
+	// pause to 800 ms, so that the Watcher notices within a second that an address has become reachable.
 	maxPolledDoublings = 3
-	// maxAgentDoublings is how often the maximum pause doubles in agent mode. It is 0 because an agent is on this
-	// machine and a list that it receives takes effect at once.
+	// maxAgentDoublings is the maximum number of times that the maximum pause doubles in agent mode. It is 0 because an
+	// agent is on this machine and a list that it receives takes effect at once.
 	maxAgentDoublings = 0
 )
 
-// backoff computes the pauses after failed calls that are repeated without a request by the balancer. The maximum
-// pause is initialBackoff at first and doubles with each failure, up to maxDoublings times.
+// backoff computes the pauses after failed calls that are repeated without waiting for a request of the balancer; see
+// Watcher.needsRequest. The maximum pause is initialBackoff at first and doubles with each failure, up to maxDoublings
+// times.
 type backoff struct {
 	doublings    int // number of doublings for the next pause
 	maxDoublings int
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -19,8 +19,8 @@
 	queryHold     = "hold_ms" // how long the watch may be held, in milliseconds
 )
 
-// call describes an HTTP call to discovery.
-type call struct {
+// httpCall describes an HTTP call to discovery.
+type httpCall struct {
 	address          string
 	query            url.Values    // of a watch; nil for a call for the complete list
 	firstByteTimeout time.Duration // from the start of the call to the head of the response
@@ -28,30 +28,30 @@
 }
 
 // newListCall returns a call for the complete list.
-func newListCall(address string, timeouts timeouts) call {
-	return call{address: address, firstByteTimeout: timeouts.firstByte, timeout: timeouts.responseSlack}
+func newListCall(address string, timeouts callTimeouts) httpCall {
+	return httpCall{address: address, firstByteTimeout: timeouts.firstByte, timeout: timeouts.responseSlack}
 }
 
 // newWatchCall returns a call for a list that is newer than revision. Discovery may hold the response until there is
 // one.
-func newWatchCall(address string, revision int64, timeouts timeouts) call {
+func newWatchCall(address string, revision int64, timeouts callTimeouts) httpCall {
 	query := url.Values{
 		queryRevision: {strconv.FormatInt(revision, 10)},
 		queryHold:     {strconv.FormatInt(timeouts.watchHold.Milliseconds(), 10)},
 	}
 	timeout := timeouts.watchHold + timeouts.responseSlack
-	return call{address: address, query: query, firstByteTimeout: timeout, timeout: timeout}
+	return httpCall{address: address, query: query, firstByteTimeout: timeout, timeout: timeout}
 }
 
 // httpRequest returns the HTTP request of the call.
-func (c call) httpRequest(ctx context.Context) (*http.Request, error) {
+func (c httpCall) httpRequest(ctx context.Context) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: c.address, Path: listPath, RawQuery: c.query.Encode()}
 	return http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 }
 
 // parseResponse parses the list in the body of the response. The error is an IncompleteListError or comes from package
 // membership.
-func (c call) parseResponse(body []byte) (*membership.EndpointList, error) {
+func (c httpCall) parseResponse(body []byte) (*membership.EndpointList, error) {
 	list, err := membership.Parse(body)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -40,7 +40,7 @@
 
 // do makes a call and enforces its timeouts. Errors are of type *CallError, which wraps context.DeadlineExceeded after
 // a timeout.
-func (c *client) do(ctx context.Context, call call) (*membership.EndpointList, error) {
+func (c *client) do(ctx context.Context, call httpCall) (*membership.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
 	ctx, cancelCause := context.WithCancelCause(ctx)
@@ -49,15 +49,16 @@
 	defer firstByteTimer.Stop()
 	list, err := c.fetch(ctx, call, func() { firstByteTimer.Stop() })
 	if err != nil {
-		// The transport goes on dialing for a cancelled call, and the next call would wait for that connection.
+		// The transport continues to dial for a cancelled call, and the next call would wait for that connection.
 		c.closeIdleConnections()
 		return nil, &CallError{Address: call.address, Err: cmp.Or(context.Cause(ctx), err)}
 	}
 	return list, nil
 }
 
-// fetch makes a call and reads the list. It calls responseStarted when it has received the head of the response.
-func (c *client) fetch(ctx context.Context, call call, responseStarted func()) (*membership.EndpointList, error) {
+// fetch makes a call and returns the list that it receives. It calls responseStarted when it has received the head of
+// the response.
+func (c *client) fetch(ctx context.Context, call httpCall, responseStarted func()) (*membership.EndpointList, error) {
 	request, err := call.httpRequest(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/liststate.go
+++ b/internal/discovery/liststate.go
@@ -10,7 +10,8 @@
 	mayHaveMissedChanges bool  // the last watch failed; only the complete list contains the changes that it missed
 }
 
-// canWatch reports whether a watch would return all changes: there is a list, and no watch has failed since it came.
+// canWatch reports whether a watch would return all changes: a list has been received, and no watch has failed since
+// then.
 func (s *listState) canWatch() bool { return s.hasList && !s.mayHaveMissedChanges }
 
 // isNew reports whether list differs from the latest list in its revision.
@@ -18,8 +19,8 @@
 	return !s.hasList || list.Revision != s.revision
 }
 
-// canApply reports whether list can be applied to the latest list. Changes with an older revision mean that discovery
-// has lost its state, so that the complete list is needed.
+// canApply reports whether list is complete or contains changes that apply to the latest list. Changes with an older
+// revision mean that discovery has lost its state, so the complete list is needed.
 func (s *listState) canApply(list *membership.EndpointList) bool {
 	return list.Complete || list.Revision >= s.revision
 }
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The timeouts below keep the following limit. If discovery becomes unresponsive during a watch, the changes that the
-// watch misses must be known 6 s later, or 2 s after the end of the hold if that is later. By then the failure must
-// have been noticed and the complete list received, even if the first call for it fails. Therefore the hold, the
-// response slack, the timeout of a call for the list, and the pauses before this call and the next one must add up to
-// less than the limit.
+// The timeouts below are short enough for the following limit. If discovery becomes unresponsive during a watch, the
+// changes that the watch misses must be known 6 s later, or 2 s after the end of the hold if that is later. By then the
+// failure must have been noticed and the complete list received, even if the first call for it fails. Therefore the
+// hold, the response slack, the timeout of a call for the list, and the pauses before this call and the next one must
+// add up to less than the limit.
 
 // Timeouts of the calls to an agent.
 const (
@@ -40,8 +40,8 @@
 // request only after 1 s, 3 s and 7 s.
 const dialTimeoutDivisor = 3
 
-// timeouts holds the timeouts of the calls in one mode of discovery.
-type timeouts struct {
+// callTimeouts holds the timeouts of the calls in one mode of discovery.
+type callTimeouts struct {
 	watchHold     time.Duration // how long discovery may hold a watch
 	responseSlack time.Duration // timeout of a watch in addition to watchHold, and of any other call in total
 	firstByte     time.Duration // timeout of a call other than a watch for the first byte of its response
@@ -49,17 +49,17 @@
 
 // agentTimeouts returns the timeouts of calls to an agent. Attempts to a draining endpoint must stop within
 // drainGrace.
-func agentTimeouts(drainGrace time.Duration) timeouts {
+func agentTimeouts(drainGrace time.Duration) callTimeouts {
 	firstByte := time.Duration(float64(drainGrace) * firstByteDrainGraceFraction)
 	firstByte = max(firstByte, minFirstByteTimeout)
 	firstByte = min(firstByte, AgentResponseSlack)
-	return timeouts{watchHold: agentWatchHold, responseSlack: AgentResponseSlack, firstByte: firstByte}
+	return callTimeouts{watchHold: agentWatchHold, responseSlack: AgentResponseSlack, firstByte: firstByte}
 }
 
 // polledTimeouts returns the timeouts of calls to polled discovery.
-func polledTimeouts() timeouts {
-	return timeouts{watchHold: polledWatchHold, responseSlack: polledResponseSlack, firstByte: polledResponseSlack}
+func polledTimeouts() callTimeouts {
+	return callTimeouts{watchHold: polledWatchHold, responseSlack: polledResponseSlack, firstByte: polledResponseSlack}
 }
 
 // dialTimeout returns how long opening a connection to discovery may take.
-func (t timeouts) dialTimeout() time.Duration { return t.responseSlack / dialTimeoutDivisor }
+func (t callTimeouts) dialTimeout() time.Duration { return t.responseSlack / dialTimeoutDivisor }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -10,8 +10,8 @@
 
 // Observer is notified of lists and failed calls. Its methods are called on the goroutine of Run.
 type Observer interface {
-	// ListReceived is called with each valid list, complete or with changes only, and the address that sent it.
-	ListReceived(list *membership.EndpointList, address string)
+	// ListReceived is called with each valid list, complete or with changes only. source is the address that sent it.
+	ListReceived(list *membership.EndpointList, source string)
 	// ListFailed is called with the error of a failed call, which is a *CallError.
 	ListFailed(err error)
 }
@@ -30,11 +30,11 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mode           mode
-	timeouts       timeouts
+	timeouts       callTimeouts
 	client         *client
 	observer       Observer
 	address        currentAddress
-	watchRequested chan struct{} // holds an element while a request of the balancer is pending
+	watchRequested chan struct{} // buffered for one value, which is a pending request of the balancer
 
 	// The fields below are owned by Run.
 
@@ -68,8 +68,8 @@
 	return w.Dial(ctx, network, address)
 }
 
-// RequestWatch starts a watch in polled mode. If a watch is open already, the request takes effect when that has
-// failed. While a request is pending, another one has no effect. RequestWatch does not block.
+// RequestWatch starts a watch in polled mode. If calls are already being made, the request takes effect when they have
+// ended with a failure. While a request is pending, another one has no effect. RequestWatch does not block.
 func (w *Watcher) RequestWatch() {
 	select {
 	case w.watchRequested <- struct{}{}:
@@ -77,5 +77,6 @@
 	}
 }
 
-// SetAddress switches to another address at once. An open call to the previous one is cancelled and its list dropped.
+// SetAddress switches to another address at once. An open call to the previous one is cancelled, and its list is
+// dropped.
 func (w *Watcher) SetAddress(address string) { w.address.set(address) }
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -2,7 +2,7 @@
 
 // EndpointList is a list of all endpoints, or of the endpoints that have changed since an earlier list.
 type EndpointList struct {
-	Revision  int64      `json:"revision"` // increases with each change; each discovery address has its own
+	Revision  int64      `json:"revision"` // increases with each change; not comparable between discovery addresses
 	Complete  bool       `json:"complete"` // false: Endpoints contains only the changes since an earlier revision
 	Endpoints []Endpoint `json:"members"`
 }
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -19,9 +19,9 @@
 	Endpoints json.RawMessage `json:"members"`
 }
 
-// Parse parses and validates an endpoint list. Its errors are or wrap an error of package json, a *MissingKeyError or
-// an error of Validate. A missing key is an error because its zero value, such as an empty list, could end all traffic
-// or hide that an endpoint is draining.
+// Parse parses and validates an endpoint list. The error is a *MissingKeyError, or wraps an error of package json or of
+// Validate. A missing key is an error because its zero value, such as an empty list, could end all traffic or hide that
+// an endpoint is draining.
 func Parse(data []byte) (*EndpointList, error) {
 	var raw rawEndpointList
 	if err := json.Unmarshal(data, &raw); err != nil {
