--- a/internal/admin/faults_test.go
+++ b/internal/admin/faults_test.go
@@ -37,9 +37,9 @@
 				server.Serve(t.Context(), listener, slog.New(slog.DiscardHandler))
 			}()
 			client := http.Client{Timeout: sidecartest.Timeout}
-			response, err := client.Get("http://" + listener.Addr().String() + pathReady)
+			response, err := client.Get("http://" + listener.Addr().String() + readyPath)
 			if err != nil {
-				t.Fatalf("GET %s after two errors of accept: got error %v, want a response", pathReady, err)
+				t.Fatalf("GET %s after two errors of accept: got error %v, want a response", readyPath, err)
 			}
 			response.Body.Close()
 			select {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -10,12 +10,12 @@
 	"cindersaddle/internal/socket"
 )
 
-// acceptRetryDelay is the time before the next attempt after a connection could not be accepted.
+// acceptRetryDelay is the delay before Accept retries after an error, unless it has closed a connection.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// limitedListener limits the number of open connections. It guards against connections that stay open and send
-// nothing: they would use up all descriptors, and a scrape or a readiness check could not connect. If a new
-// connection exceeds the limit, the oldest one is closed. That one has not sent a complete request, as complete
+// limitedListener limits the number of open connections. It guards against connections that stay open and send nothing:
+// they would use up all file descriptors, and a scrape or a readiness check could not connect. If a new connection
+// exceeds the limit, the oldest one is closed. The oldest one has not sent a complete request, because complete
 // requests get their response at once.
 type limitedListener struct {
 	net.Listener
@@ -25,8 +25,8 @@
 	conns []*limitedConn // the open connections, oldest first
 }
 
-// Accept returns the next connection. If the process has no descriptors left, Accept closes the oldest connection and
-// tries again. It fails only if the listener can no longer be used: all other errors are transient or concern a single
+// Accept returns the next connection. If no file descriptor is available, Accept closes the oldest connection and tries
+// again. It fails only if the listener can no longer be used: all other errors are transient or concern a single
 // connection.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,9 +1,9 @@
 // Package admin serves the admin address of the sidecar: readiness and metrics.
 //
-// The package has its own HTTP server, connections and descriptors and does not wait for the event loop, so that it
-// responds even if the clients' address is overloaded. Server.Serve runs in a goroutine of its caller; package net/http
-// starts one for each connection. The caller provides the metrics and the readiness function, which must be safe for
-// concurrent use.
+// The package has its own HTTP server, connections and file descriptors and does not wait for the event loop, so that
+// it responds even if the client address is overloaded. Server.Serve runs in a goroutine of its caller; package
+// net/http starts another one for each connection. The caller provides the metrics and the readiness function, which
+// must be safe for concurrent use.
 package admin
 
 import (
@@ -21,20 +21,22 @@
 )
 
 const (
-	// MaxConns is the largest number of open connections at the admin address. Their descriptors are reserved.
+	// MaxConns is the maximum number of open connections at the admin address. File descriptors are reserved for them.
 	MaxConns = 16
-	// HeaderTimeout is the time in which the header of a request must arrive. It ensures that a stalled connection is
+	// HeaderTimeout is the maximum time for reading the head of a request. It ensures that a stalled connection is
 	// closed within 3 s.
 	HeaderTimeout = 2 * time.Second
 
-	requestTimeout = 3 * time.Second // for reading a request, and the same again for writing its response
+	// requestTimeout is the maximum time for reading a request, and also the maximum time for writing its response.
+	requestTimeout = 3 * time.Second
+	// maxHeaderBytes is http.Server.MaxHeaderBytes, the maximum size of a request head.
 	maxHeaderBytes = 4 << 10
 )
 
-// Paths that are served at the admin address.
+// The paths that are served at the admin address.
 const (
-	pathReady   = "/api/ready"
-	pathMetrics = "/api/telemetry"
+	readyPath   = "/api/ready"
+	metricsPath = "/api/telemetry"
 )
 
 // metricsContentType is the media type of the Prometheus text format.
@@ -69,9 +71,9 @@
 // handler returns the handler of GET requests for a path, or nil if the path is unknown.
 func (s *Server) handler(path string) func(http.ResponseWriter) {
 	switch path {
-	case pathReady:
+	case readyPath:
 		return s.writeReady
-	case pathMetrics:
+	case metricsPath:
 		return s.writeMetrics
 	default:
 		return nil
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -5,9 +5,9 @@
 	"cindersaddle/internal/config"
 )
 
-// applyLimits sets this process's part of the sidecar's socket and memory limits. processes is the number of processes
-// that share the limits: 1, or more during an upgrade. The remaining sockets are divided evenly between clients and
-// endpoints.
+// applyLimits sets this process's share of the sidecar's socket and memory limits. processes is the number of processes
+// that share the limits: 1, or more during an upgrade. The sockets that are not reserved are divided evenly between
+// clients and endpoints.
 func (s *service) applyLimits(processes int) {
 	sockets := s.cfg.Limits.Sockets/processes - config.ReservedSockets
 	if s.cfg.AdminListen != "" {
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// connIdleFraction is the fraction of the endpoints' idle timeout after which the sidecar closes an idle
-	// connection. The sidecar must close it first, because a request that is written while the endpoint closes the
-	// connection fails.
-	connIdleFraction = 0.8
+	// idleTimeoutFraction is the fraction of the endpoints' idle timeout after which the sidecar closes an idle
+	// connection. The sidecar must close it before the endpoint does, because a request that is written while the
+	// endpoint closes the connection fails.
+	idleTimeoutFraction = 0.8
 	// defaultConnectTimeout applies if the configuration has no connect timeout.
 	defaultConnectTimeout = time.Second
-	// defaultConnIdleTime applies if the configuration has no idle timeout.
-	defaultConnIdleTime = time.Minute
+	// defaultIdleTimeout applies if the configuration has no idle timeout.
+	defaultIdleTimeout = time.Minute
 )
 
 // Endpoint paths for health checks.
@@ -72,23 +72,23 @@
 	return s
 }
 
-// shortenIdleTimeout returns how long the pool keeps an idle connection: connIdleFraction of the endpoints' idle
-// timeout, or 0 if the configuration has no idle timeout. It also writes that time to cfg, because the balancer must
-// know when the pool closes a connection.
+// shortenIdleTimeout returns how long the pool keeps an idle connection: idleTimeoutFraction of the endpoints' idle
+// timeout, or 0 if the configuration has no idle timeout. If there is one, it also writes the shortened timeout to cfg,
+// because the balancer must know when the pool closes a connection.
 func shortenIdleTimeout(cfg *config.Config) time.Duration {
-	idleTime := (cfg.Balance.ConnIdleTimeout * connIdleFraction).Duration()
-	if idleTime > 0 {
-		cfg.Balance.ConnIdleTimeout *= connIdleFraction
+	idleTimeout := (cfg.Balance.ConnIdleTimeout * idleTimeoutFraction).Duration()
+	if idleTimeout > 0 {
+		cfg.Balance.ConnIdleTimeout *= idleTimeoutFraction
 	}
-	return idleTime
+	return idleTimeout
 }
 
-// newPool returns the pool of connections to endpoints. applyLimits sets its connection limit. idleTime is how long the
-// pool keeps an idle connection; 0 means defaultConnIdleTime.
-func newPool(cfg *config.Config, idleTime time.Duration) *upstream.Pool {
+// newPool returns the pool of connections to endpoints. applyLimits sets the connection limit of the pool. idleTimeout
+// is how long the pool keeps an idle connection; 0 means defaultIdleTimeout.
+func newPool(cfg *config.Config, idleTimeout time.Duration) *upstream.Pool {
 	return upstream.NewPool(upstream.PoolConfig{
 		ConnectTimeout: cmp.Or(cfg.Balance.ConnectTimeout.Duration(), defaultConnectTimeout),
-		IdleTimeout:    cmp.Or(idleTime, defaultConnIdleTime),
+		IdleTimeout:    cmp.Or(idleTimeout, defaultIdleTimeout),
 		ReuseDelay:     cfg.ConnReuseDelay,
 	})
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -10,7 +10,8 @@
 // the types of package exchange and are configured through package config.
 //
 // service.start starts a goroutine for each component that needs one. These goroutines run until serve cancels its own
-// context. That is later than the caller's context ends: a shutdown needs them until the last request has its response.
+// context, which it does after the caller's context has ended: a shutdown needs the components until the last request
+// has its response.
 package sidecar
 
 import (
@@ -49,7 +50,7 @@
 	clientListener   net.Listener      // for requests of the application
 	adminListener    net.Listener      // for readiness and metrics; nil without an admin address
 	handover         *upgrade.Handover // to predecessor and successor; nil if upgrades are not possible
-	predecessorState *upgrade.State    // learned by the predecessor; nil without one
+	predecessorState *upgrade.State    // received from the predecessor; nil without one
 	readHooks        readHooks         // for tests
 }
 
@@ -116,7 +117,7 @@
 func (s *service) serveClients(ctx context.Context) error {
 	server := s.clientServer.HTTPServer(s.log)
 	listener := downstream.NewListener(s.resources.clientListener, s.clientConns, s.upstreamPool)
-	if ctx.Err() != nil { // shutdown signal during startup: even the first responses must announce the close
+	if ctx.Err() != nil { // shutdown signal during startup: the first responses must already announce the close
 		s.state.ShuttingDown.Store(true)
 	}
 	serveErr := make(chan error, 1)
--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -34,7 +34,7 @@
 
 // Handover exchanges the state and the client listener with the predecessor and the successors of this process.
 type Handover struct {
-	listen         string // the client address, host:port
+	clientAddress  string // host:port at which this sidecar serves clients
 	socket         unixSocket
 	log            *slog.Logger
 	processCounter processCounter
@@ -49,7 +49,7 @@
 	if cfg.ScratchDir == "" || cfg.AdminListen == "" {
 		return nil
 	}
-	return &Handover{listen: cfg.Listen, socket: unixSocket(SocketPath(cfg.ScratchDir, cfg.Listen)), log: log}
+	return &Handover{clientAddress: cfg.Listen, socket: unixSocket(SocketPath(cfg.ScratchDir, cfg.Listen)), log: log}
 }
 
 // Run sends the state to successors until ctx is done or Retire was called, and monitors the predecessor.
--- a/internal/upgrade/listener.go
+++ b/internal/upgrade/listener.go
@@ -17,7 +17,7 @@
 // listener for each process, closing one would lose the connections whose handshake is in progress. If the descriptor
 // cannot be sent, only the version is sent.
 func sendListener(conn *net.UnixConn, listener net.Listener) error {
-	err := errors.ErrUnsupported // remains if the listener has no descriptor
+	err := errors.ErrUnsupported // stays if the listener has no descriptor, because the function is not called
 	socket.Control(listener, func(descriptor uintptr) {
 		err = sendVersion(conn, syscall.UnixRights(int(descriptor)))
 	})
@@ -34,8 +34,8 @@
 }
 
 // receiveListener checks the predecessor's version and returns the listener that it shares. The listener is nil if the
-// predecessor does not share one for the address listen.
-func receiveListener(conn *net.UnixConn, listen string) (net.Listener, error) {
+// predecessor does not share one for the client address.
+func receiveListener(conn *net.UnixConn, clientAddress string) (net.Listener, error) {
 	var version [1]byte
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes))
 	_, n, _, _, err := conn.ReadMsgUnix(version[:], control)
@@ -49,7 +49,7 @@
 	if !ok {
 		return nil, nil
 	}
-	return listenerFromDescriptor(descriptor, listen), nil
+	return listenerFromDescriptor(descriptor, clientAddress), nil
 }
 
 // parseDescriptor returns the file descriptor in a control message. ok is false if there is none.
@@ -66,15 +66,15 @@
 }
 
 // listenerFromDescriptor returns a listener for a file descriptor, or nil if the descriptor does not listen on the
-// address listen. It closes the descriptor.
-func listenerFromDescriptor(descriptor int, listen string) net.Listener {
+// client address. It closes the descriptor.
+func listenerFromDescriptor(descriptor int, clientAddress string) net.Listener {
 	file := os.NewFile(uintptr(descriptor), "listener")
 	defer file.Close() // net.FileListener duplicates the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil
 	}
-	if listener.Addr().String() != listen {
+	if listener.Addr().String() != clientAddress {
 		listener.Close()
 		return nil
 	}
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -13,8 +13,8 @@
 // acceptRetryDelay is the pause after a failure to accept a connection at the socket.
 const acceptRetryDelay = 400 * time.Millisecond
 
-// acceptSuccessors sends the state to successors until ctx is done, a successor ends or accepting fails. After the end
-// of a successor, which has replaced the socket with its own, the caller has to open the socket again.
+// acceptSuccessors sends the state to successors until ctx is done, a successor ends or accepting fails. A successor
+// replaces the socket with its own, so after its end the caller has to open the socket again.
 func (h *Handover) acceptSuccessors(
 	ctx context.Context, listener *net.UnixListener, process *Process, tasks *sync.WaitGroup,
 ) {
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -19,11 +19,11 @@
 	maxSocketPathBytes = 100
 )
 
-// SocketPath returns the path of the socket at which a successor finds the process that serves the client address
-// listen. The path may be too long for the kernel.
-func SocketPath(scratchDir, listen string) string {
+// SocketPath returns the path of the socket at which a successor finds the process that serves the client address. The
+// path may be too long for the kernel.
+func SocketPath(scratchDir, clientAddress string) string {
 	hash := fnv.New64a()
-	io.WriteString(hash, listen)
+	io.WriteString(hash, clientAddress)
 	return filepath.Join(scratchDir, fmt.Sprintf(socketNameFormat, hash.Sum64()))
 }
 
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -14,7 +14,7 @@
 type State struct {
 	Version   int
 	Listen    string // the client address
-	Discovery string // address of the discovery service that sent List; its revision is valid only there
+	Discovery string // address of the discovery service that sent List; the revision of List is valid only there
 	List      membership.EndpointList
 	Classes   []string // names, in the order of Learned.Classes
 	Tenants   []string // names, in the order of Learned.TenantRequests
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("connect to the predecessor: %w", err)
 	}
-	state, listener, err := receiveHandover(conn, h.listen)
+	state, listener, err := receiveHandover(conn, h.clientAddress)
 	if err != nil {
 		conn.Close()
 		return nil, nil, fmt.Errorf("receive the state of the predecessor: %w", err)
@@ -28,16 +28,16 @@
 
 // receiveHandover sends the greeting to the predecessor and receives its state and its client listener, which may be
 // nil.
-func receiveHandover(conn *net.UnixConn, listen string) (*State, net.Listener, error) {
+func receiveHandover(conn *net.UnixConn, clientAddress string) (*State, net.Listener, error) {
 	conn.SetDeadline(time.Now().Add(handoverTimeout))
 	if err := sendGreeting(conn); err != nil {
 		return nil, nil, err
 	}
-	listener, err := receiveListener(conn, listen)
+	listener, err := receiveListener(conn, clientAddress)
 	if err != nil {
 		return nil, nil, err
 	}
-	state, err := receiveState(conn, listen)
+	state, err := receiveState(conn, clientAddress)
 	if err != nil {
 		if listener != nil {
 			listener.Close()
@@ -48,9 +48,8 @@
 	return state, listener, nil
 }
 
-// receiveState reads the state and checks its version, that it belongs to the client address listen, and that its
-// endpoint list is valid.
-func receiveState(r io.Reader, listen string) (*State, error) {
+// receiveState reads the state and checks its version, its client address and its endpoint list.
+func receiveState(r io.Reader, clientAddress string) (*State, error) {
 	state, err := decode(r)
 	if err != nil {
 		return nil, err
@@ -58,8 +57,8 @@
 	if state.Version != StateVersion {
 		return nil, &VersionError{Version: state.Version}
 	}
-	if state.Listen != listen {
-		return nil, &AddressError{Listen: state.Listen, Want: listen}
+	if state.Listen != clientAddress {
+		return nil, &AddressError{Listen: state.Listen, Want: clientAddress}
 	}
 	if err := state.List.Validate(); err != nil {
 		return nil, fmt.Errorf("endpoint list of revision %d: %w", state.List.Revision, err)
