--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,7 +15,7 @@
 		addressCtx, address := w.address.beginCalls(ctx)
 		w.followAddress(addressCtx, address)
 		w.client.closeIdleConnections()
-		w.list.reset()
+		w.listState.reset()
 		w.addressChanged = true
 	}
 }
@@ -50,7 +50,7 @@
 // mode. After a change of the address, calls are made without requests until a list has been received: the balancer
 // does not distinguish the addresses, and might pause for long because of earlier failures.
 func (w *Watcher) needsRequest() bool {
-	return w.mode == polledMode && (w.list.hasList || !w.addressChanged)
+	return w.mode == polledMode && (w.listState.hasList || !w.addressChanged)
 }
 
 // awaitRequest blocks until the balancer requests a watch. It returns false if ctx is done first.
@@ -79,7 +79,7 @@
 	var result watchResult
 	for {
 		start := time.Now()
-		watched := w.list.canWatch()
+		watched := w.listState.canWatch()
 		list, err := w.nextList(ctx, address)
 		switch {
 		case ctx.Err() != nil:
@@ -101,11 +101,11 @@
 // be applied to the latest list.
 func (w *Watcher) nextList(ctx context.Context, address string) (*membership.EndpointList, error) {
 	listCall := newListCall(address, w.timeouts)
-	if !w.list.canWatch() {
+	if !w.listState.canWatch() {
 		return w.client.do(ctx, listCall)
 	}
-	list, err := w.client.do(ctx, newWatchCall(address, w.list.revision, w.timeouts))
-	if err == nil && !w.list.canApply(list) {
+	list, err := w.client.do(ctx, newWatchCall(address, w.listState.revision, w.timeouts))
+	if err == nil && !w.listState.canApply(list) {
 		return w.client.do(ctx, listCall)
 	}
 	return list, err
@@ -114,8 +114,8 @@
 // handleList reports the list of a call that started at start. It pauses after a list that is not new, because an
 // agent may respond to each call at once.
 func (w *Watcher) handleList(ctx context.Context, list *membership.EndpointList, address string, start time.Time) {
-	isNew := w.list.isNew(list)
-	w.list.recordList(list)
+	isNew := w.listState.isNew(list)
+	w.listState.recordList(list)
 	w.observer.ListReceived(list, address)
 	if !isNew {
 		timing.Sleep(ctx, minCallInterval-time.Since(start))
@@ -124,7 +124,7 @@
 
 // handleWatchFailure records that a watch failed, and pauses unless the watch timed out.
 func (w *Watcher) handleWatchFailure(ctx context.Context, err error) {
-	w.list.recordWatchFailure()
+	w.listState.recordWatchFailure()
 	if !isTimeout(err) {
 		timing.Sleep(ctx, jittered(initialBackoff))
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -38,7 +38,7 @@
 
 	// The fields below are owned by Run.
 
-	list           listState
+	listState      listState
 	addressChanged bool // the address has changed since Run was called
 }
 
@@ -52,12 +52,12 @@
 		observer:       observer,
 		address:        currentAddress{address: cfg.Discovery},
 		watchRequested: make(chan struct{}, 1),
-		list:           listState{revision: cfg.KnownEndpoints.Revision, hasList: cfg.KnownEndpoints.Complete},
+		listState:      listState{revision: cfg.KnownEndpoints.Revision, hasList: cfg.KnownEndpoints.Complete},
 	}
 	if !cfg.Balance.PolledDiscovery {
 		w.mode = agentMode
 		w.timeouts = agentTimeouts(cfg.Balance.DrainGrace.Duration())
-		w.list.mayHaveMissedChanges = true // a new process has no open watch, and the agent may be unresponsive
+		w.listState.mayHaveMissedChanges = true // a new process has no open watch, and the agent may be unresponsive
 	}
 	w.client = newClient(w.dial, w.timeouts.dialTimeout())
 	return w
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -33,13 +33,13 @@
 	// readMu guards the fields below. A read and the update of scanner are one critical section, and so are a check of
 	// scanner and the decision to close the connection. Exceptions: the atomic fields of scanner may be read by any
 	// goroutine, scanner.Err by the reading goroutine and scanner.Chunked by the serving goroutine.
-	readMu            sync.Mutex
-	scanner           http1.RequestScanner
-	closing           bool  // the connection is about to be closed; nothing more is read from it
-	awaitingResponse  bool  // a complete request awaits its response
-	responsesStarted  int64 // number of the last request whose response was started; see startResponse
-	responsesFinished int64 // count of responses that were written completely
-	trailingBytes     int   // bytes that were discarded while a request awaited its response
+	readMu              sync.Mutex
+	scanner             http1.RequestScanner
+	closing             bool  // the connection is about to be closed; nothing more is read from it
+	awaitingResponse    bool  // a complete request awaits its response
+	lastResponseStarted int64 // number of the last request whose response was started; see startResponse
+	responsesFinished   int64 // count of responses that were written completely
+	trailingBytes       int   // bytes that were discarded while a request awaited its response
 
 	// tracker.mu guards the fields below.
 	queue        *list.List    // the queue that the connection is in; nil once the connection is about to be closed
--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -24,7 +24,7 @@
 func (c *Conn) MarkAwaitingResponse(requestNumber int64) error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	if c.responsesStarted >= requestNumber {
+	if c.lastResponseStarted >= requestNumber {
 		return exchange.ErrUploadStopped
 	}
 	state := socket.Peek(c.TCPConn)
@@ -45,7 +45,7 @@
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	c.awaitingResponse = false
-	c.responsesStarted = c.requestCount
+	c.lastResponseStarted = c.requestCount
 	return c.trailingDataAfter(c.requestCount) || socket.Peek(c.TCPConn) == socket.Readable
 }
 
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -32,7 +32,7 @@
 func (t *ConnTracker) SetLimit(maxConns int) {
 	t.mu.Lock()
 	t.maxConns = maxConns
-	excess := t.open - maxConns
+	excess := t.openConns - maxConns
 	t.mu.Unlock()
 	for excess > 0 && t.Evict() {
 		excess--
--- a/internal/downstream/headers.go
+++ b/internal/downstream/headers.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// maxTokenLength is the maximum length of an identifier in bytes. Clients use identifiers of 16 and 32 bytes.
+	// maxTokenLength is the maximum length of a token in bytes; see isToken. Clients use tokens of 16 and 32 bytes.
 	maxTokenLength = 256
 	// workHintScale is the value of workHintHeader for one unit of work.
 	workHintScale = 1000
@@ -89,8 +89,8 @@
 	return class, tenant, nil
 }
 
-// validateMethodAndTokens checks that the request has the method of its class and the identifiers that endpoints need:
-// a trace ID, and an idempotency key if the class requires one.
+// validateMethodAndTokens checks that the request has the method of its class and the tokens that endpoints need: a
+// trace ID, and an idempotency key if the class requires one.
 func validateMethodAndTokens(r *http.Request, idempotency balance.Idempotency) error {
 	wantMethod := http.MethodPost
 	if idempotency == balance.Idempotent {
@@ -108,7 +108,8 @@
 	return nil
 }
 
-// isToken reports whether text is a valid identifier: 1 to maxTokenLength visible ASCII characters, without spaces.
+// isToken reports whether text is a valid token, which identifies a request: 1 to maxTokenLength visible ASCII
+// characters, without spaces.
 func isToken(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] > '~' {
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -19,10 +19,10 @@
 // could use up all file descriptors, so that accept fails and no other client is served. The limit leaves descriptors
 // free; at the limit, a connection without a request is evicted for a new one. Its methods are safe for concurrent use.
 type ConnTracker struct {
-	mu       sync.Mutex
-	maxConns int
-	open     int // connections that are not closed, including those that are about to be closed
-	queues   connQueues
+	mu        sync.Mutex
+	maxConns  int
+	openConns int // connections that are not closed, including those that are about to be closed
+	queues    connQueues
 
 	// BeforeRead, if set, is called before each read from a connection, with the address of the client. It is for tests
 	// and must be set before the first connection is added.
@@ -60,8 +60,8 @@
 func (t *ConnTracker) admit(conn *Conn) (admitted bool, victim *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.open++
-	if t.open > t.maxConns {
+	t.openConns++
+	if t.openConns > t.maxConns {
 		victim = t.takeVictim(time.Now())
 		if victim == nil {
 			return false, nil
@@ -79,7 +79,7 @@
 		return false
 	}
 	conn.closed = true
-	t.open--
+	t.openConns--
 	t.queues.remove(conn)
 	return true
 }
@@ -118,7 +118,7 @@
 func (t *ConnTracker) empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.open == 0
+	return t.openConns == 0
 }
 
 // tooManyInactive reports whether there are so many inactive connections that a connection must be closed after its
--- a/internal/downstream/tracker_test.go
+++ b/internal/downstream/tracker_test.go
@@ -20,20 +20,20 @@
 	}
 	first := add()
 	tracker.handleStateChange(first, http.StateActive)
-	if add() != nil || tracker.open != 1 {
+	if add() != nil || tracker.openConns != 1 {
 		t.Errorf("new connection admitted or wrong count while a request is open: got %d open connections, want 1",
-			tracker.open)
+			tracker.openConns)
 	}
 	tracker.handleStateChange(first, http.StateIdle)
 	second := add()
-	if second == nil || !first.closed || tracker.open != 1 {
-		t.Errorf("idle connection not evicted for a new one or wrong count: got %d open connections, want 1", tracker.open)
+	if second == nil || !first.closed || tracker.openConns != 1 {
+		t.Errorf("idle connection not evicted for a new one or wrong count: got %d open connections, want 1", tracker.openConns)
 	}
 	second.Close()
 	second.Close()
 	queues := &tracker.queues
-	if tracker.open != 0 || queues.newConns.Len()+queues.idleConns.Len()+queues.activeConns.Len() != 0 {
-		t.Errorf("after all were closed: got %d open connections and %d in queues, want 0", tracker.open, len(queues.all()))
+	if tracker.openConns != 0 || queues.newConns.Len()+queues.idleConns.Len()+queues.activeConns.Len() != 0 {
+		t.Errorf("after all were closed: got %d open connections and %d in queues, want 0", tracker.openConns, len(queues.all()))
 	}
 }
 
--- a/internal/exchange/replaybuffer.go
+++ b/internal/exchange/replaybuffer.go
@@ -10,7 +10,7 @@
 	MaxReplayBytes = 1 << 20
 	// replayMemoryDivisor is the inverse of the fraction of the memory limit that all upload buffers together may use.
 	replayMemoryDivisor = 8
-	// unlimitedReplayBytes is the budget in bytes if the process has no memory limit.
+	// unlimitedReplayBytes is the budget in bytes if there is no memory limit.
 	unlimitedReplayBytes = math.MaxInt32
 	// bytesPerMegabyte converts the memory limit, which is configured in megabytes.
 	bytesPerMegabyte = 1 << 20
@@ -21,15 +21,15 @@
 	Remaining atomic.Int64 // bytes that may still be buffered
 }
 
-// ReplayBufferBytes returns the budget in bytes for a memory limit in megabytes. A limit of 0 or less means no limit.
-func ReplayBufferBytes(memoryMB float64) int64 {
+// ReplayBudgetBytes returns the budget in bytes for a memory limit in megabytes. A limit of 0 or less means no limit.
+func ReplayBudgetBytes(memoryMB float64) int64 {
 	if memoryMB <= 0 {
 		return unlimitedReplayBytes
 	}
 	return int64(memoryMB * bytesPerMegabyte / replayMemoryDivisor)
 }
 
-// reserve takes n bytes from the budget. It reports false, and takes nothing, if fewer remain.
+// reserve takes n bytes from the budget. It returns false, and takes nothing, if fewer remain.
 func (b *BufferBudget) reserve(n int) bool {
 	if b.Remaining.Add(-int64(n)) >= 0 {
 		return true
--- a/internal/exchange/shutdown.go
+++ b/internal/exchange/shutdown.go
@@ -13,7 +13,8 @@
 	// shutdownMargin is the time after the longest deadline by which everything must have ended. It is a little less
 	// than the platform's delay before it kills the process, which killDelay of package soak simulates.
 	shutdownMargin = 650 * time.Millisecond
-	// fullDeadlinePeriod is how long after the signal requests on open connections still get their complete deadline.
+	// fullDeadlinePeriod is the time after the signal during which requests on open connections still get their
+	// complete deadline.
 	fullDeadlinePeriod = 600 * time.Millisecond
 	// deliveryMargin is the time allowed for a response to reach its client.
 	deliveryMargin = 50 * time.Millisecond
@@ -28,11 +29,12 @@
 	EndBy     time.Time // when everything must have ended, except streamed responses: package downstream allows these more
 }
 
-// NewShutdownTimes returns the time limits of a shutdown that started at signal, given the longest deadline of all classes.
-func NewShutdownTimes(signal time.Time, longestDeadline time.Duration) *ShutdownTimes {
-	end := signal.Add(longestDeadline + shutdownMargin)
+// NewShutdownTimes returns the time limits of a shutdown whose signal came at signalAt. longestDeadline is the longest
+// request deadline that the shutdown waits for.
+func NewShutdownTimes(signalAt time.Time, longestDeadline time.Duration) *ShutdownTimes {
+	end := signalAt.Add(longestDeadline + shutdownMargin)
 	return &ShutdownTimes{
-		LateAfter: signal.Add(fullDeadlinePeriod),
+		LateAfter: signalAt.Add(fullDeadlinePeriod),
 		RespondBy: end.Add(-deliveryMargin),
 		EndBy:     end,
 	}
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -67,7 +67,7 @@
 	s.clientConns.BeforeRead = resources.readHooks.before
 	s.clientConns.AfterRead = resources.readHooks.after
 	s.applyLimits(1)
-	replayBytes := exchange.ReplayBufferBytes(cfg.Limits.MemoryMB)
+	replayBytes := exchange.ReplayBudgetBytes(cfg.Limits.MemoryMB)
 	s.clientServer = downstream.NewServer(s.state, s.loop, s.clientConns, replayBytes, ctx.Done())
 	return s
 }
--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -21,7 +21,7 @@
 	socketRetryDelay = time.Second
 )
 
-// Process contains what a process shares with its successors, and the callback by which it learns of other processes.
+// Process contains what this process shares with its successors, and a callback that reports how many processes run.
 type Process struct {
 	// Listener listens on the client address.
 	Listener net.Listener
@@ -32,7 +32,8 @@
 	CountChanged func(processes int)
 }
 
-// Handover exchanges the state and the client listener with the predecessor and the successors of this process.
+// Handover receives the state and the client listener of the predecessor, and sends those of this process to its
+// successors.
 type Handover struct {
 	clientAddress  string // host:port at which this sidecar serves clients
 	socket         unixSocket
@@ -40,7 +41,7 @@
 	processCounter processCounter
 
 	predecessor     net.Conn // open while the predecessor runs; nil if there was none; set before Run
-	lastSocketError string   // the last logged failure to open the socket; used by Run only
+	lastSocketError string   // the last logged failure to open the socket; only Run uses it
 }
 
 // NewHandover returns the handover of the process that cfg configures. It returns nil if upgrades are not possible: if
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -63,18 +63,18 @@
 // roundTripUpload sends a request while its body is still arriving from the client. The response may arrive before the
 // body is complete.
 func (c *Client) roundTripUpload(attempt *Attempt, conn *endpointConn) roundTripOutcome {
-	upload := newUploadWriter(attempt.Message.Upload, conn)
-	request := attempt.Message.NewRequest(attempt.PostUploadTimeout, upload.source, upload.source.Length)
-	go upload.run(request, func() { c.uploadSent(attempt, conn) })
+	writer := newUploadWriter(attempt.Message.Upload, conn)
+	request := attempt.Message.NewRequest(attempt.PostUploadTimeout, writer.source, writer.source.Length)
+	go writer.run(request, func() { c.uploadSent(attempt, conn) })
 
 	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt: attempt})
 	var result roundTripOutcome
 	if err == nil {
 		result = c.handleResponse(attempt, conn, response)
 	}
-	sent := upload.stop()
+	sent := writer.stop()
 	if sent {
-		<-upload.done // until then, it may set deadlines of the connection and call uploadSent
+		<-writer.done // until then, run may set deadlines of the connection and call uploadSent
 	}
 	switch {
 	case err == nil:
@@ -83,15 +83,15 @@
 	case sent:
 		return failedRoundTrip(attempt.readErrorResult(err), err)
 	default:
-		return roundTripOutcome{outcome: upload.incompleteOutcome(attempt, err)}
+		return roundTripOutcome{outcome: writer.incompleteOutcome(attempt, err)}
 	}
 }
 
 // uploadSent is called when the last byte of a streamed request body was written. It starts the time limit of the response.
 func (c *Client) uploadSent(attempt *Attempt, conn *endpointConn) {
 	c.metrics.Attempts.Add(1)
-	due := time.Now().Add(attempt.PostUploadTimeout)
-	attempt.setReadDeadline(conn, earlier(attempt.Deadline, due))
+	responseDeadline := time.Now().Add(attempt.PostUploadTimeout)
+	attempt.setReadDeadline(conn, earlier(attempt.Deadline, responseDeadline))
 	attempt.Observer.UploadSent(attempt)
 }
 
