--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -23,9 +23,9 @@
 const (
 	// MaxConns is the maximum number of open connections at the admin address. File descriptors are reserved for them.
 	MaxConns = 16
-	// HeaderTimeout is the maximum time for reading the head of a request. It ensures that a stalled connection is
+	// HeadTimeout is the maximum time for reading the head of a request. It ensures that a stalled connection is
 	// closed within 3 s.
-	HeaderTimeout = 2 * time.Second
+	HeadTimeout = 2 * time.Second
 
 	// requestTimeout is the maximum time for reading a request, and also the maximum time for writing its response.
 	requestTimeout = 3 * time.Second
@@ -102,7 +102,7 @@
 func (s *Server) Serve(ctx context.Context, listener net.Listener, log *slog.Logger) {
 	server := &http.Server{
 		Handler:           s,
-		ReadHeaderTimeout: HeaderTimeout,
+		ReadHeaderTimeout: HeadTimeout,
 		ReadTimeout:       requestTimeout,
 		WriteTimeout:      requestTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// MinIdleBeforeClose is how long a connection without a request must have been open before it may be closed. It is
-	// closed earlier only if a new connection could not be admitted otherwise.
+	// MinIdleBeforeClose is how long a client may be silent before its first request or while it sends a request, until
+	// its connection may be closed. The connection is closed earlier only if a new one could not be admitted otherwise,
+	// or at the time limit of a shutdown.
 	MinIdleBeforeClose = 2 * time.Second
 	// maxVictimChecks is how many connections of each group of candidates takeVictim examines. Each check takes a
 	// system call.
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -129,8 +129,8 @@
 	if resp, _ := sidecar.callAdmin("GET", "/api/ready"); resp.StatusCode != 200 {
 		t.Errorf("GET /api/ready: got status %d, want 200", resp.StatusCode)
 	}
-	if elapsed := time.Since(start); elapsed >= admin.HeaderTimeout {
-		t.Errorf("got the response after %v, want less than the timeout %v of idle connections", elapsed, admin.HeaderTimeout)
+	if elapsed := time.Since(start); elapsed >= admin.HeadTimeout {
+		t.Errorf("got the response after %v, want less than the timeout %v of idle connections", elapsed, admin.HeadTimeout)
 	}
 }
 
--- a/internal/upstream/attemptresult.go
+++ b/internal/upstream/attemptresult.go
@@ -16,22 +16,22 @@
 	neverRanValue  = "1"
 )
 
-// connectErrorResult returns the result of an attempt or a health check that got no connection. A failure on the sidecar's
-// side is NotAttempted, which does not count against the endpoint.
-func connectErrorResult(ctx context.Context, err error) balance.Result {
+// noConnectionResult returns the result of an attempt or a health check that got no connection because of err. A
+// failure on the sidecar's side is NotAttempted, which does not count against the endpoint.
+func noConnectionResult(ctx context.Context, err error) balance.Result {
 	if ctx.Err() != nil || errors.Is(err, errNoSocket) {
 		return balance.NotAttempted
 	}
 	return balance.ConnectFailed
 }
 
-// connectErrorResult returns the result of an attempt that got no connection. If its deadline has passed, the failure does
-// not count against the endpoint, which may have had less time than the connect timeout.
+// connectErrorResult returns the result of an attempt that got no connection. If its deadline has passed, the failure
+// does not count against the endpoint, which may have had less time than the connect timeout.
 func (a *Attempt) connectErrorResult(err error) balance.Result {
 	if a.expired() {
 		return balance.NotAttempted
 	}
-	return connectErrorResult(a.Context, err)
+	return noConnectionResult(a.Context, err)
 }
 
 // writeErrorResult returns the result of an attempt whose request was not written completely, and so was not executed.
@@ -42,17 +42,17 @@
 	return balance.ConnectFailed
 }
 
-// readErrorResult returns the result of an attempt whose request was written completely but whose response is incomplete.
-// The request may have been executed.
+// readErrorResult returns the result of an attempt whose request was written completely but whose response is
+// incomplete. The request may have been executed.
 func (a *Attempt) readErrorResult(err error) balance.Result {
 	if a.Context.Err() != nil {
 		return balance.Cancelled
 	}
-	return readErrorResult(err)
+	return responseErrorResult(err)
 }
 
-// readErrorResult returns the result for an error from reading a response.
-func readErrorResult(err error) balance.Result {
+// responseErrorResult returns the result for an error from reading a response.
+func responseErrorResult(err error) balance.Result {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return balance.TimedOut
 	}
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -19,7 +19,7 @@
 	deadline := time.Now().Add(c.pool.connectTimeout + healthCheckSlack)
 	conn, err := c.pool.get(ctx, endpoint, deadline)
 	if err != nil {
-		return Outcome{Result: connectErrorResult(ctx, err)}
+		return Outcome{Result: noConnectionResult(ctx, err)}
 	}
 	if endpoint.Closed.Load() { // it began to drain while the connection was being opened
 		c.pool.put(conn)
@@ -36,7 +36,7 @@
 	}
 	response, err := conn.reader.Next(http.MethodGet, http1.NopResponseObserver{})
 	if err != nil {
-		return failedRoundTrip(readErrorResult(err), err)
+		return failedRoundTrip(responseErrorResult(err), err)
 	}
 	return roundTripOutcome{c.healthCheckOutcome(response), conn.reusableAfter(response)}
 }
