--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -26,20 +26,20 @@
 	// requestCount is the number of requests that reached the HTTP handler, and so the number of the current request.
 	// Only the serving goroutine uses it.
 	requestCount int64
-	// uploading is true while a long body is being received. Its request is passed on before the body is complete, so
-	// it does not count as incomplete.
+	// uploading is true while the handler serves a request with an upload. Such a request is passed on before its body
+	// is complete, so it does not count as incomplete.
 	uploading atomic.Bool
 
 	// readMu guards the fields below. A read and the update of scanner are one critical section, and so are a check of
 	// scanner and the decision to close the connection. Exceptions: the atomic fields of scanner may be read by any
 	// goroutine, scanner.Err by the reading goroutine and scanner.Chunked by the serving goroutine.
-	readMu            sync.Mutex
-	scanner           http1.RequestScanner
-	closing           bool  // the connection is about to be closed; nothing more is read from it
-	awaitingResponse  bool  // a complete request awaits its response
-	responsesStarted  int64 // number of the last request whose response was started; see startResponse
-	responsesFinished int64 // count of responses that were written completely
-	trailingBytes     int   // bytes that were discarded while a request awaited its response
+	readMu              sync.Mutex
+	scanner             http1.RequestScanner
+	closing             bool  // the connection is about to be closed; nothing more is read from it
+	awaitingResponse    bool  // a complete request awaits its response
+	lastResponseStarted int64 // number of the last request whose response was started; see startResponse
+	responsesFinished   int64 // count of responses that were written completely
+	trailingBytes       int   // bytes that were discarded while a request awaited its response
 
 	// tracker.mu guards the fields below.
 	queue        *list.List    // the queue that the connection is in; nil once the connection is about to be closed
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -6,10 +6,12 @@
 )
 
 const (
-	// MinIdleBeforeClose is how long a connection without a request must have been open before it may be closed. It is
-	// closed earlier only if a new connection could not be admitted otherwise.
+	// MinIdleBeforeClose is how long a client may be silent before its first request or while it sends a request, until
+	// its connection may be closed. The connection is closed earlier only if a new one could not be admitted otherwise,
+	// or at the time limit of a shutdown.
 	MinIdleBeforeClose = 2 * time.Second
-	// maxVictimChecks is how many connections of a group of candidates one eviction examines. Each takes a system call.
+	// maxVictimChecks is how many connections of each group of candidates takeVictim examines. Each check takes a
+	// system call.
 	maxVictimChecks = 32
 )
 
@@ -31,7 +33,7 @@
 func (t *ConnTracker) SetLimit(maxConns int) {
 	t.mu.Lock()
 	t.maxConns = maxConns
-	excess := t.open - maxConns
+	excess := t.openConns - maxConns
 	t.mu.Unlock()
 	for excess > 0 && t.Evict() {
 		excess--
--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -21,7 +21,7 @@
 	socketRetryDelay = time.Second
 )
 
-// Process contains what a process shares with its successors, and the callback by which it learns of other processes.
+// Process contains what this process shares with its successors, and a callback that reports how many processes run.
 type Process struct {
 	// Listener listens on the client address.
 	Listener net.Listener
@@ -32,15 +32,16 @@
 	CountChanged func(processes int)
 }
 
-// Handover exchanges the state and the client listener with the predecessor and the successors of this process.
+// Handover receives the state and the client listener of the predecessor, and sends those of this process to its
+// successors.
 type Handover struct {
-	listen         string // the client address, host:port
+	clientAddress  string // host:port at which this sidecar serves clients
 	socket         unixSocket
 	log            *slog.Logger
 	processCounter processCounter
 
 	predecessor     net.Conn // open while the predecessor runs; nil if there was none; set before Run
-	lastSocketError string   // the last logged failure to open the socket; used by Run only
+	lastSocketError string   // the last logged failure to open the socket; only Run uses it
 }
 
 // NewHandover returns the handover of the process that cfg configures. It returns nil if upgrades are not possible: if
@@ -49,7 +50,7 @@
 	if cfg.ScratchDir == "" || cfg.AdminListen == "" {
 		return nil
 	}
-	return &Handover{listen: cfg.Listen, socket: unixSocket(SocketPath(cfg.ScratchDir, cfg.Listen)), log: log}
+	return &Handover{clientAddress: cfg.Listen, socket: unixSocket(SocketPath(cfg.ScratchDir, cfg.Listen)), log: log}
 }
 
 // Run sends the state to successors until ctx is done or Retire was called, and monitors the predecessor.
--- /dev/null
+++ b/internal/upstream/roundtrip.go
@@ -0,0 +1,115 @@
+package upstream
+
+import (
+	"context"
+	"time"
+
+	"cindersaddle/balance"
+	"cindersaddle/internal/http1"
+	"cindersaddle/internal/socket"
+)
+
+// roundTripOutcome describes how a round trip ended: one request and its response on one connection.
+type roundTripOutcome struct {
+	outcome      Outcome
+	connReusable bool // the connection may carry another request
+}
+
+// failedRoundTrip returns the outcome of a round trip without a complete response. Its connection must be closed.
+func failedRoundTrip(result balance.Result, err error) roundTripOutcome {
+	return roundTripOutcome{outcome: Outcome{Result: result, Err: err}}
+}
+
+// runInterruptible runs a round trip that may take until the deadline. If ctx is done, it interrupts the round trip:
+// all reads and writes of the connection return an error, and the connection is not reused.
+func runInterruptible(
+	ctx context.Context, conn *endpointConn, deadline time.Time, roundTrip func() roundTripOutcome,
+) roundTripOutcome {
+	conn.SetDeadline(deadline)
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(socket.PastDeadline) })
+	result := roundTrip()
+	interrupted := !stop()
+	result.connReusable = result.connReusable && !interrupted
+	return result
+}
+
+// roundTrip writes the request of an attempt and reads its response.
+func (c *Client) roundTrip(attempt *Attempt, conn *endpointConn) roundTripOutcome {
+	if attempt.Message.Upload != nil {
+		return c.roundTripUpload(attempt, conn)
+	}
+	return c.roundTripBuffered(attempt, conn)
+}
+
+// roundTripBuffered sends a request whose complete body is in memory and reads the response.
+func (c *Client) roundTripBuffered(attempt *Attempt, conn *endpointConn) roundTripOutcome {
+	request, err := attempt.Message.Encode(attempt.Deadline)
+	if err != nil {
+		return failedRoundTrip(balance.NotAttempted, err)
+	}
+	// A request that may have been executed must not be retried. It is written in a single call, so that the number of
+	// bytes that the kernel accepted shows whether the last byte was sent.
+	if written, err := conn.Write(request); written < len(request) {
+		return failedRoundTrip(attempt.writeErrorResult(err), err)
+	}
+	c.metrics.Attempts.Add(1)
+	response, err := conn.reader.Next(attempt.Message.Method, deadlineObserver{attempt, conn})
+	if err != nil {
+		return failedRoundTrip(attempt.readErrorResult(err), err)
+	}
+	return c.handleResponse(attempt, conn, response)
+}
+
+// roundTripUpload sends a request while its body is still arriving from the client. The response may arrive before the
+// body is complete.
+func (c *Client) roundTripUpload(attempt *Attempt, conn *endpointConn) roundTripOutcome {
+	writer := newUploadWriter(attempt.Message.Upload, conn)
+	request := attempt.Message.NewRequest(attempt.PostUploadTimeout, writer.source, writer.source.Length)
+	go writer.run(request, func() { c.uploadSent(attempt, conn) })
+
+	response, err := conn.reader.Next(attempt.Message.Method, uploadObserver{attempt: attempt})
+	var result roundTripOutcome
+	if err == nil {
+		result = c.handleResponse(attempt, conn, response)
+	}
+	sent := writer.stop()
+	if sent {
+		<-writer.done // until then, run may set deadlines of the connection and call uploadSent
+	}
+	switch {
+	case err == nil:
+		result.connReusable = result.connReusable && sent
+		return result
+	case sent:
+		return failedRoundTrip(attempt.readErrorResult(err), err)
+	default:
+		return roundTripOutcome{outcome: writer.incompleteOutcome(attempt, err)}
+	}
+}
+
+// uploadSent is called when the last byte of a streamed request body was written. It starts the time limit of the response.
+func (c *Client) uploadSent(attempt *Attempt, conn *endpointConn) {
+	c.metrics.Attempts.Add(1)
+	responseDeadline := time.Now().Add(attempt.PostUploadTimeout)
+	attempt.setReadDeadline(conn, earlier(attempt.Deadline, responseDeadline))
+	attempt.Observer.UploadSent(attempt)
+}
+
+// handleResponse returns the outcome of a round trip that got a response. If the response is streamed, it returns when
+// the stream has ended.
+func (c *Client) handleResponse(attempt *Attempt, conn *endpointConn, response http1.Response) roundTripOutcome {
+	outcome := Outcome{Result: statusResult(response.Head), LoadReport: loadReportFrom(response.Head, c.loadReportFields)}
+	if outcome.Result != balance.OK {
+		return roundTripOutcome{outcome, !response.Streaming && conn.reusableAfter(response)}
+	}
+	response.Head.Header.Del(LoadReportHeader)
+	http1.RemoveHopHeaders(response.Head.Header)
+	if !response.Streaming {
+		outcome.Response = bufferedResponse(response)
+		return roundTripOutcome{outcome, conn.reusableAfter(response)}
+	}
+	err := streamToClient(attempt, conn, response)
+	outcome.Result = attempt.streamResult(err)
+	outcome.Err = err
+	return roundTripOutcome{outcome, err == nil && conn.reusableAfter(response)}
+}
