--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -52,7 +52,7 @@
 	state        *exchange.ServiceState
 	done         <-chan struct{} // closed when handler sends no more responses
 	tracker      *ConnTracker
-	replayBudget exchange.BufferBudget // shared by the uploads of all requests
+	replayBudget exchange.ReplayBudget // shared by the uploads of all requests
 }
 
 // NewServer returns a server that buffers at most replayBytes of all uploads together for retries. Once done is closed,
--- a/internal/eventloop/upload_test.go
+++ b/internal/eventloop/upload_test.go
@@ -64,7 +64,7 @@
 	upload := &exchange.Upload{
 		Length:         20,
 		Source:         strings.NewReader("a body, all of it"),
-		Budget:         &exchange.BufferBudget{},
+		Budget:         &exchange.ReplayBudget{},
 		SetReadTimeout: func(time.Duration) {},
 	}
 	ex.Message.Upload = upload
--- a/internal/exchange/replaybuffer.go
+++ b/internal/exchange/replaybuffer.go
@@ -16,8 +16,8 @@
 	bytesPerMegabyte = 1 << 20
 )
 
-// BufferBudget limits the bytes that all uploads together may buffer. It is safe for concurrent use.
-type BufferBudget struct {
+// ReplayBudget limits the bytes that all uploads together may buffer. It is safe for concurrent use.
+type ReplayBudget struct {
 	Remaining atomic.Int64 // bytes that may still be buffered
 }
 
@@ -30,7 +30,7 @@
 }
 
 // reserve takes n bytes from the budget. It returns false, and takes nothing, if fewer remain.
-func (b *BufferBudget) reserve(n int) bool {
+func (b *ReplayBudget) reserve(n int) bool {
 	if b.Remaining.Add(-int64(n)) >= 0 {
 		return true
 	}
@@ -39,7 +39,7 @@
 }
 
 // release returns n bytes to the budget.
-func (b *BufferBudget) release(n int) { b.Remaining.Add(int64(n)) }
+func (b *ReplayBudget) release(n int) { b.Remaining.Add(int64(n)) }
 
 // bufferForReplay buffers p for another attempt, or discards the buffer if a limit would be exceeded. The caller holds mu.
 func (u *Upload) bufferForReplay(p []byte) {
--- a/internal/exchange/upload.go
+++ b/internal/exchange/upload.go
@@ -44,7 +44,7 @@
 	// MarkAwaitingResponse records that the request is complete. It returns an error if the client does not wait for a
 	// response.
 	MarkAwaitingResponse func() error
-	Budget               *BufferBudget // budget that the buffered bytes count against
+	Budget               *ReplayBudget // budget that the buffered bytes count against
 	Discarded            atomic.Bool   // the bytes read so far are no longer buffered
 	Received             atomic.Bool   // the last byte was read from the client
 	lastByte             lastByteTracker
--- a/internal/exchange/upload_test.go
+++ b/internal/exchange/upload_test.go
@@ -15,7 +15,7 @@
 // exceeds it, discards its buffer and cannot be read again. Release returns the bytes to the budget and ends reading.
 func TestUploadsShareOneBufferBudget(t *testing.T) {
 	const budgetBytes, readBytes = 100 << 10, 60 << 10
-	budget := &BufferBudget{}
+	budget := &ReplayBudget{}
 	budget.Remaining.Store(budgetBytes)
 	newUpload := func() *Upload {
 		return &Upload{Source: strings.NewReader(sidecartest.LongBody), SetReadTimeout: func(time.Duration) {}, Budget: budget}
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -76,7 +76,7 @@
 	text := strings.Repeat("a", uploadPrefixBytes) + string(uploadLastByte)
 	attempt.Message.Body, attempt.Message.Upload = nil, &exchange.Upload{
 		Length: int64(len(text)), Source: strings.NewReader(text), SetReadTimeout: func(time.Duration) {},
-		MarkAwaitingResponse: awaitResponse, Budget: &exchange.BufferBudget{},
+		MarkAwaitingResponse: awaitResponse, Budget: &exchange.ReplayBudget{},
 	}
 	return attempt
 }
