--- a/internal/downstream/api.go
+++ b/internal/downstream/api.go
@@ -55,7 +55,7 @@
 	if ex.Message.Upload != nil {
 		return nil
 	}
-	if err := conn.MarkAwaitingResponse(conn.requestCount); errors.Is(err, ErrTrailingData) {
+	if err := conn.MarkAwaitingResponse(conn.requestNumber); errors.Is(err, ErrTrailingData) {
 		return exchange.BadRequestf("%v", err)
 	}
 	return nil
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -9,12 +9,12 @@
 	"cindersaddle/internal/http1"
 )
 
-// The time limit for reading a body is bodyGracePeriod plus the time that its bytes take at minBodyRate. Clients send
-// at least 64 kB per second; a client that stalls must get an error response or a closed connection within 3 s of
-// connecting.
+// The read deadline of a body is bodyGracePeriod plus the time that the bytes read so far take at minBodyRate, or the
+// deadline set by readTimeout if that is later. A client that stalls must get an error response or a closed connection
+// within 3 s of connecting.
 const (
 	bodyGracePeriod = 700 * time.Millisecond
-	minBodyRate     = 48 << 10 // bytes per second
+	minBodyRate     = 48 << 10 // bytes per second; clients send at least 64 kB per second
 )
 
 // readBody reads the body of a request. A body of up to http1.MaxBufferedBody bytes is read and returned completely. Of
@@ -47,7 +47,7 @@
 func (s *Server) newUpload(
 	r *http.Request, conn *Conn, controller *http.ResponseController, source io.Reader, firstBytes []byte,
 ) *exchange.Upload {
-	requestNumber := conn.requestCount
+	requestNumber := conn.requestNumber
 	controller.EnableFullDuplex() // the response may start before the body has been read completely
 	conn.uploading.Store(true)
 	upload := &exchange.Upload{
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -23,9 +23,9 @@
 	openedAt time.Time
 	record   connRecord
 
-	// requestCount is the number of requests that reached the HTTP handler, and so the number of the current request.
+	// requestNumber is the number of the current or last request that reached the HTTP handler; 0 before the first one.
 	// Only the serving goroutine uses it.
-	requestCount int64
+	requestNumber int64
 	// uploading is true while the handler serves a request with an upload. Such a request is passed on before its body
 	// is complete, so it does not count as incomplete.
 	uploading atomic.Bool
@@ -33,13 +33,13 @@
 	// readMu guards the fields below. A read and the update of scanner are one critical section, and so are a check of
 	// scanner and the decision to close the connection. Exceptions: the atomic fields of scanner may be read by any
 	// goroutine, scanner.Err by the reading goroutine and scanner.Chunked by the serving goroutine.
-	readMu              sync.Mutex
-	scanner             http1.RequestScanner
-	closing             bool  // the connection is about to be closed; nothing more is read from it
-	awaitingResponse    bool  // a complete request awaits its response
-	lastResponseStarted int64 // number of the last request whose response was started; see startResponse
-	responsesFinished   int64 // count of responses that were written completely
-	trailingBytes       int   // bytes that were discarded while a request awaited its response
+	readMu               sync.Mutex
+	scanner              http1.RequestScanner
+	closing              bool  // the connection is about to be closed; nothing more is read from it
+	awaitingResponse     bool  // a complete request awaits its response
+	lastRespondedRequest int64 // number of the last request whose response was started; see startResponse
+	responsesFinished    int64 // count of responses that were written completely
+	trailingBytes        int   // bytes that were discarded while a request awaited its response
 
 	// tracker.mu guards the fields below.
 	queue        *list.List    // the queue that the connection is in; nil once the connection is about to be closed
@@ -56,14 +56,14 @@
 }
 
 // countRequest counts a request that reached the HTTP handler. Only the serving goroutine may call it.
-func (c *Conn) countRequest() { c.requestCount++ }
+func (c *Conn) countRequest() { c.requestNumber++ }
 
 // requestDeadline returns the read deadline that http.Server has set for the current request. It counts from the accept
 // for the first request of a connection, and from the first byte for later requests. Only the serving goroutine may
 // call it.
 func (c *Conn) requestDeadline() time.Time {
 	startedAt := c.openedAt
-	if c.requestCount > 1 {
+	if c.requestNumber > 1 {
 		startedAt, _ = c.scanner.Partial()
 	}
 	return startedAt.Add(readTimeout)
--- a/internal/downstream/conn_await.go
+++ b/internal/downstream/conn_await.go
@@ -24,7 +24,7 @@
 func (c *Conn) MarkAwaitingResponse(requestNumber int64) error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	if c.lastResponseStarted >= requestNumber {
+	if c.lastRespondedRequest >= requestNumber {
 		return exchange.ErrUploadStopped
 	}
 	state := socket.Peek(c.TCPConn)
@@ -45,8 +45,8 @@
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	c.awaitingResponse = false
-	c.lastResponseStarted = c.requestCount
-	return c.trailingDataAfter(c.requestCount) || socket.Peek(c.TCPConn) == socket.Readable
+	c.lastRespondedRequest = c.requestNumber
+	return c.trailingDataAfter(c.requestNumber) || socket.Peek(c.TCPConn) == socket.Readable
 }
 
 // trailingDataAfter reports whether bytes were read after the request with this number. The caller holds readMu.
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// MinIdleBeforeClose is how long a client may be silent before its first request or while it sends a request, until
-	// its connection may be closed. The connection is closed earlier only if a new one could not be admitted otherwise,
-	// or at the time limit of a shutdown.
+	// MinIdleBeforeClose is how long a client may be silent before its first request or while it sends a request. After
+	// that time its connection is the first choice of takeVictim, and a shutdown closes it if no byte of a request has
+	// arrived. It is closed earlier if takeVictim finds no better victim (at the limit of connections, after SetLimit
+	// has lowered that limit, or if file descriptors run out), and at the time limit of a shutdown.
 	MinIdleBeforeClose = 2 * time.Second
 	// maxVictimChecks is how many connections of each group of candidates takeVictim examines. Each check takes a
 	// system call.
@@ -43,14 +44,14 @@
 // takeVictim chooses the connection whose loss does the least harm, marks it as closing, removes it from its queue and
 // returns it; the caller must close it. It returns nil if no connection can be closed. The order of preference is:
 //
-//  1. a connection that has been silent for MinIdleBeforeClose without a complete request;
-//  2. a connection between two requests, because its client can connect again;
-//  3. the connection that has been silent for longest without a complete request: a client that writes slowly continues
-//     to write, while a client that never completes its request falls silent at some point.
+//  1. a new connection, or one with an incomplete request, that has been silent for MinIdleBeforeClose;
+//  2. an idle connection, because its client can connect again;
+//  3. the new connection, or the one with an incomplete request, that has been silent for longest: a client that writes
+//     slowly continues to write, while a client that never completes its request falls silent at some point.
 //
 // The caller holds mu.
 func (t *ConnTracker) takeVictim(now time.Time) *Conn {
-	longSilent, recentlyActive := splitBySilentTime(t.queues.possiblyStalled(), now)
+	longSilent, recentlyActive := splitBySilentTime(t.queues.newOrIncomplete(), now)
 	idle := connsOf(&t.queues.idleConns)
 	for _, candidates := range [][]*Conn{longSilent, idle, recentlyActive} {
 		if victim := markFirstClosable(candidates); victim != nil {
--- a/internal/downstream/headers.go
+++ b/internal/downstream/headers.go
@@ -23,7 +23,8 @@
 )
 
 const (
-	// maxTokenLength is the maximum length of a token in bytes; see isToken. Clients use tokens of 16 and 32 bytes.
+	// maxTokenLength is the maximum length of a token, which is a trace ID or an idempotency key, in bytes. Clients use
+	// tokens of 16 and 32 bytes.
 	maxTokenLength = 256
 	// workHintScale is the value of workHintHeader for one unit of work.
 	workHintScale = 1000
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// isToken reports whether text is a valid token, which identifies a request: 1 to maxTokenLength visible ASCII
+// isToken reports whether text is valid as a trace ID or an idempotency key: 1 to maxTokenLength visible ASCII
 // characters, without spaces.
 func isToken(text string) bool {
 	for i := range len(text) {
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -24,8 +24,12 @@
 	acceptLogInterval = time.Second
 )
 
-// ListenShared listens on a TCP address with SO_REUSEPORT, so that the successor in an upgrade can listen on the same
-// address. If the kernel rejects the option, only this process can listen there.
+// ListenShared listens on a TCP address with SO_REUSEPORT.
+//
+// In an upgrade, the successor normally receives the descriptor of this socket from package upgrade, and both processes
+// accept from the same listen queue. SO_REUSEPORT is for a successor that does not receive it: it can open a socket of
+// its own, with a separate queue, at the same address. If the kernel rejects the option, only this socket can listen
+// there.
 func ListenShared(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
--- a/internal/downstream/listener_drain.go
+++ b/internal/downstream/listener_drain.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// ShareQueue records that another process accepts from the same listen queue and continues to do so after Drain. It
-// must be called before Drain.
+// ShareQueue records that the successor may have received this socket, and accepts from the same listen queue after
+// Drain too; see ListenShared. It must be called before Drain.
 func (l *Listener) ShareQueue() { l.queueShared.Store(true) }
 
 // drainQueue accepts all connections in the listen queue and closes the listener.
--- a/internal/downstream/queues.go
+++ b/internal/downstream/queues.go
@@ -9,7 +9,7 @@
 // only after it has parsed a complete request head, so a connection in newConns or idleConns may already have received
 // a request. ConnTracker.mu guards all fields.
 type connQueues struct {
-	newConns    list.List // connections that have not had a request, oldest first
+	newConns    list.List // connections whose first request has no complete head yet, oldest first
 	idleConns   list.List // connections between two requests, longest idle first
 	activeConns list.List // connections with a request whose head is complete
 }
@@ -40,12 +40,12 @@
 	return slices.Concat(connsOf(&q.newConns), connsOf(&q.idleConns), connsOf(&q.activeConns))
 }
 
-// inactiveCount returns the number of new and idle connections.
+// inactiveCount returns the number of inactive connections, which are the new and the idle ones.
 func (q *connQueues) inactiveCount() int { return q.newConns.Len() + q.idleConns.Len() }
 
-// possiblyStalled returns the connections in newConns and those with an incomplete request. They are in the order of
-// their last activity, the longest silent one first.
-func (q *connQueues) possiblyStalled() []*Conn {
+// newOrIncomplete returns the connections in newConns and those with an incomplete request, in the order of their last
+// activity: the longest silent one comes first.
+func (q *connQueues) newOrIncomplete() []*Conn {
 	conns := connsOf(&q.newConns)
 	for _, queue := range []*list.List{&q.idleConns, &q.activeConns} {
 		for _, conn := range connsOf(queue) {
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -30,8 +30,7 @@
 func (s *Server) respond(
 	w http.ResponseWriter, r *http.Request, conn *Conn, upload *exchange.Upload, response *exchange.Response,
 ) {
-	// Whether to close the connection is decided only now, because many requests may be awaiting their response when a
-	// shutdown begins.
+	// mustClose checks for a shutdown again, because one may have begun while the request awaited its response.
 	trailingData := conn.startResponse()
 	if trailingData || s.mustClose(conn, upload, response) {
 		closeAfterResponse(w)
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -11,13 +11,14 @@
 	"cindersaddle/internal/timing"
 )
 
-// inactiveDivisor limits the inactive connections, which are those without a request. At most maxConns/inactiveDivisor
-// of them are kept open for another request.
+// inactiveDivisor limits the inactive connections, which are the new and the idle ones: while there are
+// maxConns/inactiveDivisor of them or more, connections are closed after their response.
 const inactiveDivisor = 4
 
 // ConnTracker limits the number of open client connections. Without it, connections that stay open and send nothing
 // could use up all file descriptors, so that accept fails and no other client is served. The limit leaves descriptors
-// free; at the limit, a connection without a request is evicted for a new one. Its methods are safe for concurrent use.
+// free; at the limit, a connection without a complete request is evicted for a new one. Its methods are safe for
+// concurrent use.
 type ConnTracker struct {
 	mu        sync.Mutex
 	maxConns  int
@@ -93,8 +94,8 @@
 	}
 }
 
-// closeIdleConns closes the connections between two requests, and those that have been open for MinIdleBeforeClose
-// without receiving any byte of a request.
+// closeIdleConns closes the idle connections, except those on which part of the next request has arrived, and the new
+// connections that have been open for MinIdleBeforeClose without receiving any byte of a request.
 func (t *ConnTracker) closeIdleConns() {
 	for _, conn := range t.all() {
 		mayClose := func() bool {
