--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -21,10 +21,10 @@
 	// maxParts is the maximum number of parts in which a response is written.
 	maxParts = 3
 	// maxPadding is the exclusive upper bound of the padding of a body, in bytes. On average, one body in
-	// longBodyInterval has longPadding bytes instead.
-	maxPadding       = 4000
-	longPadding      = 100_000
-	longBodyInterval = 50
+	// oneInLongBody has longPadding bytes instead.
+	maxPadding    = 4000
+	longPadding   = 100_000
+	oneInLongBody = 50
 )
 
 // framings are the framings of responses, which are equally probable.
@@ -103,7 +103,7 @@
 		PartPause:    r.randomPause(maxPartPause),
 		PaddingBytes: r.random.IntN(maxPadding),
 	}
-	if r.random.IntN(longBodyInterval) == 0 {
+	if r.random.IntN(oneInLongBody) == 0 {
 		reply.PaddingBytes = longPadding
 	}
 	if r.random.Float64() < r.plan.FailureRate {
--- a/internal/soak/event_draw.go
+++ b/internal/soak/event_draw.go
@@ -30,7 +30,7 @@
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
 
 const (
-	// All events begin in the middle of the run: between these eighths of the duration of the traffic.
+	// All events begin between these eighths of the duration of the traffic.
 	firstEventEighths = 1
 	lastEventEighths  = 5
 
@@ -46,12 +46,11 @@
 	minSuspensionDuration = 20 * time.Millisecond
 	maxSuspensionDuration = 150 * time.Millisecond
 
-	// On average, one sidecar in noSidecarActionInterval has none of sidecarActions, one plan in
-	// discoveryOutageInterval has a DiscoveryOutage, and one plan with injected faults in clockStepInterval has a
-	// StepClock.
-	noSidecarActionInterval = 3
-	discoveryOutageInterval = 3
-	clockStepInterval       = 2
+	// On average, one sidecar in oneInNoSidecarAction has none of sidecarActions, one plan in oneInDiscoveryOutage has a
+	// DiscoveryOutage, and one plan with injected faults in oneInClockStep has a StepClock.
+	oneInNoSidecarAction = 3
+	oneInDiscoveryOutage = 3
+	oneInClockStep       = 2
 )
 
 // eventDraw draws the events of a plan from its random numbers.
@@ -102,7 +101,7 @@
 
 // addSidecarEvents adds the events of a sidecar.
 func (d *eventDraw) addSidecarEvents(id SidecarID) {
-	if d.random.IntN(noSidecarActionInterval) > 0 {
+	if d.random.IntN(oneInNoSidecarAction) > 0 {
 		newAction := sidecarActions[d.random.IntN(len(sidecarActions))]
 		d.add(newAction(id, time.Duration(d.random.IntN(maxReloadIntervals+1))*reloadInterval))
 	}
@@ -114,10 +113,10 @@
 // addCommonEvents adds the events that affect all sidecars. The clock of a sidecar can be stepped only if faults are
 // injected into it, because the sidecar as shipped does not read the file with the step.
 func (d *eventDraw) addCommonEvents() {
-	if d.random.IntN(discoveryOutageInterval) == 0 {
+	if d.random.IntN(oneInDiscoveryOutage) == 0 {
 		d.add(DiscoveryOutage{d.randomOutageDuration()})
 	}
-	if d.plan.SystemCallFaults.enabled() && d.random.IntN(clockStepInterval) == 0 {
+	if d.plan.SystemCallFaults.enabled() && d.random.IntN(oneInClockStep) == 0 {
 		d.add(StepClock{clockSteps[d.random.IntN(len(clockSteps))]})
 	}
 }
--- a/internal/soak/exceptions.go
+++ b/internal/soak/exceptions.go
@@ -7,8 +7,8 @@
 	"cindersaddle/internal/standin"
 )
 
-// faultEffectMargin is the time before and after a fault of the network or an endpoint in which its consequences do not
-// count as violations.
+// faultEffectMargin extends the time of a fault of the network or an endpoint on both sides. An attempt that is open
+// during the extended time counts as possibly broken by the fault.
 const faultEffectMargin = time.Second
 
 // processKilled reports whether the sidecar process that handled a request was killed without an earlier SIGTERM.
@@ -16,14 +16,14 @@
 	return j.killedBetween(e.Sidecar, e.BeganAt, e.EndedAt)
 }
 
-// killedBetween reports whether a process of the sidecar received SIGKILL without a SIGTERM by the time to, and had
-// not ended before the time from. Processes with a SIGTERM do not count, because they had time to respond to all
-// requests that they had received.
+// killedBetween reports whether a process of the sidecar that was sent no SIGTERM was sent SIGKILL at the time to or
+// earlier, and had not ended before the time from. Processes with a SIGTERM do not count, because they had time to
+// respond to all requests that they had received.
 func (j *judge) killedBetween(sidecar SidecarID, from, to time.Time) bool {
 	return slices.ContainsFunc(j.Incarnations, func(incarnation Incarnation) bool {
-		withoutTerm := !incarnation.KilledAt.IsZero() && incarnation.TermAt.IsZero()
+		killedWithoutTerm := !incarnation.KilledAt.IsZero() && incarnation.TermAt.IsZero()
 		endedBefore := !incarnation.EndedAt.IsZero() && incarnation.EndedAt.Before(from)
-		return incarnation.Sidecar == sidecar && withoutTerm && !endedBefore && !to.Before(incarnation.KilledAt)
+		return incarnation.Sidecar == sidecar && killedWithoutTerm && !endedBefore && !to.Before(incarnation.KilledAt)
 	})
 }
 
@@ -54,7 +54,8 @@
 	})
 }
 
-// openBetween reports whether an attempt was open at any time between from and to.
+// openBetween reports whether an attempt was open at any time between from and to, counted from when the endpoint had
+// received its request completely.
 func (a *Attempt) openBetween(from, to time.Time) bool {
 	return a.LastByteAt.Before(to) && (a.EndedAt.IsZero() || a.EndedAt.After(from))
 }
--- a/internal/soak/ids.go
+++ b/internal/soak/ids.go
@@ -2,6 +2,9 @@
 
 import "fmt"
 
+// The IDs of endpoints are "s-0", "s-1" and so on, those of sidecars "n0", "n1" and so on. They are part of the texts of
+// plans, on which the checksum of TestSeedsKeepTheirPlans depends.
+
 // EndpointID identifies an endpoint of a run over all its incarnations, as in the endpoint list.
 type EndpointID string
 
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -22,8 +22,8 @@
 	RuleIncompleteRequest  Rule = "incomplete request"
 )
 
-// recordSlack is the tolerance for the time between an event and its record on a busy machine. Every rule that
-// compares times adds it.
+// recordSlack is the tolerance for the time between an event and its record on a busy machine. Rules add it to their
+// time limits, except RuleSlowStart, which counts requests, and closeRaceWindow of RuleResponse.
 const recordSlack = 60 * time.Millisecond
 
 // Violation is one case in which a rule was broken.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -55,8 +55,8 @@
 	minWorkers   = 8 // per sidecar
 	maxWorkers   = 15
 
-	// On average, one plan in incompleteConnsInterval has connections without a complete request.
-	incompleteConnsInterval = 4
+	// On average, one plan in oneInIncompleteConns has connections without a complete request.
+	oneInIncompleteConns = 4
 )
 
 // The values that a plan chooses from with equal probability.
@@ -82,7 +82,7 @@
 		FailureRate:      failureRates[random.IntN(len(failureRates))],
 		DisconnectRate:   disconnectRates[random.IntN(len(disconnectRates))],
 	}
-	if random.IntN(incompleteConnsInterval) == 0 {
+	if random.IntN(oneInIncompleteConns) == 0 {
 		plan.IncompleteConns = plan.Sockets
 	}
 	plan.Events = drawEvents(plan, random)
--- a/internal/soak/rule_drain.go
+++ b/internal/soak/rule_drain.go
@@ -16,7 +16,7 @@
 //
 // The rule applies from the notification plus the configured drain grace and drainSlack, until the sidecar can read
 // that the endpoint is ready again. The end is judged by Notification.ReadableAt, because a sidecar may act on a change
-// as soon as it can read it, but must do so only from Notification.NotifiedAt on.
+// as soon as it can read it, but need not do so before Notification.NotifiedAt.
 func (j *judge) checkDrains() {
 	grace := j.Plan.Settings.Rules.DrainGrace.Duration() + drainSlack + recordSlack
 	for i := range j.Attempts {
@@ -42,7 +42,8 @@
 }
 
 // notificationTime returns when a sidecar counts as notified of a change. This is NotifiedAt, or later if a process
-// that was still running then, or started afterwards, could not know of the change before.
+// that was still running then, or started afterwards, could not know of the change before. The latest of these times
+// counts, so a restart also excuses attempts that an earlier process started after NotifiedAt.
 func (j *judge) notificationTime(notification *Notification) time.Time {
 	notifiedAt := notification.NotifiedAt
 	for _, incarnation := range j.Incarnations {
--- a/internal/soak/rule_expiry.go
+++ b/internal/soak/rule_expiry.go
@@ -16,8 +16,10 @@
 	j.forEachKnownAttempt(func(e *Exchange, attempt *Attempt) {
 		remaining := e.SentAt.Add(e.Deadline).Sub(attempt.LastByteAt)
 		if attempt.ExpiresIn > max(0, remaining)+expirySlack+recordSlack && !e.SentAt.IsZero() {
-			j.report(RuleExpiry, e.TraceID, "attempt at endpoint %s states a remaining time of %v, but only %v remain",
-				attempt.Endpoint, attempt.ExpiresIn, remaining)
+			j.report(RuleExpiry, e.TraceID,
+				"attempt at endpoint %s states a remaining time of %v, want at most the time until the deadline (%v, "+
+					"0 if negative) plus %v",
+				attempt.Endpoint, attempt.ExpiresIn, remaining, expirySlack+recordSlack)
 		}
 	})
 }
--- a/internal/soak/rule_response.go
+++ b/internal/soak/rule_response.go
@@ -37,7 +37,9 @@
 		j.checkCompleteResponse(e)
 	case standin.ExchangeTimedOut:
 		if !j.processKilled(e) {
-			j.report(RuleResponse, e.TraceID, "no response")
+			j.report(RuleResponse, e.TraceID,
+				"got no response within %v after the request was sent, want one within its deadline of %v plus %v",
+				e.EndedAt.Sub(e.SentAt), e.Deadline, lateResponseSlack+recordSlack)
 		}
 	case standin.ExchangeTruncated:
 		if !j.processKilled(e) && !j.responseBroken(e.TraceID) {
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -46,7 +46,8 @@
 	for _, e := range r.Exchanges {
 		if e.TraceID == traceID {
 			history.add(e.BeganAt,
-				"client of sidecar %s starts a request of class %s, deadline %v, reused connection: %v, disconnects after %v",
+				"client of sidecar %s starts a request of class %s, deadline %v, reused connection: %v, "+
+					"disconnects %v after its last byte (0s: it does not disconnect early)",
 				e.Sidecar, e.Class, e.Deadline, e.ReusedConn, e.DisconnectAfter)
 			history.add(e.SentAt, "client wrote the last byte")
 			history.add(e.EndedAt, "client: %v, status %d, error: %v", e.Outcome, e.Status, e.Err)
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -20,19 +20,19 @@
 	minDeadlineFraction = 0.7
 
 	// maxBodyBytes is the exclusive upper bound of the body of a usual request. On average, one request in
-	// longUploadInterval has a body that is longer than a sidecar buffers: at least minLongUploadBytes and less than
+	// oneInLongUpload has a body that is longer than a sidecar buffers: at least minLongUploadBytes and less than
 	// longUploadSpreadBytes more.
 	maxBodyBytes          = 500
 	minLongUploadBytes    = 70_000
 	longUploadSpreadBytes = 200_000
-	longUploadInterval    = 50
+	oneInLongUpload       = 50
 
-	// On average, one request in slowUploadInterval is written in minUploadParts to maxUploadParts parts, with a pause
+	// On average, one request in oneInSlowUpload is written in minUploadParts to maxUploadParts parts, with a pause
 	// shorter than maxUploadPause between two parts.
-	slowUploadInterval = 30
-	minUploadParts     = 2
-	maxUploadParts     = 4
-	maxUploadPause     = 100 * time.Millisecond
+	oneInSlowUpload = 30
+	minUploadParts  = 2
+	maxUploadParts  = 4
+	maxUploadPause  = 100 * time.Millisecond
 )
 
 // startTraffic starts the workers of all sidecars' clients, and the clients with incomplete requests.
@@ -83,10 +83,10 @@
 	if r.random.Float64() < r.plan.DisconnectRate {
 		request.DisconnectAfter = time.Duration(1 + r.random.ExpFloat64()*float64(meanDisconnectTime))
 	}
-	if r.random.IntN(longUploadInterval) == 0 {
+	if r.random.IntN(oneInLongUpload) == 0 {
 		request.BodyBytes = minLongUploadBytes + r.random.IntN(longUploadSpreadBytes)
 	}
-	if r.random.IntN(slowUploadInterval) == 0 {
+	if r.random.IntN(oneInSlowUpload) == 0 {
 		request.PartCount = minUploadParts + r.random.IntN(maxUploadParts-minUploadParts+1)
 		request.PartPause = r.randomPause(maxUploadPause)
 	}
