--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -17,8 +17,8 @@
 // # Connections and responses
 //
 // A connection is active from when net/http has parsed the head of a request until the response is complete. It is new
-// before its first request and idle between two requests, and inactive in both cases; part of a request may have arrived
-// already. A client or a connection is silent while no byte arrives from it, also during a request.
+// before its first request and idle between two requests, and inactive in both cases; part of a request may already
+// have arrived. A client or a connection is silent while no byte arrives from it, also during a request.
 //
 // A streamed response is one whose body is an exchange.Download: it is copied to the client while it arrives.
 //
