--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// MinIdleBeforeClose is how long a client may be silent before its first request or while it sends a request. After
+	// SilenceGracePeriod is how long a client may be silent before its first request or while it sends a request. After
 	// that time its connection is the first choice of takeVictim, and a shutdown closes it if no byte of a request has
 	// arrived. It is closed earlier if takeVictim finds no better victim (at the limit of connections, after SetLimit
 	// has lowered that limit, or if file descriptors run out), and at the time limit of a shutdown.
-	MinIdleBeforeClose = 2 * time.Second
+	SilenceGracePeriod = 2 * time.Second
 	// maxVictimChecks is how many connections of each group of candidates takeVictim examines. Each check takes a
 	// system call.
 	maxVictimChecks = 32
@@ -44,7 +44,7 @@
 // takeVictim chooses the connection whose loss does the least harm, marks it as closing, removes it from its queue and
 // returns it; the caller must close it. It returns nil if no connection can be closed. The order of preference is:
 //
-//  1. a new connection, or one with an incomplete request, that has been silent for MinIdleBeforeClose;
+//  1. a new connection, or one with an incomplete request, that has been silent for SilenceGracePeriod;
 //  2. an idle connection, because its client can connect again;
 //  3. the new connection, or the one with an incomplete request, that has been silent for longest: a client that writes
 //     slowly continues to write, while a client that never completes its request falls silent at some point.
@@ -62,10 +62,10 @@
 	return nil
 }
 
-// splitBySilentTime splits connections into those that have been silent for at least MinIdleBeforeClose and the others.
+// splitBySilentTime splits connections into those that have been silent for at least SilenceGracePeriod and the others.
 // conns must be in the order of last activity, the longest silent connection first.
 func splitBySilentTime(conns []*Conn, now time.Time) (longSilent, recentlyActive []*Conn) {
-	isRecent := func(conn *Conn) bool { return now.Sub(conn.lastActivity()) < MinIdleBeforeClose }
+	isRecent := func(conn *Conn) bool { return now.Sub(conn.lastActivity()) < SilenceGracePeriod }
 	firstRecent := slices.IndexFunc(conns, isRecent)
 	if firstRecent < 0 {
 		return conns, nil
--- a/internal/downstream/tracker.go
+++ b/internal/downstream/tracker.go
@@ -95,12 +95,12 @@
 }
 
 // closeIdleConns closes the idle connections, except those on which part of the next request has arrived, and the new
-// connections that have been open for MinIdleBeforeClose without receiving any byte of a request.
+// connections that have been open for SilenceGracePeriod without receiving any byte of a request.
 func (t *ConnTracker) closeIdleConns() {
 	for _, conn := range t.all() {
 		mayClose := func() bool {
 			return conn.betweenRequests() &&
-				(conn.responsesFinished > 0 || time.Since(conn.openedAt) >= MinIdleBeforeClose)
+				(conn.responsesFinished > 0 || time.Since(conn.openedAt) >= SilenceGracePeriod)
 		}
 		if conn.markClosing(mayClose) {
 			conn.closeWithReason(reasonShutdownIdle)
--- a/internal/downstream/tracker_test.go
+++ b/internal/downstream/tracker_test.go
@@ -54,7 +54,7 @@
 			t.Cleanup(func() { conn.Close() })
 			tracker.handleStateChange(conn, http.StateIdle)
 			conn.responsesFinished = 0
-			conn.openedAt = time.Now().Add(-MinIdleBeforeClose)
+			conn.openedAt = time.Now().Add(-SilenceGracePeriod)
 			return conn, client
 		}
 		const request = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n"
--- a/internal/sidecar/client_limit_test.go
+++ b/internal/sidecar/client_limit_test.go
@@ -125,7 +125,7 @@
 			if err != nil || strings.HasPrefix(string(got), "HTTP/1.1 200") {
 				t.Errorf("got response %q, error %v, want an error status or a close", got, err)
 			}
-			minTime, maxTime := downstream.MinIdleBeforeClose, sidecartest.Timeout/2
+			minTime, maxTime := downstream.SilenceGracePeriod, sidecartest.Timeout/2
 			if elapsed := time.Since(start); elapsed < minTime || elapsed > maxTime {
 				t.Errorf("got a close after %v, want it after %v to %v", elapsed, minTime, maxTime)
 			}
