--- a/internal/eventloop/events_upstream.go
+++ b/internal/eventloop/events_upstream.go
@@ -40,7 +40,7 @@
 	l.inbox.post(responseStarted{attempt: attempt, startedAt: startedAt})
 }
 
-// streamStarted reports a long response whose first bytes are ready for the client.
+// streamStarted reports a streamed response whose first bytes are ready for the client.
 type streamStarted struct {
 	attempt   *upstream.Attempt
 	response  *exchange.Response
@@ -49,7 +49,7 @@
 
 func (ev streamStarted) apply(l *Loop) { l.startStream(ev) }
 
-// StreamStarted passes a long response to the loop. Its Download is read while the response arrives.
+// StreamStarted passes a streamed response to the loop. Its Download is read while the response arrives.
 func (l *Loop) StreamStarted(attempt *upstream.Attempt, response *exchange.Response, startedAt time.Time) {
 	l.inbox.post(streamStarted{attempt: attempt, response: response, startedAt: startedAt})
 }
--- a/internal/eventloop/request.go
+++ b/internal/eventloop/request.go
@@ -23,7 +23,7 @@
 const (
 	stateUploading requestState = iota // a long body is being sent to an endpoint: the time limit does not run yet
 	stateWaiting                       // the request is complete: the time limit runs
-	stateStreaming                     // a long response is being streamed to the client
+	stateStreaming                     // a streamed response is being sent to the client
 	stateDone                          // the client has its response, or has disconnected
 	stateReleased                      // removed from the index: only its timer still refers to it
 )
--- a/internal/eventloop/streams.go
+++ b/internal/eventloop/streams.go
@@ -8,8 +8,8 @@
 // minStreamLatency, one microsecond, keeps Attempt.StreamLatency above 0, which means that no stream has started.
 const minStreamLatency balance.Milliseconds = 1e-3
 
-// startStream starts to stream a long response to the client; the stream ends with its attempt. A request that arrived
-// late in a shutdown gets no streamed response, because the process would be killed before its end.
+// startStream starts to send a streamed response to the client; the stream ends with its attempt. A request that
+// arrived late in a shutdown gets no streamed response, because the process would be killed before its end.
 func (l *Loop) startStream(ev streamStarted) {
 	attempt := ev.attempt
 	req := l.requests.byID[attempt.RequestID]
