--- a/balance/actions.go
+++ b/balance/actions.go
@@ -5,7 +5,7 @@
 
 // The kinds of actions. Each comment lists the fields of Action that are set in addition to Kind.
 const (
-	SendAttempt    ActionKind = iota // Request, Endpoint, Deadline
+	SendAttempt    ActionKind = iota // Request, Endpoint
 	RejectRequest                    // Request, RetryAfter: final response; the client may retry safely
 	FailRequest                      // Request: final response; the request may have been executed
 	CancelAttempt                    // Request, Attempt
@@ -22,7 +22,7 @@
 	Request    RequestID
 	Attempt    int // index of the attempt, from 0
 	Endpoint   EndpointID
-	Deadline   Milliseconds // when the attempt times out; 0: when its request does
+	Deadline   Milliseconds // when an attempt times out; 0, as this package leaves it: with its request
 	RetryAfter Milliseconds // how long a rejected client should wait before a retry
 	Delay      Milliseconds // time until the timer fires
 	Token      uint64       // identifies the timer
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -16,8 +16,8 @@
 	inFlightBefore float64
 }
 
-// noAttempt is passed to cancelAttempts to cancel all attempts.
-const noAttempt = -1
+// keepNone is passed to cancelAttempts to keep no attempt: all attempts in flight are cancelled.
+const keepNone = -1
 
 // presumedLost reports whether an overdue attempt is probably lost: the endpoint has responded to an attempt
 // that was sent later.
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -24,7 +24,7 @@
 	requests  map[RequestID]*request // open requests
 	endpoints endpointSet
 	rotation  rotation
-	polling   pollScheduler
+	polling   pollStartScheduler
 
 	classes []*classStats     // by class
 	tenants []*requestCounter // by tenant; the last is for requests without a tenant
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -23,6 +23,6 @@
 //   - learnedstate.go, handover.go: the learned state that a successor process imports
 //
 // All points in time and durations are of type [Milliseconds]. A constant whose name ends in Objectives is a
-// duration as a multiple of a latency objective. All other constants without a type are counts, fractions or
-// factors.
+// duration as a multiple of a latency objective. Other constants without a type are counts, fractions or
+// factors, unless their comments state a unit.
 package balance
--- a/balance/endpointload.go
+++ b/balance/endpointload.go
@@ -51,17 +51,18 @@
 	t.overdueRate += rate
 }
 
-// inFlightLoad returns the total load of the endpoints, as a required response rate per millisecond. It
-// excludes endpoints that were ejected and have had no success since, and zones in an outage, because
-// attempts there say nothing about the load of the other endpoints.
-func (b *Balancer) inFlightLoad() float64 {
-	load := 0.0
+// totalRequiredRate returns the load of all endpoints: the responses per millisecond that are required to
+// meet the latency objectives of all attempts in flight, except overdue ones. It excludes endpoints that were
+// ejected and have had no success since, and zones in an outage, because attempts there say nothing about the
+// load of the other endpoints.
+func (b *Balancer) totalRequiredRate() float64 {
+	rate := 0.0
 	for _, ep := range b.endpoints.list {
 		if !ep.outlier.ejectedSinceLastSuccess() && !ep.zone.inOutage {
-			load += ep.load.requiredRate
+			rate += ep.load.requiredRate
 		}
 	}
-	return load
+	return rate
 }
 
 // recordLoadReport records the number of requests in flight if a load report contains it.
@@ -76,8 +77,9 @@
 	}
 }
 
-// hasFreshReport reports whether the last load report of an endpoint is still valid. Reports that arrive with
-// responses are not used, because they describe only the endpoint that responded.
+// hasFreshReport reports whether the last load report of an endpoint is still valid. Only reports that arrive
+// with health checks are used: those are made of several candidates at the same time, so that their loads can
+// be compared. A report that arrives with a response describes only the endpoint that responded.
 func (b *Balancer) hasFreshReport(ep *endpoint) bool {
 	if ep.load.reportedAt <= 0 || b.cfg.LoadReports != LoadReportsPolled {
 		return false
@@ -99,7 +101,7 @@
 const overloadedAfterObjectives = 0.75
 
 // overloaded reports whether an endpoint would probably respond too late to a first attempt, according to a
-// fresh load report. An overloaded endpoint is picked only if all other candidates with a known load are
+// fresh load report. An overloaded endpoint is picked only if all other candidates with a comparable load are
 // overloaded, too.
 func (b *Balancer) overloaded(req *request, ep *endpoint) bool {
 	if len(req.attempts) > 0 || !b.hasFreshReport(ep) {
--- a/balance/endpointset.go
+++ b/balance/endpointset.go
@@ -75,7 +75,7 @@
 	slices.SortFunc(s.list, func(left, right *endpoint) int { return cmp.Compare(left.ID, right.ID) })
 }
 
-// onEndpointUpdate applies an endpoint list from discovery, or schedules another poll after a failed one.
+// onEndpointUpdate applies an endpoint list from discovery, or schedules the next poll after a failure.
 func (b *Balancer) onEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
 		b.retryPoll()
--- a/balance/events.go
+++ b/balance/events.go
@@ -38,13 +38,13 @@
 	UpdateSnapshot       UpdateKind = iota // all endpoints
 	UpdateCachedSnapshot                   // all endpoints, as listed at an earlier time
 	UpdateDelta                            // changed entries only
-	UpdateFailed                           // a poll failed or a watch ended; Endpoints is ignored
+	UpdateFailed                           // a poll failed or a watch ended; it is repeated later
 )
 
 // EndpointUpdate is an update from discovery. The balancer does not retain Endpoints.
 type EndpointUpdate struct {
 	Kind      UpdateKind
-	Endpoints []Endpoint
+	Endpoints []Endpoint // ignored if Kind is UpdateFailed
 }
 
 // Request reports a new request by a client. Each request gets exactly one final response.
@@ -135,7 +135,9 @@
 	Latency  Milliseconds
 }
 
-// ClientGone reports that the client disconnected, so that the request needs no response.
+// ClientGone reports that the client has disconnected, so that the request needs no response. Logs of the
+// sidecar contain the names of event types, so this one stays although other packages call the state
+// "disconnected".
 type ClientGone struct{ Request RequestID }
 
 // TimerFired reports that a timer set by a SetTimer action has expired.
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -102,7 +102,7 @@
 // ImportState continues with the state that a predecessor has learned. classes and tenants give the index in
 // state of each class and tenant of this balancer, or -1 for one that is not in state. ImportState has to be
 // called after Start, and after the endpoint list of the predecessor was handled. The state may be corrupt:
-// invalid values are ignored.
+// an invalid value is replaced by a default, in most cases the value of a new balancer.
 func (b *Balancer) ImportState(now Milliseconds, state LearnedState, classes, tenants []int) {
 	b.now = now
 	b.importTimes(&state)
@@ -110,7 +110,7 @@
 	b.importCapacities(&state)
 	for i, class := range b.classes {
 		if old, ok := oldIndex(classes, i, len(state.Classes)); ok {
-			class.restore(&state.Classes[old], now)
+			class.importLearned(&state.Classes[old], now)
 		}
 	}
 	for i, tenant := range b.tenants[:len(b.cfg.Tenants)] {
@@ -120,7 +120,7 @@
 	}
 	for i := range state.Endpoints {
 		if ep := b.endpoints.byID[state.Endpoints[i].ID]; ep != nil {
-			ep.restore(&state.Endpoints[i], classes, now)
+			ep.importLearned(&state.Endpoints[i], classes, now)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	b.latency.meanRatio = validOr(state.MeanLatencyRatio, b.latency.meanRatio, maxImportedRatio)
 	b.latency.ratioSamples = validOr(state.LatencyRatioSamples, 0, averagingSamples)
 	b.latency.lateFraction = validOr(state.LateFraction, 0, 1)
-	b.shedder.restore(state, b.now)
+	b.shedder.importLearned(state, b.now)
 	b.connectFailures.fraction = validOr(state.ConnectFailureFraction, 0, 1)
 	b.timePerInFlight.mean = validOr(state.TimePerInFlight, b.timePerInFlight.mean, maxImportedDuration)
 	b.timePerInFlight.samples = max(1, validOr(state.TimePerInFlightSamples, 1, averagingSamples))
@@ -151,14 +151,14 @@
 		b.capacity.meanStep = state.MeanCapacityStep
 	}
 	for number, logarithm := range state.MachineTypeCapacityLogs {
-		b.endpoints.ensureMachineType(number).restore(logarithm)
+		b.endpoints.ensureMachineType(number).importLogarithm(logarithm)
 	}
 	for number, logarithm := range state.ZoneCapacityLogs {
-		b.endpoints.ensureZone(number).capacity.restore(logarithm)
+		b.endpoints.ensureZone(number).capacity.importLogarithm(logarithm)
 	}
 }
 
-func (c *classStats) restore(state *LearnedClass, now Milliseconds) {
+func (c *classStats) importLearned(state *LearnedClass, now Milliseconds) {
 	c.count = max(1, validOr(state.Requests, 1, maxImportedCount))
 	c.latencySamples = validOr(state.LatencySamples, 0, maxLatencySamples)
 	c.meanLatency = validOr(state.MeanLatency, 0, maxImportedDuration)
@@ -168,10 +168,10 @@
 	c.meanScore = validOr(state.MeanScore, initialMeanClassScore, 1)
 }
 
-func (ep *endpoint) restore(state *LearnedEndpoint, classes []int, now Milliseconds) {
-	ep.ownCapacity.restore(state.CapacityLog)
-	ep.outlier.restore(state, now)
-	ep.slowStart.restore(state, now)
+func (ep *endpoint) importLearned(state *LearnedEndpoint, classes []int, now Milliseconds) {
+	ep.ownCapacity.importLogarithm(state.CapacityLog)
+	ep.outlier.importLearned(state, now)
+	ep.slowStart.importLearned(state, now)
 	ep.activity.lastResponseAt = max(0, pastTimeOrLongAgo(state.LastResponseAt, now))
 	ep.sticky.slowUntil = validOr(state.SlowUntil, 0, now+maxImportedDelay)
 	for i := range ep.classScores[:len(ep.classScores)-1] {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (s *outlierState) restore(state *LearnedEndpoint, now Milliseconds) {
+func (s *outlierState) importLearned(state *LearnedEndpoint, now Milliseconds) {
 	s.consecutiveErrors = max(0, state.ConsecutiveErrors)
 	s.connectErrors = max(0, state.ConnectErrors)
 	s.lastErrorAt = pastTimeOrLongAgo(state.LastErrorAt, now)
@@ -190,13 +190,13 @@
 	s.ejectedUntil = validOr(state.EjectedUntil, 0, now+maxImportedDelay)
 }
 
-func (s *loadShedder) restore(state *LearnedState, now Milliseconds) {
+func (s *loadShedder) importLearned(state *LearnedState, now Milliseconds) {
 	s.lastRequestAt = pastTimeOrLongAgo(state.LastRequestAt, now)
 	s.steadyFraction = validOr(state.SteadyShedFraction, 0, maxShedFraction)
 }
 
-// restore imports a slow start, unless the endpoint list shows that the endpoint started later.
-func (s *slowStart) restore(state *LearnedEndpoint, now Milliseconds) {
+// importLearned imports a slow start, unless the endpoint list shows that the endpoint started later.
+func (s *slowStart) importLearned(state *LearnedEndpoint, now Milliseconds) {
 	since := pastTimeOrLongAgo(state.SlowStartSince, now)
 	if since < s.startedAt {
 		return
@@ -206,8 +206,8 @@
 	s.updatedAt = max(0, pastTimeOrLongAgo(state.TokensUpdatedAt, now))
 }
 
-// restore sets the capacity factor, unless the logarithm is out of bounds or NaN.
-func (f *capacityFactor) restore(logarithm float64) {
+// importLogarithm sets the capacity factor, unless the logarithm is out of bounds or NaN.
+func (f *capacityFactor) importLogarithm(logarithm float64) {
 	if logarithm >= -maxCapacityLog && logarithm <= maxCapacityLog {
 		f.set(logarithm)
 	}
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -8,11 +8,18 @@
 const (
 	// healthCheckBudget is the maximum cost of the health checks for one request, in the unit of Costs.
 	healthCheckBudget = 0.03
-	// minHealthCheckCost keeps the number of affordable health checks finite if they have no cost.
+	// minHealthCheckCost keeps the number of affordable health checks finite if they have no cost. It
+	// is in the unit of Costs.
 	minHealthCheckCost = 1e-3
-	// reportLifetimeObjectives is how long a load report is valid, how long a first attempt waits for health
-	// checks, and the time after which the result of a health check is due, in latency objectives.
+	// reportLifetimeObjectives is how long a load report is valid, as a multiple of the longest latency
+	// objective.
 	reportLifetimeObjectives = 0.05
+	// checkWaitObjectives is how long a first attempt waits for health checks, as a multiple of the latency
+	// objective of its class.
+	checkWaitObjectives = 0.05
+	// checkDueObjectives is the time after which the result of a health check is due, as a multiple of the
+	// longest latency objective.
+	checkDueObjectives = 0.05
 	// allBusyProbability is the accepted probability that all checked endpoints are busy.
 	allBusyProbability = 0.01
 	// minBusyFraction and maxBusyFraction keep the logarithm of the busy fraction finite and below 0.
@@ -70,17 +77,17 @@
 		}
 	}
 	if len(req.checkedEndpoints) > 0 {
-		req.awaitChecksUntil = b.now + reportLifetimeObjectives*req.class.LatencyObjective
+		req.awaitChecksUntil = b.now + checkWaitObjectives*req.class.LatencyObjective
 		b.checks.waitingRequests = append(b.checks.waitingRequests, req)
 	}
 }
 
-// nextToCheck returns the available endpoint with the highest rotation credit that is not yet checked for the
-// request, or nil if there is none.
+// nextToCheck returns the endpoint with the highest rotation credit among those that are eligible, not
+// ejected and not yet checked for the request, or nil if there is none.
 func (b *Balancer) nextToCheck(req *request) *endpoint {
 	var next *endpoint
 	for _, ep := range b.endpoints.list {
-		if !b.available(req, ep) || slices.Contains(req.checkedEndpoints, ep) {
+		if !b.eligibleAndNotEjected(req, ep) || slices.Contains(req.checkedEndpoints, ep) {
 			continue
 		}
 		if next == nil || ep.rotation.credit > next.rotation.credit {
@@ -110,7 +117,7 @@
 		if ep.outlier.healthCheckFailed {
 			ep.outlier.clearErrors()
 		}
-		b.recordResponse(ep)
+		b.recordReachable(ep)
 	case ev.Result == ConnReset || ev.Result == NotAttempted:
 		// The connection broke or was never opened; another connection may work.
 	case b.respondedAfterCheckDue(ep, sentAt): // only the health check was lost
@@ -127,7 +134,7 @@
 // respondedAfterCheckDue reports whether an endpoint has responded after the result of a health check that
 // was sent at checkSentAt was due. Then the endpoint is reachable, even if the result never arrived.
 func (b *Balancer) respondedAfterCheckDue(ep *endpoint, checkSentAt Milliseconds) bool {
-	return ep.activity.lastResponseAt > checkSentAt+reportLifetimeObjectives*b.longestObjective
+	return ep.activity.lastResponseAt > checkSentAt+checkDueObjectives*b.longestObjective
 }
 
 // checksDoneOrTimedOut reports whether a request no longer has to wait for its health checks: all results
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -19,6 +19,9 @@
 	// averagingPriorResponses is assumed in addition to the counted responses, so that averagingGain never
 	// has a rate of 0.
 	averagingPriorResponses = 1
+	// minRecencyTimeConstant is the lower bound of the time constant of recency. It equals the half-life of
+	// endpoint errors.
+	minRecencyTimeConstant = errorHalfLife
 )
 
 // latencyStats holds statistics of the latencies of all classes, relative to their latency objectives.
@@ -26,7 +29,7 @@
 	meanRatio      float64      // recent mean of latency / objective
 	ratioSamples   float64      // samples of meanRatio, up to averagingSamples
 	minRatio       float64      // lowest value of meanRatio: the latency without queueing
-	lateFraction   float64      // recent fraction of attempts that ended after their latency objective
+	lateFraction   float64      // recent fraction of late attempts; see the methods named recordLateness
 	lastResponseAt Milliseconds // when the last response arrived
 }
 
@@ -52,7 +55,8 @@
 	s.meanRatio += (maxLatencyRatio - s.meanRatio) * gain
 }
 
-// recordLateness adds an attempt that ended to the fraction of late attempts. gain is its weight.
+// recordLateness adds an attempt that ended to the fraction of late attempts. An attempt is late if it
+// succeeded after its latency objective, timed out, or was rejected. gain is its weight.
 func (s *latencyStats) recordLateness(late bool, gain float64) {
 	s.lateFraction -= s.lateFraction * gain
 	if late {
@@ -69,7 +73,7 @@
 // response. Without the decay, a sidecar that sheds all of its load would never detect the end of an
 // overload.
 func (s *latencyStats) recency(now, longestObjective Milliseconds) float64 {
-	timeConstant := max(responseRateObjectives*longestObjective, errorHalfLife)
+	timeConstant := max(responseRateObjectives*longestObjective, minRecencyTimeConstant)
 	return decay(now-s.lastResponseAt, timeConstant)
 }
 
@@ -86,7 +90,9 @@
 	return clamp(1/(float64(averagingTimeConstant)*rate), minAveragingGain, maxAveragingGain)
 }
 
-// recordLateness adds an attempt that ended to the fraction of late attempts.
+// recordLateness adds a failed attempt to the fraction of late attempts: as late if it timed out or was
+// rejected, and as timely after other failures. recordFailure does not call it for an attempt that timed out
+// before it was overdue, and recordOutcome does not for one that was cancelled or not attempted.
 func (b *Balancer) recordLateness(late bool) {
 	b.decayResponseCounts()
 	b.latency.recordLateness(late, b.averagingGain())
--- a/balance/learnedstate.go
+++ b/balance/learnedstate.go
@@ -1,7 +1,8 @@
 package balance
 
 // LearnedState is what a balancer has learned, in a form that a successor process can import. Points in time
-// are Unix milliseconds. Package upgrade encodes it. Counts are not integers, because some of them decay.
+// are on the exporting balancer's clock; see ShiftTimes. Package upgrade encodes it. Counts are not integers,
+// because some of them decay.
 type LearnedState struct {
 	StartedAt          Milliseconds // when the balancer started
 	LastRequestAt      Milliseconds // when the last request arrived
@@ -13,7 +14,7 @@
 	MinLatencyRatio        float64 // lowest value of MeanLatencyRatio: without queueing
 	MeanLatencyRatio       float64 // recent mean of latency / objective
 	LatencyRatioSamples    float64 // samples of MeanLatencyRatio
-	LateFraction           float64 // recent fraction of attempts that ended after their latency objective
+	LateFraction           float64 // recent fraction of late attempts, as in latencyStats
 	SteadyShedFraction     float64 // steady fraction of the load that is shed
 
 	ConnectFailureFraction float64      // recent fraction of attempts that could not connect
--- a/balance/loadshedding.go
+++ b/balance/loadshedding.go
@@ -1,8 +1,9 @@
 package balance
 
 const (
-	// immediateShedGain is the fraction of the load that is shed at once, per unit of excess ratio: the
-	// amount by which the expected ratio of latency to objective exceeds the shed threshold.
+	// immediateShedGain determines how fast load shedding reacts: the current shed fraction differs from the
+	// steady fraction by this much per unit of excess ratio. The excess ratio is the expected ratio of
+	// latency to objective minus the shed threshold.
 	immediateShedGain = 4
 	// maxMultipleOfSteadyFraction limits the shed fraction to this multiple of the steady fraction, so that a
 	// single random deviation does not shed load.
@@ -16,7 +17,7 @@
 	// ratio.
 	maxSteadyShedGain = 0.5
 	// maxMultipleOfLateFraction limits the steady fraction to this multiple of the fraction of late
-	// responses, because shedding more load cannot make more responses timely.
+	// attempts, because shedding more load cannot make more responses timely.
 	maxMultipleOfLateFraction = 3
 	// maxShedFraction limits the shed fraction. It is less than 1, because the end of an overload cannot be
 	// detected without responses.
@@ -24,12 +25,13 @@
 	// shedPriorResponses is the number of responses that load shedding assumes in addition to recent ones, so
 	// that a sidecar with few requests does not shed load because of random variation.
 	shedPriorResponses = 15
-	// overdueLoadGain is the fraction of the overdue attempts that counts as load, per unit of slowdown: the
-	// excess of the recent latency ratio over the shed threshold, divided by the threshold.
+	// overdueLoadGain determines how much of the load of overdue attempts is counted: the counted fraction
+	// grows by this much per unit of slowdown, up to 1. The slowdown is the recent latency ratio minus the
+	// shed threshold, divided by the threshold.
 	overdueLoadGain = 4
-	// firstAttemptTimeoutFraction is the least fraction of the longest timeout of a class with which a
-	// request counts as a client's first attempt.
-	firstAttemptTimeoutFraction = 0.99
+	// originalRequestTimeoutFraction is the least fraction of the longest timeout of a class with which
+	// a request counts as an original request, not as a client's retry.
+	originalRequestTimeoutFraction = 0.99
 )
 
 // loadShedder computes the fraction of the load that is shed: a steady fraction that follows the overload
@@ -42,7 +44,7 @@
 // overloadEstimate describes the overload of the fleet when a request arrives.
 type overloadEstimate struct {
 	excessRatio  float64 // expected latency ratio minus the shed threshold; may be negative
-	lateFraction float64 // recent fraction of attempts that ended after their latency objective
+	lateFraction float64 // recent fraction of late attempts, as in latencyStats
 	recency      float64 // weight of lateFraction, from 0 to 1; decays without responses
 }
 
@@ -101,15 +103,15 @@
 	slowdown := recentRatio/b.latency.shedThreshold() - 1
 	overdueLoad := b.load.overdueRate * clamp(overdueLoadGain*slowdown, 0, 1)
 	priorLoad := priorRatio * shedPriorResponses / responseRateObjectives / float64(b.longestObjective)
-	return (b.inFlightLoad() + overdueLoad + priorLoad) / b.responsesPerMillisecond(shedPriorResponses)
+	return (b.totalRequiredRate() + overdueLoad + priorLoad) / b.responsesPerMillisecond(shedPriorResponses)
 }
 
 // isLateRetry reports whether a request is probably a client's retry that arrives after the latency objective
-// of its first attempt: it has less time left than first attempts have.
+// of the original request: it has less time left than original requests have.
 func (b *Balancer) isLateRetry(req *request) bool {
-	// Where clients mark their retries, an unmarked request with a short timeout is a first attempt.
+	// Where clients mark their retries, an unmarked request with a short timeout is an original one.
 	mayBeRetry := req.ClientRetry || !b.cfg.ClientRetriesMarked
-	if !mayBeRetry || req.Remaining >= req.stats.longestTimeout.scaled(firstAttemptTimeoutFraction) {
+	if !mayBeRetry || req.Remaining >= req.stats.longestTimeout.scaled(originalRequestTimeoutFraction) {
 		return false
 	}
 	return req.Remaining <= req.class.Deadline-req.class.LatencyObjective
--- a/balance/loadshedding_test.go
+++ b/balance/loadshedding_test.go
@@ -14,7 +14,7 @@
 	h.b.shedder.steadyFraction, h.b.latency.lateFraction = steadyShed, 1
 	h.b.decayResponseCounts()
 	fullLoad := (threshold + excess) * h.b.responsesPerMillisecond(shedPriorResponses)
-	h.b.endpoints.list[0].load.requiredRate += fullLoad - h.b.inFlightLoad()
+	h.b.endpoints.list[0].load.requiredRate += fullLoad - h.b.totalRequiredRate()
 }
 
 // rejectedFractions sends 4000 requests of random pairs of class and tenant, while 0.4 of the load must be shed. It
@@ -299,11 +299,11 @@
 func TestEjectedEndpointsAreNotCountedAsLoad(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	h.b.endpoints.list[0].load.requiredRate, h.b.endpoints.list[1].load.requiredRate = 5, 1
-	if load := h.b.inFlightLoad(); load != 6 {
+	if load := h.b.totalRequiredRate(); load != 6 {
 		t.Fatalf("before the ejection: got a load of %v, want 6", load)
 	}
 	h.b.eject(h.b.endpoints.list[0])
-	if load := h.b.inFlightLoad(); load != 1 {
+	if load := h.b.totalRequiredRate(); load != 1 {
 		t.Fatalf("during the ejection: got a load of %v, want 1", load)
 	}
 }
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -6,7 +6,9 @@
 
 // recordOutcome updates the statistics of the endpoint, the class and the load with the result of an attempt.
 func (b *Balancer) recordOutcome(req *request, attempt *attempt, ev Outcome) {
-	if ev.Result != TimedOut { // markOverdue has recorded the timeouts caused by the endpoint
+	// A timeout counts for the class only if the attempt was presumed lost when it became overdue;
+	// markOverdue has recorded it then.
+	if ev.Result != TimedOut {
 		b.recordClassResult(req, attempt.endpoint, ev.Result)
 	}
 	switch ev.Result {
@@ -22,7 +24,7 @@
 func (b *Balancer) recordSuccess(req *request, attempt *attempt, latency Milliseconds) {
 	ep := attempt.endpoint
 	ep.activity.recordSuccess(attempt.sentAt)
-	b.recordResponse(ep)
+	b.recordReachable(ep)
 	if ep.outlier.likelyRestarted(b.now) && !b.inSlowStart(ep) {
 		b.startSlowStart(ep, b.now)
 	}
@@ -64,6 +66,6 @@
 		b.recordError(attempt.endpoint, attemptError)
 	}
 	if result == ServerError || result == Rejected {
-		b.recordResponse(attempt.endpoint)
+		b.recordReachable(attempt.endpoint)
 	}
 }
--- a/balance/polling.go
+++ b/balance/polling.go
@@ -4,7 +4,8 @@
 	// pollBackoffBase is the delay before a failed poll is repeated. It doubles with each consecutive
 	// failure.
 	pollBackoffBase Milliseconds = 500
-	// maxPollDoublings is the maximum number of times that this delay doubles.
+	// maxPollDoublings is the maximum number of times that this delay doubles. It only keeps the factor of
+	// the delay small: maxPollBackoff limits the delay after fewer doublings.
 	maxPollDoublings = 4
 	// pollServiceTime is the time allotted to discovery for the poll of one sidecar: it serves one at a time.
 	pollServiceTime Milliseconds = 60
@@ -28,19 +29,21 @@
 	minPollRetriesPerInterval = 3
 )
 
-// pollScheduler decides when the endpoint list is polled, so that one discovery service can serve all
-// sidecars.
-type pollScheduler struct {
+// pollStartScheduler decides when polling of the endpoint list starts: once at the start of the balancer, and
+// again after each failed poll or ended watch. The delays are such that one discovery service can serve all
+// sidecars. Regular polls need no action of the balancer: the Watcher of package discovery repeats its calls
+// until one fails.
+type pollStartScheduler struct {
 	failures int // consecutive failed polls
 }
 
 // resetBackoff resets the backoff after a successful poll.
-func (p *pollScheduler) resetBackoff() { p.failures = 0 }
+func (p *pollStartScheduler) resetBackoff() { p.failures = 0 }
 
 // firstDelay returns the delay of the first poll, which spreads the first polls of all sidecars over time.
 // Otherwise, sidecars that start together would overload discovery: most polls would time out, and their
 // repetitions would find discovery still busy.
-func (p *pollScheduler) firstDelay(cfg *Config) Milliseconds {
+func (p *pollStartScheduler) firstDelay(cfg *Config) Milliseconds {
 	spread := min(pollRoundTime(cfg), propagationLimit-uncontendedPollTime)
 	if cfg.MaxPollInterval > 0 {
 		spread = min(spread, cfg.MaxPollInterval*firstPollSpreadFraction)
@@ -50,10 +53,10 @@
 	return spread * Milliseconds(position) / Milliseconds(instanceCount)
 }
 
-// retryDelay counts a failed poll and returns the delay before the next one: an exponential backoff with
-// jitter, limited by maxPollBackoff and MaxPollInterval. If discovery cannot serve all sidecars within that
-// limit, each sidecar waits for its turn in a round of all sidecars instead.
-func (p *pollScheduler) retryDelay(cfg *Config, now Milliseconds, random *randomSource) Milliseconds {
+// retryDelay counts a failed poll or an ended watch and returns the delay before the next one: an exponential
+// backoff with jitter, limited by maxPollBackoff and MaxPollInterval. If discovery cannot serve all sidecars
+// within that limit, each sidecar waits for its turn in a round of all sidecars instead.
+func (p *pollStartScheduler) retryDelay(cfg *Config, now Milliseconds, random *randomSource) Milliseconds {
 	maxDelay := maxPollBackoff
 	if cfg.MaxPollInterval > 0 {
 		maxDelay = min(maxDelay, cfg.MaxPollInterval/minPollRetriesPerInterval)
@@ -68,7 +71,7 @@
 }
 
 // timeUntilTurn returns the time until a random moment within this sidecar's turn in a round of all sidecars.
-// Rounds are aligned to the epoch, so that all sidecars agree on them.
+// Rounds are aligned to the epoch of [Milliseconds], so that all sidecars agree on them.
 func timeUntilTurn(cfg *Config, now, roundTime Milliseconds, random *randomSource) Milliseconds {
 	turn := (float64(cfg.InstanceIndex) + random.next()) / float64(cfg.InstanceCount)
 	position := roundTime.scaled(turn)
@@ -90,7 +93,7 @@
 	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
 }
 
-// retryPoll schedules the repetition of a failed poll.
+// retryPoll schedules the next poll after a failed poll or an ended watch.
 func (b *Balancer) retryPoll() {
 	delay := b.polling.retryDelay(&b.cfg, b.now, &b.random)
 	b.emit(Action{Kind: SetTimer, Token: pollTimerToken, Delay: delay})
--- a/balance/priority.go
+++ b/balance/priority.go
@@ -9,7 +9,7 @@
 	// minMeanLatency is used as the mean latency of a class without responses, because it is a divisor.
 	minMeanLatency Milliseconds = 1e-3
 	// minEqualValueWork is added to the work whose value is equal to that of the request, to keep it above 0:
-	// it is a divisor.
+	// it is a divisor. Its unit is that of work in shedProbability.
 	minEqualValueWork = 1e-3
 )
 
--- a/balance/request.go
+++ b/balance/request.go
@@ -10,7 +10,7 @@
 	arrivedAt   Milliseconds // when it arrived or its upload ended; never: the upload is not complete
 	deadline    Milliseconds // never: the upload is not complete
 	attempts    []*attempt
-	inFlight    int          // attempts in flight
+	inFlight    int          // attempts in flight, at most 1: advanceRequest sends one only if there is none
 	finished    bool         // no further response or attempt is needed
 	streaming   bool         // its streamed response has started: it has no deadline and no retries
 	noRetry     bool         // no further attempt: the body is no longer buffered, or too little time is left
@@ -112,7 +112,7 @@
 // no attempt is in flight.
 func (b *Balancer) finishRequest(req *request) {
 	req.finished = true
-	b.cancelAttempts(req, noAttempt)
+	b.cancelAttempts(req, keepNone)
 	if req.inFlight == 0 {
 		delete(b.requests, req.ID)
 	}
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -81,7 +81,7 @@
 		}
 		h.now += 20
 		h.dispatch(ResponseStarted{Request: id, Attempt: 0, Latency: 20})
-		if load := h.b.inFlightLoad(); load != 0 {
+		if load := h.b.totalRequiredRate(); load != 0 {
 			t.Fatalf("during the transfer of a body: got a load of %v, want 0", load)
 		}
 		h.now += 230
--- a/balance/retrypolicy.go
+++ b/balance/retrypolicy.go
@@ -29,9 +29,9 @@
 	return r == Rejected || r == ConnectFailed || r == NotAttempted
 }
 
-// mayAttemptAgain reports whether the idempotency of the class allows another attempt at all, regardless of
-// the endpoint.
-func (req *request) mayAttemptAgain(now Milliseconds) bool {
+// idempotencyAllowsRetry reports whether the idempotency of the class allows another attempt, regardless of
+// the endpoint and of the number of attempts.
+func (req *request) idempotencyAllowsRetry(now Milliseconds) bool {
 	for _, a := range req.attempts {
 		if !a.neverExecuted && !req.mayRetryAfterExecution(a, now) {
 			return false
@@ -93,7 +93,8 @@
 }
 
 // attemptsExhausted reports whether no further attempt is possible, because of the number of attempts or
-// because an earlier outcome ruled it out (noRetry).
+// because an earlier outcome ruled it out (noRetry). It does not apply maxResetRetries; see
+// shouldRejectOrFail.
 func (req *request) attemptsExhausted() bool {
 	attemptCount := len(req.attempts)
 	if req.noRetry || attemptCount >= req.MaxAttempts {
@@ -127,7 +128,7 @@
 // shouldRejectOrFail reports whether a request without an attempt in flight is to end now, because no further
 // attempt is allowed or because waiting for an endpoint is useless.
 func (b *Balancer) shouldRejectOrFail(req *request) bool {
-	if req.attemptsExhausted() || req.resetCount() > maxResetRetries || !req.mayAttemptAgain(b.now) {
+	if req.attemptsExhausted() || req.resetCount() > maxResetRetries || !req.idempotencyAllowsRetry(b.now) {
 		return true
 	}
 	return b.waitingIsUseless(req)
@@ -140,16 +141,16 @@
 }
 
 // canRetryInTime reports whether the attempt in flight can be cancelled for a retry: a retry is allowed,
-// another endpoint is available, and its response would probably meet the latency objective.
+// another endpoint is eligible and not ejected, and its response would probably meet the latency objective.
 func (b *Balancer) canRetryInTime(req *request) bool {
-	if req.attemptsExhausted() || !req.mayAttemptAgain(b.now) {
+	if req.attemptsExhausted() || !req.idempotencyAllowsRetry(b.now) {
 		return false
 	}
 	if !b.cfg.Cancellation || req.inFlight > 1 || b.wouldMissObjective(req) {
 		return false
 	}
 	for _, ep := range b.endpoints.list {
-		if b.available(req, ep) {
+		if b.eligibleAndNotEjected(req, ep) {
 			return true
 		}
 	}
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -2,10 +2,12 @@
 
 import "math"
 
-// boundedLoadFactor limits the load of an endpoint, as in consistent hashing with bounded loads: an endpoint
-// is avoided if an attempt would raise its requests in flight above this fraction of its share of all
-// requests in flight. The limit is rounded up, so that each endpoint may have at least one request in flight.
-const boundedLoadFactor = 0.4
+// maxFractionOfFairShare limits an endpoint's requests in flight to a fraction of its fair share: its share
+// by weight of all requests in flight. An endpoint is avoided if an attempt would exceed the limit, which is
+// rounded up to allow at least one request in flight. The fraction is below 1, so when there are many
+// requests in flight, even an endpoint with an average load is avoided. If all candidates are avoided for
+// that reason, a first attempt goes to the one with the fewest requests in flight per weight.
+const maxFractionOfFairShare = 0.4
 
 // ownInFlight counts the attempt that is about to be sent in the total of all requests in flight.
 const ownInFlight = 1.0
@@ -48,8 +50,8 @@
 
 // pickTotals holds totals over the candidates of a pick.
 type pickTotals struct {
-	weight            float64
-	inFlightPerWeight float64 // limit of a candidate's requests in flight, per unit of its weight
+	weight               float64
+	maxInFlightPerWeight float64 // limit of a candidate's requests in flight, per unit of its weight
 }
 
 // pickCandidate is a candidate of a pick, with the result of shouldAvoid.
@@ -93,11 +95,11 @@
 
 // shouldAvoid reports whether the attempt should rather go to another candidate. This is the case if the
 // endpoint has too many requests in flight, because it is slow or hangs, if its health check is pending, if
-// it is overloaded, or if its load is not known. An avoided endpoint keeps its rotation credit.
+// it is overloaded, or if its load is not comparable. An avoided endpoint keeps its rotation credit.
 func (b *Balancer) shouldAvoid(req *request, ep *endpoint, totals pickTotals) bool {
-	limit := math.Ceil(totals.inFlightPerWeight * ep.candidate.weight)
+	limit := math.Ceil(totals.maxInFlightPerWeight * ep.candidate.weight)
 	withinLimit := b.estimatedInFlight(ep)+1 <= limit
-	return !ep.candidate.loadKnown || ep.healthCheck.pending || !withinLimit || b.overloaded(req, ep)
+	return !ep.candidate.loadComparable || ep.healthCheck.pending || !withinLimit || b.overloaded(req, ep)
 }
 
 // updateRotation computes the weights of all endpoints and, for a first attempt, distributes rotation credit.
@@ -112,15 +114,15 @@
 		b.restrictToStickyEndpoints(req)
 	}
 	var totals pickTotals
-	inFlight, knownWeight := ownInFlight, 0.0
+	inFlight, comparableWeight := ownInFlight, 0.0
 	for _, ep := range b.endpoints.list {
 		totals.weight += ep.candidate.weight
-		if ep.candidate.weight > 0 && ep.candidate.loadKnown {
+		if ep.candidate.weight > 0 && ep.candidate.loadComparable {
 			inFlight += b.estimatedInFlight(ep)
-			knownWeight += ep.candidate.weight
+			comparableWeight += ep.candidate.weight
 		}
 	}
-	totals.inFlightPerWeight = boundedLoadFactor * inFlight / knownWeight
+	totals.maxInFlightPerWeight = maxFractionOfFairShare * inFlight / comparableWeight
 	b.updateRotationCredits(req, kind, totals.weight)
 	return totals
 }
@@ -168,8 +170,9 @@
 	if !next.avoided {
 		return b.isBetterInRotation(req, kind, next.endpoint, best.endpoint)
 	}
-	if next.candidate.loadKnown != best.candidate.loadKnown { // a known load is better, even if it is high
-		return next.candidate.loadKnown
+	// A comparable load is better, even if it is high.
+	if next.candidate.loadComparable != best.candidate.loadComparable {
+		return next.candidate.loadComparable
 	}
 	nextOverloaded := b.overloaded(req, next.endpoint)
 	bestOverloaded := b.overloaded(req, best.endpoint)
@@ -197,8 +200,8 @@
 	return *b.rotationCredit(req, next) > *b.rotationCredit(req, best)
 }
 
-// available reports whether an endpoint is eligible for the next attempt and not ejected.
-func (b *Balancer) available(req *request, ep *endpoint) bool {
+// eligibleAndNotEjected reports whether an endpoint is eligible for the next attempt and not ejected.
+func (b *Balancer) eligibleAndNotEjected(req *request, ep *endpoint) bool {
 	return b.eligible(req, ep) && !b.ejected(ep)
 }
 
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -18,8 +18,8 @@
 type tokenPolicy bool
 
 const (
-	anySavedToken  tokenPolicy = false // a saved token never expires
-	unexpiredToken tokenPolicy = true  // a single saved token expires after the overload window
+	anySavedToken tokenPolicy = false // any saved token allows an attempt
+	recentToken   tokenPolicy = true  // a single token saved for longer than the overload window allows none
 )
 
 // slowStart is a token bucket that limits the attempts of this sidecar to an endpoint that has just started.
@@ -58,13 +58,14 @@
 // halveTokens halves the tokens when a successor takes over, which gets the other half.
 func (s *slowStart) halveTokens() { s.tokens /= 2 }
 
-// allowsAttempt reports whether the endpoint may get an attempt. Call refill first. Only a single saved token
-// can expire: if the bucket holds more than one token, the rate is so high that tokens are not saved for
-// long.
+// allowsAttempt reports whether the endpoint may get an attempt. Call refill first. With recentToken, a
+// single token that was saved for too long allows no attempt, but stays in the bucket for requests with
+// anySavedToken. The time does not matter if the bucket holds more than one token: then the rate is so high
+// that tokens are not saved for long.
 func (s *slowStart) allowsAttempt(policy tokenPolicy, overloadWindow Milliseconds) bool {
-	if s.tokens == 1 && policy == unexpiredToken {
-		expired := s.updatedAt > s.fullTokenAt+overloadWindow
-		return !expired
+	if s.tokens == 1 && policy == recentToken {
+		savedTooLong := s.updatedAt > s.fullTokenAt+overloadWindow
+		return !savedTooLong
 	}
 	return s.tokens >= 1
 }
@@ -74,8 +75,8 @@
 	return b.now < ep.slowStart.startedAt+b.cfg.SlowStartDuration
 }
 
-// slowStartCapacityFraction returns the fraction of its capacity that an endpoint has at least. It grows from
-// the initial fraction to 1 during slow start.
+// slowStartCapacityFraction returns a lower bound of the fraction of its full capacity that an endpoint has
+// at the moment. It grows from the initial fraction to 1 during slow start.
 func (b *Balancer) slowStartCapacityFraction(ep *endpoint) float64 {
 	elapsed := max(0, b.now-ep.slowStart.startedAt)
 	progress := ratio(elapsed, max(b.cfg.SlowStartDuration, minSlowStartDuration))
@@ -108,11 +109,11 @@
 }
 
 // slowStartPolicy returns the token policy for a request. When many endpoints fail a class, all sidecars move
-// its requests to the endpoints in slow start at the same time. If tokens did not expire, each sidecar would
-// use a token that it saved long ago, and together they would overload these endpoints.
+// its requests to the endpoints in slow start at the same time. If any saved token were allowed, each sidecar
+// would use one that it saved long ago, and together they would overload these endpoints.
 func (b *Balancer) slowStartPolicy(req *request) tokenPolicy {
 	if b.classFailing(req) && req.stats.meanScore < widespreadFailureScore {
-		return unexpiredToken
+		return recentToken
 	}
 	return anySavedToken
 }
--- a/balance/time.go
+++ b/balance/time.go
@@ -6,11 +6,16 @@
 )
 
 // Milliseconds is a point in time or a duration, in milliseconds. A separate type prevents a rate or a ratio
-// from being passed as a time. The caller chooses the epoch of points in time, which must not decrease from
-// one event to the next.
+// from being passed as a time. The caller chooses the epoch of points in time; it has to be the same for all
+// sidecars, whose polls take turns by this time (timeUntilTurn). The sidecar uses the Unix epoch. The time
+// must not decrease from one event to the next.
 type Milliseconds float64
 
-// Points in time before and after all others.
+// Points in time before and after all others. A point in time that marks an event which has not happened yet
+// has one of three values:
+//   - 0 in most cases. It is taken to lie before all events.
+//   - longAgo where the time since the event has to be infinite.
+//   - never where the event has to lie in the future.
 var (
 	longAgo = Milliseconds(math.Inf(-1))
 	never   = Milliseconds(math.Inf(1))
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -2,31 +2,33 @@
 
 const (
 	// localZoneGain sets how much the cost of other zones raises the weight of endpoints in the zone of this
-	// sidecar: the affinity factor grows by the square of this gain times Costs.CrossZone.
+	// sidecar: their affinity factor is multiplied by 1 + (localZoneGain * Costs.CrossZone)^2.
 	localZoneGain = 85
 	// connReuseGain sets how much the cost of a connection raises the weight of endpoints with an open
-	// connection: the affinity factor grows by this gain times Costs.NewConnection.
+	// connection: their affinity factor is multiplied by
+	// 1 + connReuseGain * Costs.NewConnection + connectFailureGain * connectFailures.fraction.
 	connReuseGain = 4000
 	// connectFailureGain sets how much failures to connect raise that weight, because they show that the
-	// connection tables of endpoints are full: the affinity factor grows by this gain times the recent
-	// fraction of attempts that could not connect.
+	// connection tables of endpoints are full. connectFailures.fraction is the recent fraction of attempts
+	// that could not connect.
 	connectFailureGain = 50
 	// connectFailureSamples is the number of attempts over which that fraction is averaged.
 	connectFailureSamples = 25
 	// capacityPerRating is the capacity of an endpoint with a rating of 1, before anything is learned about
-	// it.
+	// it. The unit is arbitrary: decisions depend on the ratios of capacities.
 	capacityPerRating = 100
-	// minCapacity keeps weights above 0, because a weight of 0 means that the endpoint is not a candidate.
+	// minCapacity keeps weights above 0, because a weight of 0 means that the endpoint is not a candidate. It
+	// is in the unit of capacityPerRating.
 	minCapacity = 1e-6
 )
 
-// candidateState holds the values of an endpoint that are computed for the current pick. loadKnown and
+// candidateState holds the values of an endpoint that are computed for the current pick. loadComparable and
 // inSlowStart are valid only for candidates.
 type candidateState struct {
-	capacity    float64 // effective capacity; see capacityPerRating
-	weight      float64 // in the unit of capacity; 0: not a candidate
-	loadKnown   bool    // there is a fresh load report, or no candidate has one
-	inSlowStart bool    // the endpoint is in slow start
+	capacity       float64 // effective capacity; see capacityPerRating
+	weight         float64 // in the unit of capacity; 0: not a candidate
+	loadComparable bool    // there is a fresh load report, or no candidate has one
+	inSlowStart    bool    // the endpoint is in slow start
 }
 
 // connectFailures tracks the recent fraction of attempts that could not connect.
@@ -62,19 +64,20 @@
 			continue
 		}
 		ep.candidate.weight = ep.candidate.capacity * b.affinityFactor(ep) * b.classHealthFactor(req, ep)
-		ep.candidate.loadKnown = b.hasFreshReport(ep)
+		ep.candidate.loadComparable = b.hasFreshReport(ep)
 		ep.candidate.inSlowStart = b.inSlowStart(ep)
-		totals.anyFreshReport = totals.anyFreshReport || ep.candidate.loadKnown
+		totals.anyFreshReport = totals.anyFreshReport || ep.candidate.loadComparable
 	}
 	return totals
 }
 
-// updateCandidates prepares the candidates for bestCandidate: it completes loadKnown, and refills the tokens
-// of the candidates in slow start.
+// updateCandidates prepares the candidates for bestCandidate: it completes loadComparable, and refills the
+// tokens of the candidates in slow start.
 func (b *Balancer) updateCandidates(totals fleetTotals) {
 	for _, ep := range b.endpoints.list {
-		// Without any report, the attempts of this sidecar in flight are the best available estimate.
-		ep.candidate.loadKnown = ep.candidate.loadKnown || !totals.anyFreshReport
+		// If no candidate has a fresh report, the attempts of this sidecar in flight are the best available
+		// estimate.
+		ep.candidate.loadComparable = ep.candidate.loadComparable || !totals.anyFreshReport
 		if ep.candidate.weight > 0 && ep.candidate.inSlowStart {
 			b.refillSlowStart(ep)
 		}
--- a/balance/zoneoutage.go
+++ b/balance/zoneoutage.go
@@ -22,7 +22,7 @@
 	number                int            // as in Endpoint.Zone
 	capacity              capacityFactor // learned; see capacity.go
 	lastResponseAt        Milliseconds   // last response of any endpoint of the zone
-	unresponsiveEndpoints []*endpoint    // without a response since lastResponseAt and since the last check
+	unresponsiveEndpoints []*endpoint    // unresponsive since lastResponseAt; emptied by the first check
 	inOutage              bool           // the whole zone is considered unreachable
 	outageSince           Milliseconds
 	checkRounds           int          // number of times that a check was due during the outage
@@ -96,8 +96,8 @@
 }
 
 // chooseEndpointToCheck chooses a ready endpoint of a zone at random, and returns it with the number of ready
-// endpoints. It skips the endpoints that were unresponsive since the last check and those with a pending
-// health check; chosen is nil if no others are left.
+// endpoints. It skips endpoints with a pending health check and, in the first round, the unresponsive
+// endpoints that caused the outage; later rounds do not skip those. chosen is nil if no others are left.
 func (b *Balancer) chooseEndpointToCheck(zone *zone) (chosen *endpoint, readyCount int) {
 	candidateCount := 0.0
 	for _, ep := range b.endpoints.list {
@@ -116,10 +116,10 @@
 	return chosen, readyCount
 }
 
-// recordResponse records that an endpoint responded, which ends an outage of its zone. After a long outage,
+// recordReachable records that an endpoint responded, which ends an outage of its zone. After a long outage,
 // the slow start of all endpoints of the zone begins: they may have restarted, even if discovery has not
 // reported it.
-func (b *Balancer) recordResponse(responding *endpoint) {
+func (b *Balancer) recordReachable(responding *endpoint) {
 	zone := responding.zone
 	responding.activity.lastResponseAt = b.now
 	if !zone.recordResponse(b.now) {
