--- a/balance/zoneoutage_test.go
+++ b/balance/zoneoutage_test.go
@@ -34,7 +34,7 @@
 // A zone recovers with endpoints that have just started. A health check succeeds long before discovery reports the
 // restart, so instances have to apply the slow start on their own. The outage and the recovery are each logged
 // once.
-func TestRecoveredZoneIsWarmingUp(t *testing.T) {
+func TestRecoveredZoneIsInSlowStart(t *testing.T) {
 	endpoints := newZonedEndpoints(60)
 	const instances = 20
 	before, after := 0, 0
