--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -12,9 +12,9 @@
 	"cindersaddle/internal/fault"
 )
 
-// TestLoadReadsAgainAfterPassingErrors checks that Load retries after transient errors of the machine, and fails at
+// TestLoadRetriesAfterTransientErrors checks that Load retries after transient errors of the machine, and fails at
 // once after an error caused by the file.
-func TestLoadReadsAgainAfterPassingErrors(t *testing.T) {
+func TestLoadRetriesAfterTransientErrors(t *testing.T) {
 	getenv := func(name string) string {
 		if name == envConfigPath {
 			return "testdata/config.json"
