--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -23,9 +23,9 @@
 	return w.text.Write(p)
 }
 
-// TestLoggingNeverWaits checks that log calls do not block while the output does, that the queued lines are written
+// TestLogCallsDoNotBlock checks that log calls do not block while the output does, that the queued lines are written
 // later, and that the number of dropped lines is logged.
-func TestLoggingNeverWaits(t *testing.T) {
+func TestLogCallsDoNotBlock(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	log, writer := New(out)
 	const lines = 2 * maxQueuedLines
