--- a/internal/soak/log_test.go
+++ b/internal/soak/log_test.go
@@ -15,9 +15,9 @@
 // than a pipe can buffer.
 const loggedRequests = 800
 
-// TestLogThatNobodyReads checks that a sidecar still responds to requests when the pipe for its log is full or the read
-// end of the pipe is closed.
-func TestLogThatNobodyReads(t *testing.T) {
+// TestSidecarRespondsWhenLogIsNotRead checks that a sidecar still responds to requests when the pipe for its log is
+// full or the read end of the pipe is closed.
+func TestSidecarRespondsWhenLogIsNotRead(t *testing.T) {
 	for name, prepare := range map[string]func(reader *os.File){
 		"full":   func(*os.File) {},
 		"closed": func(reader *os.File) { reader.Close() },
