--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// A load report that arrives with a response describes only one endpoint. That endpoint must not get all requests
-// just because it is the only one whose load is known.
+// A load report that arrives with a response describes only one endpoint. That endpoint must not get all requests,
+// as it would if only its load counted as comparable.
 func TestPiggybackedReportDoesNotAttractAllRequests(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportsPiggybacked, []LoadField{LoadFieldInFlight}
--- a/internal/eventloop/finish_test.go
+++ b/internal/eventloop/finish_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// A client disconnects, and only an attempt that is about to be sent notices that. Package downstream must be told
-// to end the request, or it would wait for a response forever.
+// A client disconnects, and only an attempt that is about to be sent notices that. The loop must send package
+// downstream a response with Abort, which ends the request: without it, downstream would wait forever.
 func TestRequestEndsWhenItsClientHasDisconnected(t *testing.T) {
 	l := newTestLoop(t)
 	req := newOpenRequest(l)
--- a/internal/eventloop/request_test.go
+++ b/internal/eventloop/request_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A request with a long body and a long response passes through all states. It must count as pending until the end of
-// its response, and stay in the index until its last attempt has ended, even if that attempt was cancelled.
+// A request with a long body and a streamed response passes through all states. It must count as pending until the end
+// of its response, and stay in the index until its last attempt has ended, even if that attempt was cancelled.
 func TestRequestPassesThroughAllStates(t *testing.T) {
 	l := newTestLoop(t)
 	ex := newTestExchange(l, time.Now())
--- a/internal/eventloop/shutdown_test.go
+++ b/internal/eventloop/shutdown_test.go
@@ -21,10 +21,10 @@
 		late       bool
 		wantStatus int
 	}{
-		"long response, late":    {sidecartest.RespondRaw(head + sidecartest.LongBody[:100]), true, 503},
-		"short response, late":   {sidecartest.Respond(200, "ok"), true, 200},
-		"no response, late":      {sidecartest.RespondRaw(""), true, 503},
-		"long response, in time": {sidecartest.RespondRaw(head + sidecartest.LongBody[:100]), false, 200},
+		"streamed response, late":    {sidecartest.RespondRaw(head + sidecartest.LongBody[:100]), true, 503},
+		"short response, late":       {sidecartest.Respond(200, "ok"), true, 200},
+		"no response, late":          {sidecartest.RespondRaw(""), true, 503},
+		"streamed response, in time": {sidecartest.RespondRaw(head + sidecartest.LongBody[:100]), false, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := sidecartest.NewScriptedServer(t, c.response)
