--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -6,26 +6,23 @@
 	"math"
 )
 
-// Reasons in a KeyError.
+// Reasons in a KeyError. The adapter writes these texts into fault records, so they must not change.
 var (
 	errNoClasses             = errors.New("no classes")
 	errNotPositive           = errors.New("want a number above 0")
-	errNegative              = errors.New("want a number of 0 or more")
-	errNotFraction           = errors.New("want a number from 0 to 1")
-	errInvalidMaxAttempts    = errors.New("want a whole number from 1 to 2147483647")
-	errUnknownDiscovery      = errors.New(`want "automatic" or "subscribe"`)
-	errUnknownLoadReportMode = errors.New(`want "silent", "piggyback" or "pull"`)
-	errUnknownIdempotency    = errors.New(`want "read_like", "idempotency_key" or "non_idempotent"`)
-	errUnknownDedupScope     = errors.New(`want "all", "zone" or "cell"`)
-	errDedupWindowRequired   = errors.New("missing, want a number of 0 or more because effect is idempotency_key")
-	errOverloadRulesRequired = errors.New("want rules.fall_multiple and rules.fall_ms above 0 as well")
+	errNegative              = errors.New("want 0 or more")
+	errNotFraction           = errors.New("want 0 to 1")
+	errInvalidMaxAttempts    = errors.New("want a whole number, 1 or more")
+	errUnknownWord           = errors.New("unknown word")
+	errDedupWindowRequired   = errors.New("missing, although effect is idempotency_key")
+	errOverloadRulesRequired = errors.New("set without rules.fall_multiple or rules.fall_ms")
 )
 
 // KeyError reports a key of the settings document whose value is invalid or missing.
 type KeyError struct {
 	Key   string // path in the document, such as rules.cold_ms or classes.0.effect
 	Value any    // the value received; nil: missing or empty
-	Err   error  // the reason, which says what is valid
+	Err   error  // the reason
 }
 
 // Error implements error. It names the key, its value and the reason.
@@ -72,10 +69,10 @@
 	switch d.Discovery {
 	case "", discoveryAutomatic, discoverySubscribe:
 	default:
-		return &KeyError{Key: "discovery", Value: d.Discovery, Err: errUnknownDiscovery}
+		return &KeyError{Key: "discovery", Value: d.Discovery, Err: errUnknownWord}
 	}
 	if _, known := loadReportModesByName[d.LoadReports.Mode]; !known {
-		return &KeyError{Key: "report.via", Value: d.LoadReports.Mode, Err: errUnknownLoadReportMode}
+		return &KeyError{Key: "report.via", Value: d.LoadReports.Mode, Err: errUnknownWord}
 	}
 	return nil
 }
@@ -150,10 +147,10 @@
 // validate checks a class. In its errors, KeyError.Key is prefix followed by the key.
 func (c *classDocument) validate(prefix string) error {
 	if _, known := idempotenciesByName[c.Idempotency]; !known {
-		return &KeyError{Key: prefix + "effect", Value: c.Idempotency, Err: errUnknownIdempotency}
+		return &KeyError{Key: prefix + "effect", Value: c.Idempotency, Err: errUnknownWord}
 	}
 	if _, known := dedupScopesByName[c.DedupScope]; !known {
-		return &KeyError{Key: prefix + "group", Value: c.DedupScope, Err: errUnknownDedupScope}
+		return &KeyError{Key: prefix + "group", Value: c.DedupScope, Err: errUnknownWord}
 	}
 	if c.Deadline <= 0 {
 		return &KeyError{Key: prefix + "hard_limit_ms", Value: c.Deadline, Err: errNotPositive}
